--- a/build.mjs
+++ b/build.mjs
@@ -1,5 +1,6 @@
 // Bundles the daemon into one file under target/: a controller has a small share of one core, and reading a single
-// file starts it several times faster than resolving a tree of modules. With --tests it bundles the tests instead.
+// file starts it several times faster than resolving a tree of modules. With --tests it bundles the tests instead, and with
+// --fingerprint the tool that shows whether behaviour has changed.
 import { readdirSync, rmSync } from 'node:fs';
 import { join } from 'node:path';
 import { build } from 'esbuild';
@@ -23,6 +24,13 @@
   });
   rmSync('target/test', { recursive: true, force: true });
   await build({ ...common, entryPoints, outdir: 'target/test', format: 'cjs', outExtension: { '.js': '.cjs' } });
+} else if (process.argv.includes('--fingerprint')) {
+  await build({
+    ...common,
+    entryPoints: ['packages/testkit/fingerprint/main.ts'],
+    outfile: 'target/fingerprint.cjs',
+    format: 'cjs',
+  });
 } else {
   await build({
     ...common,
--- /dev/null
+++ b/packages/testkit/fingerprint/recorder.ts
@@ -0,0 +1,59 @@
+// Turns one day into two hashes: of all bytes that left or reached a simulated process, and of the records that are stored at its end.
+import { createHash } from 'node:crypto';
+import { encode } from '@gingerlock/wire';
+import type { SimStateService, TrafficEvent, World } from '../src/index';
+
+/** Takes the text lines of a day as they come, without their line ends. */
+export type LineSink = (line: string) => void;
+
+/** The two hashes of a day, in hexadecimal. */
+export interface Fingerprint {
+  readonly traffic: string;
+  readonly records: string;
+}
+
+function hex(bytes: Uint8Array | null | undefined): string {
+  return bytes === null || bytes === undefined
+    ? ''
+    : Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength).toString('hex');
+}
+
+/** One event as text: its simulated time, ends, request and status, and the bytes as they are on the wire. */
+export function trafficLine(at: number, { what, from, to, request, status, retryAfterS, body }: TrafficEvent): string {
+  return [at, what, from, to, request, status ?? '', retryAfterS ?? '', hex(body)].join('\t');
+}
+
+/** The stored records as text, in order of their keys, each value in its encoded form. */
+export function recordLines({ data, revision }: SimStateService): string[] {
+  const byKey = [...data].sort(([a], [b]) => (a < b ? -1 : 1));
+  const lines = byKey.map(([key, entry]) =>
+    [key, entry.version, entry.lease ?? '', hex(encode(entry.value))].join('\t'),
+  );
+  return [`revision\t${revision}`, ...lines];
+}
+
+/** Hashes the traffic of a world from now on. */
+export class Recorder {
+  readonly #traffic = createHash('sha256');
+
+  constructor(
+    readonly world: World,
+    readonly dump: LineSink,
+  ) {
+    world.network.observe = (event) => {
+      const line = trafficLine(world.sim.now, event);
+      this.#traffic.update(`${line}\n`);
+      dump(line);
+    };
+  }
+
+  /** Ends the record of the day. */
+  finish(): Fingerprint {
+    const records = createHash('sha256');
+    for (const line of recordLines(this.world.state)) {
+      records.update(`${line}\n`);
+      this.dump(`record\t${line}`);
+    }
+    return { traffic: this.#traffic.digest('hex'), records: records.digest('hex') };
+  }
+}
--- a/packages/testkit/src/faults.ts
+++ b/packages/testkit/src/faults.ts
@@ -6,6 +6,7 @@
 import { FaultTargets } from './fault-targets';
 import type { Cut } from './network';
 import { inflictOnState, isStateFault, type StateFault } from './state-faults';
+import { observeDirect } from './traffic';
 import { inflictByUsers, isUserFault, type UserFault } from './user-faults';
 import type { World } from './world';
 
@@ -316,7 +317,12 @@
       for (const [worker, body] of kept) {
         world.came('old report');
         for (const n of world.nodes) {
-          sim.after(sim.random() * 500, () => void n.controller?.checkin(body).catch(() => undefined));
+          sim.after(sim.random() * 500, () => {
+            const { controller } = n;
+            if (controller === null) return;
+            const copy = { from: worker, to: n.name, request: 'POST /checkin', body };
+            void observeDirect(network.observe, copy, () => controller.checkin(body)).catch(() => undefined);
+          });
         }
         kept.delete(worker);
       }
--- a/packages/testkit/src/index.ts
+++ b/packages/testkit/src/index.ts
@@ -1,5 +1,6 @@
 export * from './sim';
 export * from './network';
+export * from './traffic';
 export * from './state-service';
 export * from './worker';
 export * from './rules';
--- a/packages/testkit/src/network.ts
+++ b/packages/testkit/src/network.ts
@@ -1,5 +1,6 @@
 import { type Http, type HttpAnswer, NoAnswer } from '@gingerlock/clients';
 import type { Sim } from './sim';
+import type { TrafficObserver } from './traffic';
 
 export type Handler = (method: string, path: string, body: Buffer, from: string) => Promise<HttpAnswer> | HttpAnswer;
 
@@ -35,6 +36,8 @@
   peerCopies: { share: number; withinMs: number } | null = null;
   /** Told of every request as it is sent. */
   onSent: (from: string, addr: string, path: string, body: Buffer) => void = () => undefined;
+  /** Told of all that leaves and reaches a process; it changes nothing. */
+  observe: TrafficObserver = () => undefined;
   /** Share of answers that are lost. */
   lostAnswers = 0;
   /** The same for the answers of one host. */
@@ -139,13 +142,20 @@
     return (addr, method, path, body, timeoutMs) =>
       new Promise<HttpAnswer>((resolve, reject) => {
         let over = false;
+        const way = { from, to: addr, request: `${method} ${path}` };
+        const fail = (why: string): void => {
+          if (!alive()) return;
+          this.observe({ what: 'no answer', ...way });
+          reject(new NoAnswer(why));
+        };
+        this.observe({ what: 'request sent', ...way, body: body ?? null });
         const giveUp = this.sim.after(timeoutMs, () =>
           this.on(
             from,
             () => {
               if (over) return;
               over = true;
-              if (alive()) reject(new NoAnswer('no answer in time'));
+              fail('no answer in time');
             },
             'timer',
           ),
@@ -156,7 +166,7 @@
               if (over) return;
               over = true;
               giveUp();
-              if (alive()) reject(new NoAnswer('refused'));
+              fail('refused');
             }),
           );
           return;
@@ -167,14 +177,14 @@
             if (answering && !over) {
               giveUp();
               over = true;
-              this.sim.after(this.#latency(addr, from), () => {
-                if (alive()) reject(new NoAnswer('refused'));
-              });
+              this.sim.after(this.#latency(addr, from), () => fail('refused'));
             }
             return;
           }
           this.on(addr, () => {
+            this.observe({ what: 'request received', ...way, body: body ?? null });
             void Promise.resolve(handler(method, path, body ?? Buffer.alloc(0), from)).then((answer) => {
+              this.observe({ what: 'answer sent', ...way, ...answer });
               if (!answering || this.sim.random() < this.lostAnswers) return;
               const share = this.lostAnswersOf.get(addr);
               if (share !== undefined && this.sim.random() < share) return;
@@ -183,6 +193,7 @@
                   if (over || !alive()) return;
                   over = true;
                   giveUp();
+                  this.observe({ what: 'answer received', ...way, ...answer });
                   resolve(answer);
                 }),
               );
--- a/packages/testkit/src/users.ts
+++ b/packages/testkit/src/users.ts
@@ -11,9 +11,11 @@
 } from '@gingerlock/wire';
 import type { Rule } from './rules';
 import type { Sim } from './sim';
+import { observeDirect, type TrafficObserver } from './traffic';
 
 export interface UsersWorld {
   readonly sim: Sim;
+  readonly network: { readonly observe: TrafficObserver };
   readonly cancelMs: number;
   /** Controllers that say nothing to anybody, users included. */
   readonly silent: ReadonlySet<string>;
@@ -37,7 +39,7 @@
   answeredAt: number;
 }
 
-type Answer = { readonly status: number; readonly body: Buffer | null };
+type Answer = { readonly status: number; readonly body: Buffer | null; readonly retryAfterS?: number };
 
 /** A user waits this long for an answer, says the protocol. */
 const PATIENCE_MS = 5000;
@@ -121,6 +123,23 @@
     }
   }
 
+  #submit(controller: Controller, body: Buffer): Promise<Answer> {
+    return this.#request(controller, 'POST /submissions', body, () => controller.submit(body));
+  }
+
+  #poll(controller: Controller, id: string): Promise<Answer> {
+    return this.#request(controller, `GET /submissions/${id}`, null, () => controller.poll(id));
+  }
+
+  #cancel(controller: Controller, id: string): Promise<Answer> {
+    return this.#request(controller, `POST /submissions/${id}/cancel`, null, () => controller.cancel(id));
+  }
+
+  #request(controller: Controller, request: string, body: Buffer | null, run: () => Promise<Answer>): Promise<Answer> {
+    const { observe } = this.world.network;
+    return observeDirect(observe, { from: 'users', to: controller.settings.node, request, body }, run);
+  }
+
   /** Asks one controller; false: there was no answer that says anything. */
   async #ask(told: Told, what: 'submit' | 'poll' | 'cancel', controller: Controller | null): Promise<boolean> {
     if (controller === null) return false;
@@ -135,10 +154,10 @@
     const known = { accepted: told.accepted, final: told.final };
     const reply = await this.#inTime(
       what === 'submit'
-        ? controller.submit(encodeSubmission(told.spec))
+        ? this.#submit(controller, encodeSubmission(told.spec))
         : what === 'poll'
-          ? controller.poll(id)
-          : controller.cancel(id),
+          ? this.#poll(controller, id)
+          : this.#cancel(controller, id),
     );
     if (reply === undefined || reply.status === 503 || reply.status === 429) return false;
     told.answeredAt = world.sim.now;
@@ -238,7 +257,7 @@
     const impossible = [{ cores: 1e6 }, { breeds: ['none such'] }, { awaits: ['j-899999'] }, { awaits: [map.name_id] }];
     if (turn === 2) Object.assign(map, impossible[Math.floor(sim.random() * impossible.length)]);
     else Reflect.deleteProperty(map, ['crew', 'shape', 'parcels', 'cores', 'same_place'][this.#odd % 5]!);
-    const reply = await this.#inTime(controller.submit(encode(map)));
+    const reply = await this.#inTime(this.#submit(controller, encode(map)));
     const wanted = turn === 2 ? 422 : 400;
     if (reply === undefined || reply.status === 503 || reply.status === 429 || reply.status === wanted) return;
     world.breach('accepted_bad', `${JSON.stringify(map)} got ${reply.status}`);
@@ -246,7 +265,9 @@
 
   /** Asks about a job that nobody has submitted. */
   async stranger(): Promise<void> {
-    const reply = await this.#anyController()?.poll(`j-${900_000 + Math.floor(this.world.sim.random() * 1000)}`);
+    const controller = this.#anyController();
+    if (controller === null) return;
+    const reply = await this.#poll(controller, `j-${900_000 + Math.floor(this.world.sim.random() * 1000)}`);
     if (reply?.status === 200) this.world.breach('invented', 'a job that nobody submitted');
   }
 
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -117,14 +117,17 @@
     if (message.kind === 'SummaryPiece') this.world.came('summary piece');
     const to = this.world.nodes.find((n) => n.name === node)!;
     const { link } = to;
+    const { network } = this.world;
+    const way = { from: this.node, to: node, request: '', body: bytes };
+    network.observe({ what: 'frame sent', ...way });
     // A connection ends with its process: nothing goes over from one process to the next.
     if (link === null) return false;
     this.world.peerBytes += bytes.length;
     this.world.peerMessages++;
-    const { network } = this.world;
     network.tell(`peer:${this.node}`, `peer:${node}`, () =>
       network.on(node, () => {
         if (to.link !== link) return;
+        network.observe({ what: 'frame received', ...way });
         link.#heard.set(this.node, { link: this, at: this.world.sim.now });
         link.onMessage(this.node, decodePeer(bytes));
       }),
