--- /dev/null
+++ b/packages/testkit/src/sim-link.ts
@@ -0,0 +1,77 @@
+// The link between simulated controllers.
+import { decodePeer, encodePeer, MAX_FRAME_BYTES, type PeerLink, type PeerMessage } from '@gingerlock/peer';
+import type { Network } from './network';
+import type { Rule } from './rules';
+import type { Sim } from './sim';
+
+/** What a link needs of the world that it is in. */
+export interface LinkedWorld {
+  readonly sim: Sim;
+  readonly network: Network;
+  readonly reportMs: number;
+  readonly nodes: readonly { readonly name: string; readonly link: SimLink | null }[];
+  readonly options: {
+    readonly frameBytes?: number;
+    readonly falsify?: (message: PeerMessage) => PeerMessage | null;
+  };
+  /** Bytes and messages that all links together have sent. */
+  peerBytes: number;
+  peerMessages: number;
+  breach(rule: Rule, detail: string): void;
+  came(what: string): void;
+}
+
+/** The link of one controller: messages take the simulated network, and end with the process of either side. */
+export class SimLink implements PeerLink {
+  readonly nodes: readonly string[];
+  onMessage: (from: string, message: PeerMessage) => void = () => undefined;
+  readonly #heard = new Map<string, { link: SimLink; at: number }>();
+
+  readonly frameBytes: number;
+
+  constructor(
+    readonly world: LinkedWorld,
+    readonly node: string,
+  ) {
+    this.nodes = world.nodes.map((n) => n.name).filter((n) => n !== node);
+    this.frameBytes = world.options.frameBytes ?? MAX_FRAME_BYTES;
+  }
+
+  alive(node: string): boolean {
+    const heard = this.#heard.get(node);
+    // The end of a process ends its connections.
+    if (heard === undefined || this.world.nodes.find((n) => n.name === node)!.link !== heard.link) return false;
+    return this.world.sim.now - heard.at < this.world.reportMs * 2;
+  }
+
+  send(node: string, told: PeerMessage): boolean {
+    const { falsify } = this.world.options;
+    const message = falsify === undefined ? told : falsify(told);
+    if (message === null) return true;
+    const bytes = encodePeer(message);
+    if (bytes.length > this.frameBytes) this.world.breach('frame_too_large', `${message.kind}: ${bytes.length} bytes`);
+    if (message.kind === 'SummaryPiece') this.world.came('summary piece');
+    const to = this.world.nodes.find((n) => n.name === node)!;
+    const { link } = to;
+    const { network } = this.world;
+    const way = { from: this.node, to: node, request: '', body: bytes };
+    network.observe({ what: 'frame sent', ...way });
+    // A connection ends with its process: nothing goes over from one process to the next.
+    if (link === null) return false;
+    this.world.peerBytes += bytes.length;
+    this.world.peerMessages++;
+    network.tell(`peer:${this.node}`, `peer:${node}`, () =>
+      network.on(node, () => {
+        if (to.link !== link) return;
+        network.observe({ what: 'frame received', ...way });
+        link.#heard.set(this.node, { link: this, at: this.world.sim.now });
+        link.onMessage(this.node, decodePeer(bytes));
+      }),
+    );
+    return true;
+  }
+
+  sendGroup(node: string, messages: readonly PeerMessage[]): boolean {
+    return messages.every((message) => this.send(node, message));
+  }
+}
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -11,7 +11,7 @@
   SILENT,
 } from '@gingerlock/daemon';
 import { type Amounts, NOTHING } from '@gingerlock/core';
-import { decodePeer, encodePeer, MAX_FRAME_BYTES, type PeerLink, type PeerMessage } from '@gingerlock/peer';
+import type { PeerMessage } from '@gingerlock/peer';
 import { decodeReport, type JobSpec, holdRecord, KEYS, LEAD, type MachineType, parseTaskName } from '@gingerlock/wire';
 import {
   holdBoundMs,
@@ -31,6 +31,7 @@
 import { OwnershipAudit } from './ownership-audit';
 import type { Breach, Rule } from './rules';
 import { Sim } from './sim';
+import { SimLink } from './sim-link';
 import { SimStateService, type StateLimits } from './state-service';
 import { SimUsers } from './users';
 import { SimWorker, type WorkerWorld } from './worker';
@@ -86,60 +87,6 @@
   wallOffMs: number;
 }
 
-class SimLink implements PeerLink {
-  readonly nodes: readonly string[];
-  onMessage: (from: string, message: PeerMessage) => void = () => undefined;
-  readonly #heard = new Map<string, { link: SimLink; at: number }>();
-
-  readonly frameBytes: number;
-
-  constructor(
-    readonly world: World,
-    readonly node: string,
-  ) {
-    this.nodes = world.nodes.map((n) => n.name).filter((n) => n !== node);
-    this.frameBytes = world.options.frameBytes ?? MAX_FRAME_BYTES;
-  }
-
-  alive(node: string): boolean {
-    const heard = this.#heard.get(node);
-    // The end of a process ends its connections.
-    if (heard === undefined || this.world.nodes.find((n) => n.name === node)!.link !== heard.link) return false;
-    return this.world.sim.now - heard.at < this.world.reportMs * 2;
-  }
-
-  send(node: string, told: PeerMessage): boolean {
-    const { falsify } = this.world.options;
-    const message = falsify === undefined ? told : falsify(told);
-    if (message === null) return true;
-    const bytes = encodePeer(message);
-    if (bytes.length > this.frameBytes) this.world.breach('frame_too_large', `${message.kind}: ${bytes.length} bytes`);
-    if (message.kind === 'SummaryPiece') this.world.came('summary piece');
-    const to = this.world.nodes.find((n) => n.name === node)!;
-    const { link } = to;
-    const { network } = this.world;
-    const way = { from: this.node, to: node, request: '', body: bytes };
-    network.observe({ what: 'frame sent', ...way });
-    // A connection ends with its process: nothing goes over from one process to the next.
-    if (link === null) return false;
-    this.world.peerBytes += bytes.length;
-    this.world.peerMessages++;
-    network.tell(`peer:${this.node}`, `peer:${node}`, () =>
-      network.on(node, () => {
-        if (to.link !== link) return;
-        network.observe({ what: 'frame received', ...way });
-        link.#heard.set(this.node, { link: this, at: this.world.sim.now });
-        link.onMessage(this.node, decodePeer(bytes));
-      }),
-    );
-    return true;
-  }
-
-  sendGroup(node: string, messages: readonly PeerMessage[]): boolean {
-    return messages.every((message) => this.send(node, message));
-  }
-}
-
 /** Null: replica groups are off. */
 function groupSettingsOf(features: unknown): ReplicaGroupSettings | null {
   return featuresOf((features ?? {}) as Parameters<typeof featuresOf>[0]).replicaGroups;
