--- a/packages/borrowing/src/accounts.ts
+++ b/packages/borrowing/src/accounts.ts
@@ -1,14 +1,15 @@
 // What each team uses, lends and borrows, in cores and accelerators.
 import {
-  type Amounts,
+  type Resources,
   type ClusterConfig,
-  guaranteeAllows,
+  countWithinGuarantee,
   hasNoGuarantee,
   type Job,
-  NOTHING,
-  plus,
+  NO_RESOURCES,
+  addResources,
   type Team,
   teamUse,
+  subtractResources,
 } from '@gingerlock/core';
 import { parseTaskName } from '@gingerlock/wire';
 import type { PartClaims } from './claims';
@@ -20,11 +21,11 @@
 export interface TeamAccount {
   readonly team: Team;
   /** What surely runs and will not be stopped by a reclaim that is decided. */
-  readonly low: Amounts;
+  readonly low: Resources;
   /** What may run: all tasks that are assigned and not finished. */
-  readonly high: Amounts;
+  readonly high: Resources;
   /** What its tasks that have no room would use besides, within its limit. */
-  readonly waiting: Amounts;
+  readonly waiting: Resources;
 }
 
 /** The kinds of amounts of which teams are guaranteed something. */
@@ -47,12 +48,12 @@
 }
 
 /** Whether the team's use stays within its guarantee with the task. */
-export function isWithinGuarantee({ team, high }: TeamAccount, need: Amounts): boolean {
-  return guaranteeAllows(team, high, need) > 0;
+export function isWithinGuarantee({ team, high }: TeamAccount, need: Resources): boolean {
+  return countWithinGuarantee(team, high, need) > 0;
 }
 
 /** Whether the team has as much as it can claim of its guarantee without what is stopped. */
-export function canSpare(account: TeamAccount, stopped: Amounts): boolean {
+export function canSpare(account: TeamAccount, stopped: Resources): boolean {
   return KINDS.every(
     (kind) => stopped[kind] <= 0 || account.low[kind] - stopped[kind] >= floorOf(account, kind) - EPSILON,
   );
@@ -97,13 +98,13 @@
   constructor(
     clusterConfig: ClusterConfig,
     jobs: Iterable<Job>,
-    surelyRunning: ReadonlyMap<string, Amounts>,
-    waiting: ReadonlyMap<string, Amounts>,
+    surelyRunning: ReadonlyMap<string, Resources>,
+    waiting: ReadonlyMap<string, Resources>,
   ) {
     const high = teamUse(jobs);
     for (const team of clusterConfig.teams.values()) {
       const { name } = team;
-      const of = (use: ReadonlyMap<string, Amounts>): Amounts => use.get(name) ?? NOTHING;
+      const of = (use: ReadonlyMap<string, Resources>): Resources => use.get(name) ?? NO_RESOURCES;
       this.#accounts.set(name, { team, low: of(surelyRunning), high: of(high), waiting: of(waiting) });
     }
   }
@@ -118,16 +119,16 @@
   }
 
   /** A reclaim that stops so much of the team is decided. */
-  stop(team: string, amounts: Amounts): void {
-    this.#change(team, (account) => ({ ...account, low: plus(account.low, amounts, -1) }));
+  stop(team: string, resources: Resources): void {
+    this.#change(team, (account) => ({ ...account, low: subtractResources(account.low, resources) }));
   }
 
   /** So much that waited is assigned to the room of a reclaim. */
-  assign(team: string, amounts: Amounts): void {
+  assign(team: string, resources: Resources): void {
     this.#change(team, (account) => ({
       ...account,
-      high: plus(account.high, amounts),
-      waiting: plus(account.waiting, amounts, -1),
+      high: addResources(account.high, resources),
+      waiting: subtractResources(account.waiting, resources),
     }));
   }
 
--- a/packages/borrowing/src/execution.ts
+++ b/packages/borrowing/src/execution.ts
@@ -1,12 +1,12 @@
 // How the owner of a machine carries a reclaim out. A new owner begins with each at `decided` and finds by what machines report how far
 // it is: nothing of it has to be remembered but the record.
 import {
-  type Amounts,
+  type Resources,
   type ClaimTable,
-  fits,
+  fitsIn,
   type Machine,
-  NOTHING,
-  plus,
+  NO_RESOURCES,
+  addResources,
   type Reservations,
   type Slot,
 } from '@gingerlock/core';
@@ -100,9 +100,9 @@
 
   #proceed(table: ClaimTable, machine: Machine, waiting: readonly Slot[], victims: readonly Slot[]): readonly Slot[] {
     const need = sumOf(waiting);
-    const room = plus(table.room(machine), sumOf(victims));
+    const room = addResources(table.room(machine), sumOf(victims));
     // Nobody is stopped in vain.
-    if (!fits(need, room)) {
+    if (!fitsIn(need, room)) {
       this.#withdraw('its room was taken');
       return [];
     }
@@ -150,8 +150,8 @@
   return Math.max(0, ...victims.map((slot) => saveGraceS(slot.job.spec)));
 }
 
-function sumOf(slots: readonly Slot[]): Amounts {
-  return slots.reduce((sum, slot) => plus(sum, slot.job.spec), NOTHING);
+function sumOf(slots: readonly Slot[]): Resources {
+  return slots.reduce((sum, slot) => addResources(sum, slot.job.spec), NO_RESOURCES);
 }
 
 /** The reclaims of one partition, and the room that they keep. */
@@ -205,10 +205,10 @@
   /** See `Reservations`; asked of the partition's own table. */
   table: ClaimTable | null = null;
 
-  keptOn(machine: string): Amounts {
+  keptOn(machine: string): Resources {
     const { table } = this;
     const reclaims = this.#byMachine.get(machine)?.filter((reclaim) => !reclaim.isOver) ?? [];
-    if (table === null || reclaims.length === 0) return NOTHING;
+    if (table === null || reclaims.length === 0) return NO_RESOURCES;
     return sumOf(reclaims.flatMap(({ record }) => waitingTasks(table, record)));
   }
 
--- a/packages/borrowing/src/planner.ts
+++ b/packages/borrowing/src/planner.ts
@@ -1,18 +1,19 @@
 // The leader's decisions: for which waiting tasks others are stopped, which ones and where.
 import {
-  type Amounts,
+  type Resources,
   type ClusterConfig,
   type Job,
-  limitAllows,
+  countWithinLimit,
   type MachineRoom,
-  NOTHING,
+  NO_RESOURCES,
   type PartSummary,
   type Place,
-  plus,
+  addResources,
   SUSPECT_INTERVALS,
-  typeAllows,
+  allowsMachine,
   type Unmet,
   ZoneChoice,
+  subtractResources,
 } from '@gingerlock/core';
 import { parseTaskName, type ReclaimRecord } from '@gingerlock/wire';
 import { Accounts, type TeamAccount } from './accounts';
@@ -64,7 +65,7 @@
   readonly unmet: readonly Unmet[];
   readonly summaries: readonly PartSummary[];
   /** By machine that takes work: what is left there after all assignments. */
-  readonly free: ReadonlyMap<string, Amounts>;
+  readonly free: ReadonlyMap<string, Resources>;
   /** What machines hold, of the partitions of which that is known. */
   readonly claims: readonly PartClaims[];
   /** Reclaims that are under way. */
@@ -89,7 +90,7 @@
   readonly part: number;
   readonly term: number;
   readonly candidates: readonly Candidate[];
-  readonly free: Amounts;
+  readonly free: Resources;
 }
 
 export function planReclaims(input: PlannerInput): Plan {
@@ -153,7 +154,7 @@
     let bestLoss: Loss | null = null;
     for (const source of this.#sources.values()) {
       const { room } = source;
-      if (!zones.allows(room.zone) || !typeAllows(job.spec, room.type, room.zone, room.spot)) continue;
+      if (!zones.allows(room.zone) || !allowsMachine(job.spec, room.type, room.zone, room.spot)) continue;
       const choice = this.#choose(job, source);
       if (choice === null || choice.victims.length === 0) continue;
       const order = bestLoss === null ? -1 : compareLoss(choice.loss, bestLoss);
@@ -204,7 +205,7 @@
 
   #mayTake(job: Job, zone: string, zones: ZoneChoice): boolean {
     const { team, high } = this.#accounts.of(job.spec.team)!;
-    return zones.allows(zone) && limitAllows(team, high, job.spec) > 0;
+    return zones.allows(zone) && countWithinLimit(team, high, job.spec) > 0;
   }
 
   #isRentSooner(job: Job, { victims, graceS }: VictimChoice): boolean {
@@ -221,7 +222,7 @@
     if (claims.length < summaries.length) return 'what machines hold is not known';
     let hasCandidate = false;
     for (const { candidates, room } of this.#sources.values()) {
-      if (!typeAllows(job.spec, room.type, room.zone, room.spot)) continue;
+      if (!allowsMachine(job.spec, room.type, room.zone, room.spot)) continue;
       hasCandidate ||= candidates.some((c) => isStoppable(c) && reasonToStop(job, c.job, this.#accounts) !== null);
     }
     return hasCandidate ? 'others would fall below their guarantees' : 'no task may be stopped for it';
@@ -232,7 +233,7 @@
     const byZone = new Map<string, number>();
     for (const source of this.#sources.values()) {
       const { room } = source;
-      if (!typeAllows(job.spec, room.type, room.zone, room.spot) || this.#choose(job, source) === null) continue;
+      if (!allowsMachine(job.spec, room.type, room.zone, room.spot) || this.#choose(job, source) === null) continue;
       byZone.set(room.zone, (byZone.get(room.zone) ?? 0) + 1);
     }
     const richest = [...byZone].sort((a, b) => b[1] - a[1])[0];
@@ -242,7 +243,7 @@
 
 /** What machines hold, as far as it matters: what surely runs, and where something may be stopped. */
 class ClaimsView {
-  readonly surelyRunning = new Map<string, Amounts>();
+  readonly surelyRunning = new Map<string, Resources>();
   readonly sources = new Map<string, Source>();
   readonly #victims: ReadonlySet<string>;
   /** Machines with a reclaim under way: a second one could count on the same room. */
@@ -272,7 +273,7 @@
     for (const candidate of candidates) {
       if (!isStoppable(candidate)) continue;
       const { spec } = candidate.job;
-      this.surelyRunning.set(spec.team, plus(this.surelyRunning.get(spec.team) ?? NOTHING, spec));
+      this.surelyRunning.set(spec.team, addResources(this.surelyRunning.get(spec.team) ?? NO_RESOURCES, spec));
     }
     const free = this.input.free.get(machine);
     if (free === undefined || this.#busy.has(machine)) return;
@@ -292,11 +293,11 @@
 
 function withoutVictims(source: Source, { victims }: VictimChoice, job: Job): Source {
   const stopped = new Set(victims);
-  const freed = victims.reduce((sum, victim) => plus(sum, victim.job.spec), source.free);
+  const freed = victims.reduce((sum, victim) => addResources(sum, victim.job.spec), source.free);
   return {
     ...source,
     candidates: source.candidates.filter((candidate) => !stopped.has(candidate)),
-    free: plus(freed, job.spec, -1),
+    free: subtractResources(freed, job.spec),
   };
 }
 
@@ -310,11 +311,11 @@
   return tasks;
 }
 
-function waitingOf(unmet: readonly Unmet[]): Map<string, Amounts> {
-  const waiting = new Map<string, Amounts>();
+function waitingOf(unmet: readonly Unmet[]): Map<string, Resources> {
+  const waiting = new Map<string, Resources>();
   for (const { job, count } of unmet) {
     const { team } = job.spec;
-    waiting.set(team, plus(waiting.get(team) ?? NOTHING, job.spec, count));
+    waiting.set(team, addResources(waiting.get(team) ?? NO_RESOURCES, job.spec, count));
   }
   return waiting;
 }
--- a/packages/borrowing/src/victims.ts
+++ b/packages/borrowing/src/victims.ts
@@ -1,5 +1,5 @@
 // Which tasks of one machine are stopped for a task of another team or of higher priority, and what that costs.
-import { type Amounts, fits, type Job, NOTHING, plus } from '@gingerlock/core';
+import { type Resources, fitsIn, type Job, NO_RESOURCES, addResources, subtractResources } from '@gingerlock/core';
 import { PRIORITIES } from '@gingerlock/wire';
 import { type Accounts, canSpare, isWithinGuarantee } from './accounts';
 import type { HeldTask } from './claims';
@@ -76,13 +76,13 @@
 }
 
 /** Whether the victim's team has its guarantee without this and what else is stopped of it here. Stopping for one's own team is its affair. */
-function isSpared(job: Job, victim: Job, stopped: ReadonlyMap<string, Amounts>, accounts: Accounts): boolean {
+function isSpared(job: Job, victim: Job, stopped: ReadonlyMap<string, Resources>, accounts: Accounts): boolean {
   const { team } = victim.spec;
   if (team === job.spec.team) return true;
   const account = accounts.of(team);
   // A team that is gone from the settings: what it has goes on.
   if (account === undefined) return false;
-  return canSpare(account, plus(stopped.get(team) ?? NOTHING, victim.spec));
+  return canSpare(account, addResources(stopped.get(team) ?? NO_RESOURCES, victim.spec));
 }
 
 export interface VictimChoice {
@@ -104,8 +104,8 @@
  */
 export function chooseVictims(
   job: Job,
-  need: Amounts,
-  free: Amounts,
+  need: Resources,
+  free: Resources,
   candidates: readonly Candidate[],
   accounts: Accounts,
 ): VictimChoice | null {
@@ -114,27 +114,27 @@
     .map((candidate) => ({ candidate, loss: lossOf(candidate) }))
     .sort((a, b) => compareLoss(a.loss, b.loss) || b.candidate.job.rank - a.candidate.job.rank);
   const chosen: Candidate[] = [];
-  const stopped = new Map<string, Amounts>();
+  const stopped = new Map<string, Resources>();
   let room = free;
   for (const { candidate } of order) {
-    if (fits(need, room)) break;
+    if (fitsIn(need, room)) break;
     if (!isSpared(job, candidate.job, stopped, accounts)) continue;
     const { spec } = candidate.job;
     chosen.push(candidate);
-    stopped.set(spec.team, plus(stopped.get(spec.team) ?? NOTHING, spec));
-    room = plus(room, spec);
+    stopped.set(spec.team, addResources(stopped.get(spec.team) ?? NO_RESOURCES, spec));
+    room = addResources(room, spec);
   }
-  if (!fits(need, room)) return null;
+  if (!fitsIn(need, room)) return null;
   return describe(job, withoutNeedless(chosen, need, room), accounts);
 }
 
 /** Leaves out what was taken before a larger task made it needless, the costliest first. */
-function withoutNeedless(chosen: readonly Candidate[], need: Amounts, room: Amounts): Candidate[] {
+function withoutNeedless(chosen: readonly Candidate[], need: Resources, room: Resources): Candidate[] {
   let left = room;
   const kept: Candidate[] = [];
   for (const candidate of [...chosen].reverse()) {
-    const without = plus(left, candidate.job.spec, -1);
-    if (fits(need, without)) left = without;
+    const without = subtractResources(left, candidate.job.spec);
+    if (fitsIn(need, without)) left = without;
     else kept.push(candidate);
   }
   return kept.reverse();
--- a/packages/borrowing/test/fixtures.ts
+++ b/packages/borrowing/test/fixtures.ts
@@ -1,4 +1,4 @@
-import { type ClusterConfig, Job, type MachineRoom, NOTHING, type Team } from '@gingerlock/core';
+import { type ClusterConfig, Job, type MachineRoom, NO_RESOURCES, type Team } from '@gingerlock/core';
 import type { JobSpec } from '@gingerlock/wire';
 import { PRIORITIES } from '@gingerlock/wire';
 
@@ -58,8 +58,8 @@
     zone: 'a',
     spot: false,
     session: 1,
-    free: NOTHING,
-    byRank: [NOTHING, NOTHING, NOTHING, NOTHING],
+    free: NO_RESOURCES,
+    byRank: [NO_RESOURCES, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES],
     images: [],
     takesWork: true,
     draining: false,
--- a/packages/borrowing/test/planner.test.ts
+++ b/packages/borrowing/test/planner.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { type Amounts, fits, type Job, NOTHING, plus } from '@gingerlock/core';
+import { type Resources, fitsIn, type Job, NO_RESOURCES, addResources, subtractResources } from '@gingerlock/core';
 import { parseTaskName, PRIORITIES, taskName } from '@gingerlock/wire';
 import { type HeldTask, type Plan, type PlannerInput, planReclaims } from '../src/index';
 import { clusterConfigOf, jobOf, roomOf, teamOf } from './fixtures';
@@ -19,7 +19,7 @@
   readonly stage?: HeldTask['stage'];
 }
 
-const MACHINE: Amounts = { cpus: 100, gpus: 4, memoryGb: 100 };
+const MACHINE: Resources = { cpus: 100, gpus: 4, memoryGb: 100 };
 
 /** Machines that hold the given tasks, numbered within their jobs in this order, and a job that waits. */
 function fleetOf(
@@ -42,10 +42,10 @@
   const jobs = new Map([...next.keys(), ...waiting].map((job) => [job.id, job]));
   for (const [job, count] of next) job.rounds = [{ from: 0, count, part: 0, zone: null, term: 3 }];
   const free = new Map(
-    machines.map((tasks, i) => [`m-${i}`, tasks.reduce((sum, { job }) => plus(sum, job.spec, -1), MACHINE)]),
+    machines.map((tasks, i) => [`m-${i}`, tasks.reduce((sum, { job }) => subtractResources(sum, job.spec), MACHINE)]),
   );
   const rooms = machines.map((_, i) => roomOf(`m-${i}`));
-  const summary = { part: 0, term: 3, revision: 1, machines: rooms, missing: NOTHING, running: [] };
+  const summary = { part: 0, term: 3, revision: 1, machines: rooms, missing: NO_RESOURCES, running: [] };
   const claims = [...held].map(([machine, tasks]) => ({ machine, held: tasks }));
   const input: PlannerInput = {
     clusterConfig: clusterConfigOf(teams),
@@ -201,8 +201,8 @@
     let left = MACHINE;
     for (const { job: index, runMs } of tasks) {
       const job = jobs[index % jobs.length]!;
-      if (!fits(job.spec, left)) continue;
-      left = plus(left, job.spec, -1);
+      if (!fitsIn(job.spec, left)) continue;
+      left = subtractResources(left, job.spec);
       fitting.push({ job, runMs });
     }
     return fitting;
@@ -238,10 +238,13 @@
           assert.ok(held.some((h) => h.task === task));
           return fleet.jobs.get(parseTaskName(task)!.job)!.spec;
         });
-        const room = specs.reduce((sum, spec) => plus(sum, spec), fleet.input.free.get(machine)!);
-        assert.ok(fits(plus(NOTHING, job.spec, tasks.length), room));
+        const room = specs.reduce((sum, spec) => addResources(sum, spec), fleet.input.free.get(machine)!);
+        assert.ok(fitsIn(addResources(NO_RESOURCES, job.spec, tasks.length), room));
         for (const spec of specs)
-          assert.ok(!fits(plus(NOTHING, job.spec, tasks.length), plus(room, spec, -1)) || tasks.length > 1);
+          assert.ok(
+            !fitsIn(addResources(NO_RESOURCES, job.spec, tasks.length), subtractResources(room, spec)) ||
+              tasks.length > 1,
+          );
         assert.equal(tasks.length, places.length);
         for (const spec of specs) assert.ok(spec.team !== 'gone');
       }
--- a/packages/core/src/assignment.ts
+++ b/packages/core/src/assignment.ts
@@ -1,16 +1,17 @@
 // The leader's assignment of waiting tasks among the parts by free room, with the arithmetic of team limits and zones.
 import { type MachineType, PRIORITIES, type Round } from '@gingerlock/wire';
 import {
-  type Amounts,
+  type Resources,
   type ClusterConfig,
-  fits,
-  guaranteeAllows,
-  limitAllows,
-  NOTHING,
-  plus,
+  fitsIn,
+  countWithinGuarantee,
+  countWithinLimit,
+  NO_RESOURCES,
+  addResources,
   type Team,
-  timesIn,
-  typeAllows,
+  countFitting,
+  allowsMachine,
+  subtractResources,
 } from './facts';
 import type { GroupCandidate, GroupChoice, GroupPlanner } from './group-planner';
 import { type Job, jobOrder } from './jobs';
@@ -27,9 +28,9 @@
   /** What its worker called its session last: a new owner needs it to show its term. */
   readonly session: number;
   /** Left after its claims and after the waiting tasks that the owner expects to bind here. */
-  readonly free: Amounts;
+  readonly free: Resources;
   /** What stopping its claims of each rank would free, and what waiting tasks of that rank are expected to take. */
-  readonly byRank: readonly Amounts[];
+  readonly byRank: readonly Resources[];
   readonly images: readonly string[];
   readonly takesWork: boolean;
   readonly draining: boolean;
@@ -50,7 +51,7 @@
   readonly revision: number;
   readonly machines: readonly MachineRoom[];
   /** What the tasks add up to that a new owner has been waiting to hear of for longer than machines take to report. */
-  readonly missing: Amounts;
+  readonly missing: Resources;
   readonly running: readonly (readonly [string, number])[];
 }
 
@@ -59,7 +60,7 @@
   /** What is added to the rounds of its record. */
   readonly added: readonly Round[];
   /** Which machine each task was meant for: counted against its room until the owner's summary shows it. */
-  readonly meant: readonly { machine: string; need: Amounts }[];
+  readonly meant: readonly { machine: string; need: Resources }[];
 }
 
 /** Tasks that have no room anywhere, though their team's limit allows them. */
@@ -90,7 +91,7 @@
   readonly jobs: Iterable<Job>;
   readonly summaries: readonly PartSummary[];
   /** Assignments that a summary may not show yet. */
-  readonly recent: readonly { revision: number; machine: string; part: number; need: Amounts }[];
+  readonly recent: readonly { revision: number; machine: string; part: number; need: Resources }[];
   readonly clusterConfig: ClusterConfig;
   readonly types: ReadonlyMap<string, MachineType>;
   readonly most: number;
@@ -113,15 +114,15 @@
   /** Machines with room for some members of a group that lacks room for others. */
   readonly partialRoom: ReadonlySet<string>;
   /** By machine that takes work: what it has left. */
-  readonly free: ReadonlyMap<string, Amounts>;
+  readonly free: ReadonlyMap<string, Resources>;
 }
 
 interface Bin {
   readonly room: MachineRoom;
   readonly part: number;
   readonly term: number;
-  free: Amounts;
-  byRank: Amounts[];
+  free: Resources;
+  byRank: Resources[];
 }
 
 /**
@@ -166,7 +167,7 @@
       if (!room.takesWork) continue;
       let { free } = room;
       for (const r of recent) {
-        if (r.part === part && r.machine === room.name && r.revision > revision) free = plus(free, r.need, -1);
+        if (r.part === part && r.machine === room.name && r.revision > revision) free = subtractResources(free, r.need);
       }
       bins.push({ room, part, term, free, byRank: [...room.byRank] });
     }
@@ -178,7 +179,7 @@
 interface JobPlaces {
   readonly indices: number[];
   readonly places: Place[];
-  readonly meant: { machine: string; need: Amounts }[];
+  readonly meant: { machine: string; need: Resources }[];
   /** Tasks that the team's limit allows and that found no room. */
   missing: number;
 }
@@ -237,7 +238,7 @@
   /** Whether a group keeps room already that is not enough for it: at most one does. */
   #isRoomHeld = false;
   readonly #bins: Bin[];
-  readonly #use: Map<string, Amounts>;
+  readonly #use: Map<string, Resources>;
   /** Shapes of tasks for which there is no room left: rooms only shrink, so nobody looks for them again. */
   readonly #full = new Set<string>();
   /** Jobs of which tasks within their team's guarantee were looked at: how many found room, and how many did not. */
@@ -254,7 +255,7 @@
     this.#freeGpus = this.#bins.reduce((sum, bin) => sum + Math.max(0, bin.free.gpus), 0);
   }
 
-  free(): ReadonlyMap<string, Amounts> {
+  free(): ReadonlyMap<string, Resources> {
     return new Map(this.#bins.map((bin) => [bin.room.name, bin.free]));
   }
 
@@ -272,7 +273,7 @@
       this.#missRest(job, ranges, team, begun);
       return;
     }
-    const allowed = limitAllows(team, this.#use.get(team.name) ?? NOTHING, job.spec);
+    const allowed = countWithinLimit(team, this.#use.get(team.name) ?? NO_RESOURCES, job.spec);
     if (allowed === 0) return;
     const zones = new ZoneChoice(job, () => bestZone(job, this.#bins));
     if (isTried(job, this.input.trials)) this.#assignTrial(job, ranges, zones);
@@ -284,8 +285,8 @@
     const ranges = job.unassigned();
     const team = this.input.clusterConfig.teams.get(job.spec.team);
     if (ranges.length === 0 || team === undefined || job.isGroup || isTried(job, this.input.trials)) return;
-    const used = this.#use.get(team.name) ?? NOTHING;
-    const allowed = Math.min(limitAllows(team, used, job.spec), guaranteeAllows(team, used, job.spec));
+    const used = this.#use.get(team.name) ?? NO_RESOURCES;
+    const allowed = Math.min(countWithinLimit(team, used, job.spec), countWithinGuarantee(team, used, job.spec));
     if (allowed === 0) return;
     const zones = new ZoneChoice(job, () => bestZone(job, this.#bins));
     this.#begun.set(job.id, this.#assignTasks(job, ranges, allowed, zones, 0));
@@ -300,7 +301,7 @@
   ): { placed: number; missing: number } {
     const { indices, places, meant, missing } = this.#place(job, ranges, allowed, zones, heldBackGpus);
     const { team } = job.spec;
-    this.#use.set(team, plus(this.#use.get(team) ?? NOTHING, job.spec, places.length + missing));
+    this.#use.set(team, addResources(this.#use.get(team) ?? NO_RESOURCES, job.spec, places.length + missing));
     if (places.length > 0) this.assignments.push({ job, added: roundsOf(indices, places), meant });
     if (missing > 0) this.unmet.push({ job, count: missing, zones: zones.open(this.input.clusterConfig.zones) });
     return { placed: places.length, missing };
@@ -314,20 +315,20 @@
     { placed, missing }: { placed: number; missing: number },
   ): void {
     if (placed > 0 || missing === 0) return;
-    const used = this.#use.get(team.name) ?? NOTHING;
+    const used = this.#use.get(team.name) ?? NO_RESOURCES;
     const waiting = ranges.reduce((sum, [from, count]) => sum + unfinishedIn(job, { from, count }), 0);
-    const rest = Math.min(waiting - missing, limitAllows(team, used, job.spec));
+    const rest = Math.min(waiting - missing, countWithinLimit(team, used, job.spec));
     const at = this.unmet.findIndex((entry) => entry.job === job);
     if (rest <= 0 || at < 0) return;
     this.unmet[at] = { ...this.unmet[at]!, count: missing + rest };
-    this.#use.set(team.name, plus(used, job.spec, rest));
+    this.#use.set(team.name, addResources(used, job.spec, rest));
   }
 
   /** Assigns all members of a replica group, or none. */
   #assignGroup(job: Job, team: Team): void {
     const { groups, most, preempts } = this.input;
-    const used = this.#use.get(team.name) ?? NOTHING;
-    if (groups === null || !groups.mayPlace(job) || limitAllows(team, used, job.spec) < job.spec.tasks) return;
+    const used = this.#use.get(team.name) ?? NO_RESOURCES;
+    if (groups === null || !groups.mayPlace(job) || countWithinLimit(team, used, job.spec) < job.spec.tasks) return;
     const needGpus = job.spec.gpus * job.spec.tasks;
     const isHeldBack = needGpus > 0 && this.#freeGpus - needGpus < this.#heldBackFrom(team);
     const isFree = !isHeldBack && this.assignments.length + this.groups.length < most;
@@ -360,7 +361,7 @@
     });
     // Members are alike: ranks follow the places, so that the record needs one round for each place.
     members.sort((a, b) => a.part - b.part || (a.zone ?? '').localeCompare(b.zone ?? ''));
-    this.#use.set(job.spec.team, plus(this.#use.get(job.spec.team) ?? NOTHING, job.spec, members.length));
+    this.#use.set(job.spec.team, addResources(this.#use.get(job.spec.team) ?? NO_RESOURCES, job.spec, members.length));
     this.groups.push({ job, members });
   }
 
@@ -373,8 +374,8 @@
     return this.#bins
       .filter((bin) => suits(job, bin))
       .map((bin) => {
-        const capacity = timesIn(job.spec, preempting ? roomWithout(bin, job.ownRank) : bin.free);
-        const stopMs = preempting && !fits(job.spec, bin.free) ? STOP_MS : 0;
+        const capacity = countFitting(job.spec, preempting ? roomWithout(bin, job.ownRank) : bin.free);
+        const stopMs = preempting && !fitsIn(job.spec, bin.free) ? STOP_MS : 0;
         const ms = cost(job, bin, this.input, undefined) + stopMs;
         return { machine: bin.room.name, zone: bin.room.zone, capacity, cost: ms };
       })
@@ -393,7 +394,7 @@
     const { input } = this;
     const { trials, now } = input;
     if (assignedUnfinished(job) > 0 || !trials.mayTry(job.id, now) || this.assignments.length >= input.most) return;
-    const free = this.#bins.filter((bin) => fits(job.spec, bin.free));
+    const free = this.#bins.filter((bin) => fitsIn(job.spec, bin.free));
     const last = trials.lastPart(job.id);
     const allows = (zone: string): boolean => zones.allows(zone);
     const elsewhere = free.filter((bin) => bin.part !== last);
@@ -402,7 +403,7 @@
     this.#take(bin, job);
     const place = { part: bin.part, zone: zones.take(bin.room.zone), term: bin.term };
     const meant = [{ machine: bin.room.name, need: job.spec }];
-    this.#use.set(job.spec.team, plus(this.#use.get(job.spec.team) ?? NOTHING, job.spec));
+    this.#use.set(job.spec.team, addResources(this.#use.get(job.spec.team) ?? NO_RESOURCES, job.spec));
     this.assignments.push({ job, added: roundsOf([ranges[0]![0]], [place]), meant });
   }
 
@@ -474,14 +475,14 @@
 }
 
 function suits(job: Job, bin: Bin): boolean {
-  return typeAllows(job.spec, bin.room.type, bin.room.zone, bin.room.spot);
+  return allowsMachine(job.spec, bin.room.type, bin.room.zone, bin.room.spot);
 }
 
 /** The zone in which most tasks of the job fit now. */
 function bestZone(job: Job, bins: readonly Bin[]): string | null {
   const byZone = new Map<string, number>();
   for (const bin of bins) {
-    if (!suits(job, bin) || !fits(job.spec, bin.free)) continue;
+    if (!suits(job, bin) || !fitsIn(job.spec, bin.free)) continue;
     byZone.set(bin.room.zone, (byZone.get(bin.room.zone) ?? 0) + bin.free.gpus + bin.free.cpus / 1000);
   }
   let best: string | null = job.spec.zone;
@@ -525,12 +526,12 @@
     if (!zoneAllowed(bin.room.zone) || !suits(job, bin)) continue;
     let c = cost(job, bin, input, lastPart);
     if (c >= bestCost) continue;
-    if (!fits(job.spec, bin.free)) {
+    if (!fitsIn(job.spec, bin.free)) {
       if (!input.preempts) continue;
       let room = bin.free;
       let rank = bin.byRank.length - 1;
-      for (; rank > job.ownRank && !fits(job.spec, room); rank--) room = plus(room, bin.byRank[rank]!);
-      if (!fits(job.spec, room)) continue;
+      for (; rank > job.ownRank && !fitsIn(job.spec, room); rank--) room = addResources(room, bin.byRank[rank]!);
+      if (!fitsIn(job.spec, room)) continue;
       // By preemption: as an owner reckons it.
       c += STOP_MS + input.clusterConfig.heartbeatIntervalMs / 2;
       // Work that is urgent itself goes only when there is no other room.
@@ -545,15 +546,15 @@
 }
 
 /** What the bin has without all work that is less urgent. */
-function roomWithout(bin: Bin, ownRank: number): Amounts {
-  return bin.byRank.slice(ownRank + 1).reduce((sum, amounts) => plus(sum, amounts), bin.free);
+function roomWithout(bin: Bin, ownRank: number): Resources {
+  return bin.byRank.slice(ownRank + 1).reduce((sum, resources) => addResources(sum, resources), bin.free);
 }
 
 /** Takes the task's room from the bin, by preemption of the least urgent work where it is not free. */
 function take(bin: Bin, job: Job): void {
-  for (let rank = bin.byRank.length - 1; rank > job.ownRank && !fits(job.spec, bin.free); rank--) {
-    bin.free = plus(bin.free, bin.byRank[rank]!);
-    bin.byRank[rank] = NOTHING;
+  for (let rank = bin.byRank.length - 1; rank > job.ownRank && !fitsIn(job.spec, bin.free); rank--) {
+    bin.free = addResources(bin.free, bin.byRank[rank]!);
+    bin.byRank[rank] = NO_RESOURCES;
   }
-  bin.free = plus(bin.free, job.spec, -1);
+  bin.free = subtractResources(bin.free, job.spec);
 }
--- a/packages/core/src/claim-queries.ts
+++ b/packages/core/src/claim-queries.ts
@@ -1,7 +1,15 @@
 // What follows from a claim table for others, without changing it: which tasks can be given back to the leader, which are to be
 // written as finished, what is missing and what runs.
 import type { ClaimView } from './claim-view';
-import { type Amounts, bootMsOf, type ClusterConfig, limitAllows, NOTHING, plus, SUSPECT_INTERVALS } from './facts';
+import {
+  type Resources,
+  bootMsOf,
+  type ClusterConfig,
+  countWithinLimit,
+  NO_RESOURCES,
+  addResources,
+  SUSPECT_INTERVALS,
+} from './facts';
 import { PRIORITIES } from '@gingerlock/wire';
 import { type Job, jobOrder } from './jobs';
 import type { Machine, Slot } from './slots';
@@ -62,7 +70,7 @@
 /** Whether no limit is set on anything that the job's tasks take. */
 function isUnlimited({ spec }: Job, clusterConfig: ClusterConfig): boolean {
   const team = clusterConfig.teams.get(spec.team);
-  return team !== undefined && limitAllows(team, NOTHING, spec) === Infinity;
+  return team !== undefined && countWithinLimit(team, NO_RESOURCES, spec) === Infinity;
 }
 
 /**
@@ -97,20 +105,20 @@
  * that lasts, their zone is cut off. Room for them is asked for so that it has booted when the partition is cleared: waiting
  * for that first cost a boot more of every long cut, and a short one may be over before.
  */
-export function missingServices(table: ClaimView, now: number): Amounts {
+export function missingServices(table: ClaimView, now: number): Resources {
   const { clusterConfig, machines, unheard, openedAt, fencedUntil } = table;
-  if (table.cleared) return NOTHING;
+  if (table.cleared) return NO_RESOURCES;
   const synchronised = [...machines.values()].filter((m) => m.synchronised).length;
   if (unheard.size > synchronised) {
     const bootMs = Math.max(0, ...[...table.types.values()].map(bootMsOf));
     if (now < Math.max(openedAt + clusterConfig.heartbeatIntervalMs * CUT_INTERVALS, fencedUntil - bootMs))
-      return NOTHING;
+      return NO_RESOURCES;
   }
-  let sum = NOTHING;
+  let sum = NO_RESOURCES;
   for (const slots of table.slots.values()) {
     for (const { state, job, since } of slots.values()) {
       if (state !== 'uncertain' || job.spec.kind !== 'service' || job.cancelled) continue;
-      if (now - since > clusterConfig.heartbeatIntervalMs * SUSPECT_INTERVALS) sum = plus(sum, job.spec);
+      if (now - since > clusterConfig.heartbeatIntervalMs * SUSPECT_INTERVALS) sum = addResources(sum, job.spec);
     }
   }
   return sum;
@@ -136,14 +144,14 @@
  * What waiting tasks are expected to take of each machine, by rank: they hold nothing yet and give way to more urgent ones.
  * Told as neither free nor theirs, batch work that waited had room rented for services to come.
  */
-export function plannedByRank(claimTable: ClaimView): Map<Machine, Amounts[]> {
-  const planned = new Map<Machine, Amounts[]>();
+export function plannedByRank(claimTable: ClaimView): Map<Machine, Resources[]> {
+  const planned = new Map<Machine, Resources[]>();
   for (const job of claimTable.wakes()) {
     for (const { plan } of claimTable.waitingSlots(job)) {
       if (plan === null) continue;
-      const byRank = planned.get(plan.machine) ?? PRIORITIES.map(() => NOTHING);
+      const byRank = planned.get(plan.machine) ?? PRIORITIES.map(() => NO_RESOURCES);
       const rank = toldRank(job);
-      byRank[rank] = plus(byRank[rank]!, job.spec);
+      byRank[rank] = addResources(byRank[rank]!, job.spec);
       planned.set(plan.machine, byRank);
     }
   }
--- a/packages/core/src/claim-view.ts
+++ b/packages/core/src/claim-view.ts
@@ -1,6 +1,6 @@
 // What placement, packing and the queries read of a claim table. They know this interface alone, and the table calls them.
 import type { MachineType } from '@gingerlock/wire';
-import type { Amounts, ClusterConfig } from './facts';
+import type { Resources, ClusterConfig } from './facts';
 import type { Job } from './jobs';
 import type { MemberPolicy } from './members';
 import type { Reservations } from './reservations';
@@ -30,7 +30,7 @@
   waitingSlots(job: Job): Iterable<Slot> & Iterator<Slot>;
   typeOf(machine: Machine): MachineType | undefined;
   /** What a machine has left, by its claims and by strays that it reports. */
-  room(machine: Machine): Amounts;
+  room(machine: Machine): Resources;
   takesWork(machine: Machine, now: number): boolean;
   isSuspect(machine: Machine, now: number): boolean;
   isFailing(job: Job): boolean;
--- a/packages/core/src/claims.ts
+++ b/packages/core/src/claims.ts
@@ -4,7 +4,14 @@
 // Nothing here is ever guessed. A claim ends only when the worker's own later report, a later session, its lease run out
 // under this very owner, or the cloud's word proves that the task is off the machine.
 import { type MachineType, parseTaskName, type WorkerCommand, type WorkerReport } from '@gingerlock/wire';
-import { type Amounts, type ClusterConfig, NOTHING, plus, SUSPECT_INTERVALS, workerLeaseBoundMs } from './facts';
+import {
+  type Resources,
+  type ClusterConfig,
+  NO_RESOURCES,
+  SUSPECT_INTERVALS,
+  workerLeaseBoundMs,
+  subtractResources,
+} from './facts';
 import type { ClaimView } from './claim-view';
 import { missingServices, returnableTasks, runningTasks, tasksToFinish } from './claim-queries';
 import { type JobEvidence, FailureAttribution } from './failure-attribution';
@@ -264,18 +271,18 @@
   }
 
   /** What a machine has left, by its claims and by strays that it reports. */
-  room(machine: Machine): Amounts {
+  room(machine: Machine): Resources {
     const type = this.typeOf(machine);
-    if (type === undefined) return NOTHING;
-    let room: Amounts = { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb };
-    for (const slot of machine.claims.values()) room = plus(room, slot.job.spec, -1);
+    if (type === undefined) return NO_RESOURCES;
+    let room: Resources = { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb };
+    for (const slot of machine.claims.values()) room = subtractResources(room, slot.job.spec);
     for (const task of machine.reported) {
       if (task.state === 'exited' || machine.claims.has(task.task)) continue;
       const parsed = parseTaskName(task.task);
       const spec = parsed === null ? undefined : this.#jobs.live.get(parsed.job)?.spec;
       // A stray of unknown size: nothing is known to be free until it is gone.
-      if (spec === undefined) return NOTHING;
-      room = plus(room, spec, -1);
+      if (spec === undefined) return NO_RESOURCES;
+      room = subtractResources(room, spec);
     }
     return room;
   }
@@ -479,7 +486,7 @@
   }
 
   /** What services lack whose tasks nobody has reported; see `missingServices`. */
-  missing(now: number): Amounts {
+  missing(now: number): Resources {
     return missingServices(this, now);
   }
 
--- a/packages/core/src/facts.ts
+++ b/packages/core/src/facts.ts
@@ -59,7 +59,7 @@
   return clusterConfig.cancellationBoundMs / 10;
 }
 
-export interface Amounts {
+export interface Resources {
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
@@ -68,17 +68,17 @@
 /** Sums of decimal amounts are compared with this much slack. */
 const EPSILON = 1e-6;
 
-export function fits(need: Amounts, room: Amounts): boolean {
+export function fitsIn(need: Resources, room: Resources): boolean {
   return (
     need.cpus <= room.cpus + EPSILON && need.gpus <= room.gpus + EPSILON && need.memoryGb <= room.memoryGb + EPSILON
   );
 }
 
-export function plus(a: Amounts, b: Amounts, factor = 1): Amounts {
+export function addResources(a: Resources, b: Resources, factor = 1): Resources {
   return { cpus: a.cpus + b.cpus * factor, gpus: a.gpus + b.gpus * factor, memoryGb: a.memoryGb + b.memoryGb * factor };
 }
 
-export const NOTHING: Amounts = { cpus: 0, gpus: 0, memoryGb: 0 };
+export const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
 
 /** For so long a boot is thought to take where that is not known. */
 const UNKNOWN_BOOT_MS = 60_000;
@@ -89,7 +89,7 @@
 }
 
 /** How many times `need` goes into `room`. */
-export function timesIn(need: Amounts, room: Amounts): number {
+export function countFitting(need: Resources, room: Resources): number {
   const ratio = (n: number, r: number): number => (n <= 0 ? Infinity : Math.floor((r + EPSILON) / n));
   return Math.max(
     0,
@@ -98,7 +98,7 @@
 }
 
 /** How many more tasks of this size a team's limit allows, given what it uses. */
-export function limitAllows(team: Team, used: Amounts, need: Amounts): number {
+export function countWithinLimit(team: Team, used: Resources, need: Resources): number {
   const left = (max: number, usedOf: number, needOf: number): number =>
     max <= 0 || needOf <= 0 ? Infinity : Math.floor((max - usedOf + EPSILON) / needOf);
   return Math.max(0, Math.min(left(team.cpusMax, used.cpus, need.cpus), left(team.gpusMax, used.gpus, need.gpus)));
@@ -108,32 +108,36 @@
  * How many more tasks of this size fit into a team's guarantee, given what it uses. A kind of which nothing is guaranteed does not count;
  * a task that takes nothing of the others is within no guarantee.
  */
-export function guaranteeAllows(team: Team, used: Amounts, need: Amounts): number {
+export function countWithinGuarantee(team: Team, used: Resources, need: Resources): number {
   const left = (guaranteed: number, usedOf: number, needOf: number): number =>
     guaranteed <= 0 || needOf <= 0 ? Infinity : Math.floor((guaranteed - usedOf + EPSILON) / needOf);
   const least = Math.min(left(team.cpus, used.cpus, need.cpus), left(team.gpus, used.gpus, need.gpus));
   return least === Infinity ? 0 : Math.max(0, least);
 }
 
-export function typeAllows(job: JobSpec, type: string, zone: string, spot: boolean): boolean {
+export function allowsMachine(job: JobSpec, type: string, zone: string, spot: boolean): boolean {
   return (
     (job.types === null || job.types.includes(type)) && (job.zone === null || job.zone === zone) && (!spot || job.spot)
   );
 }
 
 /** Why a job can never run, or null if it can. */
-export function neverRuns(job: JobSpec, clusterConfig: ClusterConfig, types: readonly MachineType[]): string | null {
+export function unschedulableReason(
+  job: JobSpec,
+  clusterConfig: ClusterConfig,
+  types: readonly MachineType[],
+): string | null {
   const team = clusterConfig.teams.get(job.team);
   if (team === undefined) return `unknown team ${job.team}`;
   const fitting = types.filter(
     (t) =>
       (job.types === null || job.types.includes(t.name)) &&
       (job.zone === null || t.zones.includes(job.zone)) &&
-      fits(job, t),
+      fitsIn(job, t),
   );
   if (fitting.length === 0) return 'a task fits no allowed machine type';
   const atOnce = job.kind === 'service' ? job.tasks : 1;
-  if (limitAllows(team, NOTHING, job) < atOnce) return `needs more than the limit of team ${job.team}`;
+  if (countWithinLimit(team, NO_RESOURCES, job) < atOnce) return `needs more than the limit of team ${job.team}`;
   if (job.spread && job.tasks > 1 && (job.oneZone || job.zone !== null)) {
     return 'tasks can not be both in one zone and spread over zones';
   }
@@ -187,6 +191,6 @@
 }
 
 /** What is left of `a` without `count` times `b`. */
-export function subtractResources(a: Amounts, b: Amounts, count = 1): Amounts {
+export function subtractResources(a: Resources, b: Resources, count = 1): Resources {
   return { cpus: a.cpus - b.cpus * count, gpus: a.gpus - b.gpus * count, memoryGb: a.memoryGb - b.memoryGb * count };
 }
--- a/packages/core/src/fleet.ts
+++ b/packages/core/src/fleet.ts
@@ -9,11 +9,11 @@
 import {
   bootMsOf,
   type ClusterConfig,
-  fits,
+  fitsIn,
   hasNoGuarantee,
   type Partition,
   SUSPECT_INTERVALS,
-  typeAllows,
+  allowsMachine,
   workerLeaseBoundMs,
 } from './facts';
 
@@ -98,9 +98,9 @@
   /** Whether the cloud had no more lately of any type and kind that the job may run on in the zone. */
   isFullFor(spec: JobSpec, zone: string, types: ReadonlyMap<string, MachineType>, now: number): boolean {
     const options = [...types.values()]
-      .filter((type) => isRentable(type) && type.zones.includes(zone) && fits(spec, type))
+      .filter((type) => isRentable(type) && type.zones.includes(zone) && fitsIn(spec, type))
       .flatMap((type) => [false, true].map((spot) => ({ type, zone, spot })))
-      .filter(({ type, spot }) => typeAllows(spec, type.name, zone, spot));
+      .filter(({ type, spot }) => allowsMachine(spec, type.name, zone, spot));
     return options.every((option) => this.#wasRefused(option, now));
   }
 
@@ -157,8 +157,8 @@
     for (const type of types.values()) {
       if (
         !isRentable(type) ||
-        !fits(spec, type) ||
-        !type.zones.some((zone) => typeAllows(spec, type.name, zone, false))
+        !fitsIn(spec, type) ||
+        !type.zones.some((zone) => allowsMachine(spec, type.name, zone, false))
       )
         continue;
       least = Math.min(least, bootMsOf(type));
--- a/packages/core/src/grant-room.ts
+++ b/packages/core/src/grant-room.ts
@@ -1,5 +1,5 @@
 // The room of a machine that reports, while tasks are bound to it.
-import { type Amounts, fits, NOTHING, plus } from './facts';
+import { type Resources, fitsIn, NO_RESOURCES, subtractResources } from './facts';
 import type { Reservations } from './reservations';
 import type { Slot } from './slots';
 
@@ -7,28 +7,28 @@
 export class GrantRoom {
   /** Whether room is kept here for any task. */
   readonly keepsAny: boolean;
-  #free: Amounts;
-  #open: Amounts;
+  #free: Resources;
+  #open: Resources;
 
   constructor(
-    free: Amounts,
+    free: Resources,
     readonly reservations: Reservations,
     readonly machine: string,
   ) {
     const kept = reservations.keptOn(machine);
-    this.keepsAny = kept !== NOTHING;
+    this.keepsAny = kept !== NO_RESOURCES;
     this.#free = free;
-    this.#open = this.keepsAny ? plus(free, kept, -1) : free;
+    this.#open = this.keepsAny ? subtractResources(free, kept) : free;
   }
 
   hasFor(slot: Slot): boolean {
-    return fits(slot.job.spec, this.#isKeptFor(slot) ? this.#free : this.#open);
+    return fitsIn(slot.job.spec, this.#isKeptFor(slot) ? this.#free : this.#open);
   }
 
   /** Counts a task in that is claimed here now; what was kept for it is kept no more. */
   take(slot: Slot): void {
-    this.#free = plus(this.#free, slot.job.spec, -1);
-    if (!this.#isKeptFor(slot)) this.#open = plus(this.#open, slot.job.spec, -1);
+    this.#free = subtractResources(this.#free, slot.job.spec);
+    if (!this.#isKeptFor(slot)) this.#open = subtractResources(this.#open, slot.job.spec);
   }
 
   #isKeptFor(slot: Slot): boolean {
--- a/packages/core/src/granting.ts
+++ b/packages/core/src/granting.ts
@@ -1,7 +1,7 @@
 // Which waiting tasks the machine that reports now may take, in the order of their jobs.
 import type { ClaimView } from './claim-view';
 import { isMovingOn } from './claim-queries';
-import { typeAllows } from './facts';
+import { allowsMachine } from './facts';
 import type { GrantRoom } from './grant-room';
 import type { Job } from './jobs';
 import { betterElsewhere } from './placement';
@@ -10,7 +10,7 @@
 /** The tasks to be bound to the machine, one by one: the room is asked anew for each, after the one before has been taken out of it. */
 export function* bindable(view: ClaimView, machine: Machine, room: GrantRoom, now: number): Generator<Slot> {
   for (const job of view.wakes()) {
-    if (!typeAllows(job.spec, machine.type, machine.zone, machine.spot)) continue;
+    if (!allowsMachine(job.spec, machine.type, machine.zone, machine.spot)) continue;
     if (view.failures.isExcluded(job.id, machine.name, now)) continue;
     yield* bindableOf(view, job, machine, room, now);
   }
--- a/packages/core/src/job-use.ts
+++ b/packages/core/src/job-use.ts
@@ -1,14 +1,14 @@
 // What jobs use by their records: what is assigned to partitions counts against limits before it runs.
 import type { Round } from '@gingerlock/wire';
-import { type Amounts, NOTHING, plus } from './facts';
+import { type Resources, NO_RESOURCES, addResources } from './facts';
 import type { Job } from './jobs';
 
 /** What the assigned and unfinished tasks of every team add up to. */
-export function teamUse(jobs: Iterable<Job>): Map<string, Amounts> {
-  const use = new Map<string, Amounts>();
+export function teamUse(jobs: Iterable<Job>): Map<string, Resources> {
+  const use = new Map<string, Resources>();
   for (const job of jobs) {
     const n = assignedUnfinished(job);
-    if (n > 0) use.set(job.spec.team, plus(use.get(job.spec.team) ?? NOTHING, job.spec, n));
+    if (n > 0) use.set(job.spec.team, addResources(use.get(job.spec.team) ?? NO_RESOURCES, job.spec, n));
   }
   return use;
 }
--- a/packages/core/src/packing.ts
+++ b/packages/core/src/packing.ts
@@ -1,7 +1,7 @@
 // What the owner of a part expects of the coming reports: which machine would take which waiting task, what is stopped for
 // it, which machines are called for it, and which replicas leave machines that are to go.
 import type { ClaimView } from './claim-view';
-import { type Amounts, fits, NOTHING, plus, typeAllows } from './facts';
+import { type Resources, fitsIn, NO_RESOURCES, addResources, allowsMachine, subtractResources } from './facts';
 import { bestPlan, leastVictims } from './placement';
 import type { Machine, Plan, SpareCapacity, Slot } from './slots';
 
@@ -19,14 +19,14 @@
 export function pack(
   claimTable: ClaimView,
   now: number,
-): { rooms: Map<Machine, Amounts>; stuck: Slot[]; stopped: Slot[] } {
-  const rooms = new Map<Machine, Amounts>();
+): { rooms: Map<Machine, Resources>; stuck: Slot[]; stopped: Slot[] } {
+  const rooms = new Map<Machine, Resources>();
   for (const m of claimTable.machines.values()) {
     if (!claimTable.takesWork(m, now)) continue;
     let room = claimTable.room(m);
     // What is stopping is free soon: counted now, so that nothing more is stopped for the same task.
-    for (const slot of m.claims.values()) if (slot.claim!.stopGraceS !== null) room = plus(room, slot.job.spec);
-    rooms.set(m, plus(room, claimTable.reservations.keptOn(m.name), -1));
+    for (const slot of m.claims.values()) if (slot.claim!.stopGraceS !== null) room = addResources(room, slot.job.spec);
+    rooms.set(m, subtractResources(room, claimTable.reservations.keptOn(m.name)));
   }
   const stuck: Slot[] = [];
   const doomed = new Set<Slot>();
@@ -49,9 +49,9 @@
       let room = rooms.get(slot.plan.machine)!;
       for (const victim of slot.plan.victims) {
         doomed.add(victim);
-        room = plus(room, victim.job.spec);
+        room = addResources(room, victim.job.spec);
       }
-      rooms.set(slot.plan.machine, plus(room, job.spec, -1));
+      rooms.set(slot.plan.machine, subtractResources(room, job.spec));
       if (slot.notBefore <= now) for (const victim of slot.plan.victims) preempt(claimTable, victim, slot);
     }
   }
@@ -62,13 +62,13 @@
  * A member of a replica group waits for the machine on which its room is kept, and for no other. Where that is not free yet, work of lower
  * priority makes way, if enough of it does.
  */
-function packMember(claimTable: ClaimView, slot: Slot, rooms: Map<Machine, Amounts>, doomed: Set<Slot>): void {
+function packMember(claimTable: ClaimView, slot: Slot, rooms: Map<Machine, Resources>, doomed: Set<Slot>): void {
   slot.plan = keptPlan(claimTable, slot, rooms);
   if (slot.plan === null || !claimTable.preempts) return;
   const { machine } = slot.plan;
   // What is kept there is counted in already: nothing may be lacking.
   const room = rooms.get(machine)!;
-  const victims = fits(NOTHING, room) ? [] : leastVictims(machine, slot, room, doomed, NOTHING);
+  const victims = fitsIn(NO_RESOURCES, room) ? [] : leastVictims(machine, slot, room, doomed, NO_RESOURCES);
   if (victims === null || victims.length === 0) return;
   for (const victim of victims) {
     doomed.add(victim);
@@ -76,12 +76,12 @@
   }
   rooms.set(
     machine,
-    victims.reduce((sum, victim) => plus(sum, victim.job.spec), room),
+    victims.reduce((sum, victim) => addResources(sum, victim.job.spec), room),
   );
 }
 
 /** The machine on which room is kept for the task, which is counted in already; null: it has none, or it takes no work now. */
-function keptPlan(claimTable: ClaimView, slot: Slot, rooms: ReadonlyMap<Machine, Amounts>): Plan | null {
+function keptPlan(claimTable: ClaimView, slot: Slot, rooms: ReadonlyMap<Machine, Resources>): Plan | null {
   const kept = claimTable.reservations.machineFor(slot.name);
   const machine = kept === null ? undefined : claimTable.machines.get(kept);
   return machine === undefined || !rooms.has(machine) ? null : { machine, ms: 0, victims: [] };
@@ -97,7 +97,7 @@
       if (job.isGroup && !claimTable.members.mayStart(slot, machine)) continue;
       // What is kept for it may have yet to be freed.
       const isKept = claimTable.reservations.machineFor(slot.name) !== null;
-      if (isKept && !fits(job.spec, claimTable.room(machine))) continue;
+      if (isKept && !fitsIn(job.spec, claimTable.room(machine))) continue;
       if (machine.isMember && claimTable.takesWork(machine, now) && claimTable.mayCall(machine, now))
         machines.add(machine);
     }
@@ -112,7 +112,7 @@
  */
 export function vacate(
   claimTable: ClaimView,
-  rooms: ReadonlyMap<Machine, Amounts>,
+  rooms: ReadonlyMap<Machine, Resources>,
   others: () => readonly SpareCapacity[],
   now: number,
 ): Slot[] {
@@ -129,13 +129,13 @@
     if (replicas.some((s) => s.claim!.stopGraceS !== null || s.claim!.stage !== 'running')) continue;
     if (replicas.some((s) => now - s.claim!.grantedAt < MOVED_AFTER_MS)) continue;
     spareCapacity ??= [...spareCapacityIn(claimTable, rooms, now), ...others()];
-    const left = new Map<SpareCapacity, Amounts>();
+    const left = new Map<SpareCapacity, Resources>();
     const moves = replicas.every(({ job: { spec }, zone }) => {
       for (const r of spareCapacity!) {
         const free = left.get(r) ?? r.free;
-        if (!fits(spec, free) || !r.images.includes(spec.image)) continue;
-        if ((zone !== null && zone !== r.zone) || !typeAllows(spec, r.type, r.zone, r.spot)) continue;
-        left.set(r, plus(free, spec, -1));
+        if (!fitsIn(spec, free) || !r.images.includes(spec.image)) continue;
+        if ((zone !== null && zone !== r.zone) || !allowsMachine(spec, r.type, r.zone, r.spot)) continue;
+        left.set(r, subtractResources(free, spec));
         return true;
       }
       return false;
@@ -153,7 +153,7 @@
 
 function* spareCapacityIn(
   claimTable: ClaimView,
-  rooms: ReadonlyMap<Machine, Amounts>,
+  rooms: ReadonlyMap<Machine, Resources>,
   now: number,
 ): Generator<SpareCapacity> {
   for (const [m, free] of rooms) {
--- a/packages/core/src/placement.ts
+++ b/packages/core/src/placement.ts
@@ -5,7 +5,7 @@
 // the part would run it sooner than this one could.
 import type { MachineType } from '@gingerlock/wire';
 import type { ClaimView } from './claim-view';
-import { type Amounts, fits, plus, typeAllows } from './facts';
+import { type Resources, fitsIn, addResources, allowsMachine } from './facts';
 import type { Machine, Plan, Slot } from './slots';
 import { fetchMs, SERVICE_VICTIM_MS, STOP_MS } from './start-time';
 
@@ -13,13 +13,13 @@
 export function suits(claimTable: ClaimView, slot: Slot, m: Machine, now: number): boolean {
   return (
     (slot.zone === null || slot.zone === m.zone) &&
-    typeAllows(slot.job.spec, m.type, m.zone, m.spot) &&
+    allowsMachine(slot.job.spec, m.type, m.zone, m.spot) &&
     !claimTable.failures.isExcluded(slot.job.id, m.name, now)
   );
 }
 
 /** Breaks ties: a fuller machine leaves the larger gaps to others. */
-function tightness(room: Amounts, type: MachineType | undefined): number {
+function tightness(room: Resources, type: MachineType | undefined): number {
   return type === undefined || type.gpus <= 0 ? 0 : room.gpus / type.gpus;
 }
 
@@ -27,7 +27,7 @@
 export function bestPlan(
   claimTable: ClaimView,
   slot: Slot,
-  rooms: ReadonlyMap<Machine, Amounts>,
+  rooms: ReadonlyMap<Machine, Resources>,
   doomed: ReadonlySet<Slot>,
   now: number,
 ): Plan | null {
@@ -43,7 +43,7 @@
     let ms = fetch + claimTable.reportsInMs(machine, now);
     if (ms >= bestCost) continue;
     let victims: readonly Slot[] = [];
-    if (!fits(spec, room)) {
+    if (!fitsIn(spec, room)) {
       if (!mayPreempt) continue;
       const found = leastVictims(machine, slot, room, doomed);
       if (found === null) continue;
@@ -71,9 +71,9 @@
 export function leastVictims(
   machine: Machine,
   slot: Slot,
-  free: Amounts,
+  free: Resources,
   doomed: ReadonlySet<Slot>,
-  need: Amounts = slot.job.spec,
+  need: Resources = slot.job.spec,
 ): Slot[] | null {
   const candidates = [...machine.claims.values()]
     .filter((s) => s.job.rank > slot.job.ownRank && !s.job.isGroup && s.claim!.stopGraceS === null && !doomed.has(s))
@@ -81,11 +81,11 @@
   const victims: Slot[] = [];
   let room = free;
   for (const candidate of candidates) {
-    if (fits(need, room)) break;
+    if (fitsIn(need, room)) break;
     victims.push(candidate);
-    room = plus(room, candidate.job.spec);
+    room = addResources(room, candidate.job.spec);
   }
-  return fits(need, room) ? victims : null;
+  return fitsIn(need, room) ? victims : null;
 }
 
 /** Whether the reporting machine passes on a task that would run sooner on the machine it is planned for. */
--- a/packages/core/src/rental-choice.ts
+++ b/packages/core/src/rental-choice.ts
@@ -1,6 +1,6 @@
 // Which machine to rent: the one objective for waiting tasks, for spare room and for what runs on suspect machines.
 import { isRentable, type MachineType } from '@gingerlock/wire';
-import { type Amounts, bootMsOf, type ClusterConfig, plus, timesIn } from './facts';
+import { type Resources, bootMsOf, type ClusterConfig, countFitting, subtractResources } from './facts';
 import { fetchMs } from './start-time';
 
 /** A kind of machine in one zone that could be rented. */
@@ -12,7 +12,7 @@
 
 /** Tasks, all alike, that wait for room. */
 export interface RentalDemand {
-  readonly need: Amounts;
+  readonly need: Resources;
   readonly count: number;
   readonly imageGb: number;
   /** Machine types that they may run on; null: any. */
@@ -85,14 +85,14 @@
 function typeCost({ types, demands }: RentalSituation, type: MachineType): TypeCost {
   const [first] = demands;
   if (first === undefined) return { startMs: bootMsOf(type), worth: 0 };
-  let left: Amounts = amountsOf(type);
+  let left: Resources = capacityOf(type);
   let worth = 0;
   for (const demand of demands) {
     if (demand.spot !== first.spot || !allowsType(demand, type)) continue;
-    const count = Math.min(demand.count, timesIn(demand.need, left));
+    const count = Math.min(demand.count, countFitting(demand.need, left));
     if (count <= 0) continue;
     worth += count * leastPrice(demand, types);
-    left = plus(left, demand.need, -count);
+    left = subtractResources(left, demand.need, count);
     if (left.cpus <= 0 || left.gpus <= 0 || left.memoryGb <= 0) break;
   }
   return { startMs: bootMsOf(type) + fetchMs(first.imageGb, false, type), worth };
@@ -115,7 +115,7 @@
 function leastPrice(demand: RentalDemand, types: ReadonlyMap<string, MachineType>): number {
   let least = Infinity;
   for (const type of types.values()) {
-    const count = timesIn(demand.need, amountsOf(type));
+    const count = countFitting(demand.need, capacityOf(type));
     if (count <= 0 || !isRentable(type) || !allowsType(demand, type)) continue;
     const price = demand.spot ? Math.min(type.price, type.spotPrice) : type.price;
     least = Math.min(least, price / count);
@@ -147,6 +147,6 @@
   return units > 0 ? (spot ? type.spotPrice : type.price) / units : 0;
 }
 
-export function amountsOf(type: MachineType): Amounts {
+export function capacityOf(type: MachineType): Resources {
   return { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb };
 }
--- a/packages/core/src/rental-plan.ts
+++ b/packages/core/src/rental-plan.ts
@@ -1,9 +1,18 @@
 // What one review of the fleet rents: for what runs on suspect machines, for waiting tasks, and for spare room.
 import { isRentable, type JobSpec, type MachineType, type RentRequest } from '@gingerlock/wire';
 import type { MachineRoom, Unmet } from './assignment';
-import { type Amounts, type ClusterConfig, fits, NOTHING, plus, timesIn, typeAllows } from './facts';
 import {
-  amountsOf,
+  type Resources,
+  type ClusterConfig,
+  fitsIn,
+  NO_RESOURCES,
+  addResources,
+  countFitting,
+  allowsMachine,
+  subtractResources,
+} from './facts';
+import {
+  capacityOf,
   chooseRental,
   type RentalChoice,
   type RentalCost,
@@ -53,7 +62,7 @@
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
-  free: Amounts;
+  free: Resources;
   /** Null: it is rented already. */
   readonly reason: RentalReason | null;
 }
@@ -72,7 +81,7 @@
   constructor(readonly input: RentalPlanInput) {
     for (const { type: name, zone, spot } of input.booting) {
       const type = input.types.get(name);
-      if (type !== undefined) this.#bins.push({ type, zone, spot, free: amountsOf(type), reason: null });
+      if (type !== undefined) this.#bins.push({ type, zone, spot, free: capacityOf(type), reason: null });
     }
     for (const { zone, spot } of input.known) this.#countIn(zone, spot);
     this.#leaving = new Set(input.leaving);
@@ -91,24 +100,24 @@
 
   /** Room for all that runs on a machine that will most likely be gone. */
   replace(machine: MachineRoom): void {
-    const need = machine.byRank.reduce((sum, a) => plus(sum, a), NOTHING);
+    const need = machine.byRank.reduce((sum, a) => addResources(sum, a), NO_RESOURCES);
     if (need.cpus <= 0 && need.gpus <= 0) return;
     const { isSilent } = this.input;
-    const bin = this.#bins.find((b) => b.spot === machine.spot && !isSilent(b.zone) && fits(need, b.free));
+    const bin = this.#bins.find((b) => b.spot === machine.spot && !isSilent(b.zone) && fitsIn(need, b.free));
     if (bin === undefined) this.#rentShares(need, machine.spot);
-    else bin.free = plus(bin.free, need, -1);
+    else bin.free = subtractResources(bin.free, need);
   }
 
   /** Of which jobs the tasks are is not known here: a type that holds less than all of them takes a share. */
-  #rentShares(need: Amounts, spot: boolean): void {
+  #rentShares(need: Resources, spot: boolean): void {
     let left = need;
     while (left.cpus > 0 || left.gpus > 0) {
       const demands = [unitsOf(left, spot)];
       const bin = this.#rent('suspect machine', demands, (option) => option.spot === spot);
-      const share = bin === null ? NOTHING : least(left, bin.free);
+      const share = bin === null ? NO_RESOURCES : least(left, bin.free);
       if (bin === null || (share.cpus <= 0 && share.gpus <= 0)) return;
-      bin.free = plus(bin.free, share, -1);
-      left = plus(left, share, -1);
+      bin.free = subtractResources(bin.free, share);
+      left = subtractResources(left, share);
     }
   }
 
@@ -130,13 +139,16 @@
     const inZones = (zone: string): boolean => zones === null || zones.includes(zone);
     const ready = this.#bins.find(
       (b) =>
-        (b.spot || !onlySpot) && inZones(b.zone) && typeAllows(spec, b.type.name, b.zone, b.spot) && fits(spec, b.free),
+        (b.spot || !onlySpot) &&
+        inZones(b.zone) &&
+        allowsMachine(spec, b.type.name, b.zone, b.spot) &&
+        fitsIn(spec, b.free),
     );
     const allowed = ({ type, zone, spot }: RentalOption): boolean =>
-      fits(spec, type) && inZones(zone) && typeAllows(spec, type.name, zone, spot) && (spot || !onlySpot);
+      fitsIn(spec, type) && inZones(zone) && allowsMachine(spec, type.name, zone, spot) && (spot || !onlySpot);
     const bin = ready ?? this.#keep(demand, allowed) ?? this.#rent('waiting task', [demand, ...following()], allowed);
     if (bin === null) return false;
-    bin.free = plus(bin.free, spec, -1);
+    bin.free = subtractResources(bin.free, spec);
     return true;
   }
 
@@ -169,10 +181,10 @@
   #keep({ need }: RentalDemand, allowed: (option: RentalOption) => boolean): Bin | null {
     for (const machine of this.#leaving) {
       const type = this.input.types.get(machine.type);
-      if (type === undefined || timesIn(need, type) === 0 || !allowed({ ...machine, type })) continue;
+      if (type === undefined || countFitting(need, type) === 0 || !allowed({ ...machine, type })) continue;
       this.#leaving.delete(machine);
       this.#kept.add(machine.name);
-      const bin = { type, zone: machine.zone, spot: machine.spot, free: amountsOf(type), reason: null };
+      const bin = { type, zone: machine.zone, spot: machine.spot, free: capacityOf(type), reason: null };
       this.#bins.push(bin);
       return bin;
     }
@@ -186,7 +198,7 @@
   ): Bin | null {
     const { clusterConfig, types, wasRefused } = this.input;
     const isOfUse = ({ type }: RentalOption): boolean =>
-      demands.slice(0, 1).every(({ need }) => timesIn(need, type) > 0);
+      demands.slice(0, 1).every(({ need }) => countFitting(need, type) > 0);
     const options = this.#options.filter(
       (option) => isOfUse(option) && allowed(option) && this.#isBelowLimit(option.spot),
     );
@@ -194,7 +206,7 @@
     if (choice === null) return null;
     const { type, zone, spot } = choice.chosen.option;
     this.#countIn(zone, spot);
-    const bin = { type, zone, spot, free: amountsOf(type), reason: reasonOf(reason, choice) };
+    const bin = { type, zone, spot, free: capacityOf(type), reason: reasonOf(reason, choice) };
     this.#bins.push(bin);
     return bin;
   }
@@ -222,16 +234,16 @@
 
 /** Room for services that are to come: it is counted in GPUs. */
 function spareDemand(gpus: number): RentalDemand {
-  return unitsOf({ ...NOTHING, gpus: Math.max(0, gpus) }, false);
+  return unitsOf({ ...NO_RESOURCES, gpus: Math.max(0, gpus) }, false);
 }
 
 /** Room that may be had in any pieces: one GPU each or, where none is needed, one CPU. */
-function unitsOf({ cpus, gpus }: Amounts, spot: boolean): RentalDemand {
-  const need = gpus > 0 ? { ...NOTHING, gpus: 1 } : { ...NOTHING, cpus: 1 };
+function unitsOf({ cpus, gpus }: Resources, spot: boolean): RentalDemand {
+  const need = gpus > 0 ? { ...NO_RESOURCES, gpus: 1 } : { ...NO_RESOURCES, cpus: 1 };
   return { need, count: Math.ceil(gpus > 0 ? gpus : cpus), imageGb: 0, types: null, spot, runMs: 0 };
 }
 
-function least(a: Amounts, b: Amounts): Amounts {
+function least(a: Resources, b: Resources): Resources {
   return {
     cpus: Math.min(a.cpus, b.cpus),
     gpus: Math.min(a.gpus, b.gpus),
--- a/packages/core/src/slots.ts
+++ b/packages/core/src/slots.ts
@@ -1,6 +1,6 @@
 // What a claim table keeps of tasks and machines.
 import type { ReportedTask, WorkerReport } from '@gingerlock/wire';
-import type { Amounts } from './facts';
+import type { Resources } from './facts';
 import type { ImageCache } from './image-cache';
 import type { Job } from './jobs';
 
@@ -49,7 +49,7 @@
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  readonly free: Amounts;
+  readonly free: Resources;
   readonly images: readonly string[];
 }
 
--- a/packages/core/src/stranded-tasks.ts
+++ b/packages/core/src/stranded-tasks.ts
@@ -1,7 +1,7 @@
 // Tasks that are assigned to a partition which has no machine for them, and that their owner can't give back.
 import type { MachineType } from '@gingerlock/wire';
 import type { MachineRoom, PartSummary, Unmet } from './assignment';
-import { fits, type Partition, typeAllows } from './facts';
+import { fitsIn, type Partition, allowsMachine } from './facts';
 import { unfinishedIn } from './job-use';
 import type { Job } from './jobs';
 
@@ -47,8 +47,8 @@
   return (
     machine.takesWork &&
     type !== undefined &&
-    fits(spec, type) &&
-    typeAllows(spec, machine.type, machine.zone, machine.spot)
+    fitsIn(spec, type) &&
+    allowsMachine(spec, machine.type, machine.zone, machine.spot)
   );
 }
 
--- a/packages/core/test/assignment.test.ts
+++ b/packages/core/test/assignment.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { finishedRecord, jobRecord, type MachineType } from '@gingerlock/wire';
-import { assignTasks, JobTable, type MachineRoom, NOTHING, type PartSummary, TrialSchedule } from '../src/index';
+import { assignTasks, JobTable, type MachineRoom, NO_RESOURCES, type PartSummary, TrialSchedule } from '../src/index';
 import { CLUSTER_CONFIG, roomOf, specOf } from './fixtures';
 
 const ZONES = ['a', 'b', 'c'];
@@ -42,7 +42,7 @@
     const record = { final: null, spec, acceptedAt: i, cancelled: false, failing: false, rounds: [] };
     table.applyJob(spec.id, jobRecord.write(record), i + 1);
   }
-  const summary: PartSummary = { part: 0, term: 1, revision: 0, machines: rooms, missing: NOTHING, running: [] };
+  const summary: PartSummary = { part: 0, term: 1, revision: 0, machines: rooms, missing: NO_RESOURCES, running: [] };
   const { assignments, unmet } = assignTasks({
     now: 0,
     trials: new TrialSchedule(clusterConfig),
@@ -91,7 +91,9 @@
       now: 0,
       trials: new TrialSchedule(clusterConfig),
       jobs: table.live.values(),
-      summaries: [{ part: 1, term: 1, revision: 0, machines: [roomIn('m-1', 'b', 8)], missing: NOTHING, running: [] }],
+      summaries: [
+        { part: 1, term: 1, revision: 0, machines: [roomIn('m-1', 'b', 8)], missing: NO_RESOURCES, running: [] },
+      ],
       recent: [],
       clusterConfig,
       types: new Map([[type.name, type]]),
--- a/packages/core/test/fixtures.ts
+++ b/packages/core/test/fixtures.ts
@@ -1,5 +1,5 @@
 import type { JobSpec } from '@gingerlock/wire';
-import { type ClusterConfig, type MachineRoom, NOTHING } from '../src/index';
+import { type ClusterConfig, type MachineRoom, NO_RESOURCES } from '../src/index';
 
 /** Settings of a small deployment; a test says what it needs otherwise. */
 export const CLUSTER_CONFIG: ClusterConfig = {
@@ -22,7 +22,7 @@
     spot: false,
     session: 1,
     free: { cpus: 8, gpus: 4, memoryGb: 32 },
-    byRank: [NOTHING, NOTHING, NOTHING, NOTHING],
+    byRank: [NO_RESOURCES, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES],
     images: [],
     takesWork: true,
     draining: false,
--- a/packages/core/test/fleet.test.ts
+++ b/packages/core/test/fleet.test.ts
@@ -7,7 +7,7 @@
   Job,
   type MachineRoom,
   machineUse,
-  NOTHING,
+  NO_RESOURCES,
   Partition,
   type PartSummary,
 } from '../src/index';
@@ -38,7 +38,7 @@
   const taken = { cpus: gpus * 2, gpus, memoryGb: gpus * 8 };
   return roomOf(name, {
     free: { cpus: 8 - taken.cpus, gpus: 4 - gpus, memoryGb: 32 - taken.memoryGb },
-    byRank: [taken, NOTHING, NOTHING, NOTHING],
+    byRank: [taken, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES],
     ...over,
   });
 }
@@ -51,7 +51,7 @@
     term,
     revision: 1,
     machines: machines.filter((m) => PARTS.of(m.name, m.zone) === part),
-    missing: NOTHING,
+    missing: NO_RESOURCES,
     running: [],
   }));
 }
@@ -103,7 +103,12 @@
 /** A machine that holds nothing and for which waiting batch work is planned. */
 function planned(name: string, over: Partial<MachineRoom> = {}): MachineRoom {
   const taken = { cpus: 2, gpus: 1, memoryGb: 8 };
-  return used(name, 1, { byRank: [NOTHING, NOTHING, taken, NOTHING], empty: true, emptyMs: 60_000, ...over });
+  return used(name, 1, {
+    byRank: [NO_RESOURCES, NO_RESOURCES, taken, NO_RESOURCES],
+    empty: true,
+    emptyMs: 60_000,
+    ...over,
+  });
 }
 
 // Once told as empty it was given back, and once told as in use it was emptied: its tasks waited for the next machine, and so on.
@@ -215,7 +220,7 @@
 });
 
 test('a machine that fell silent, or is not heard by a new owner, has its room rented before its lease is over', () => {
-  const plan = (rooms: readonly MachineRoom[], missing = NOTHING): number => {
+  const plan = (rooms: readonly MachineRoom[], missing = NO_RESOURCES): number => {
     const fleet = new Fleet(clusterConfig, 1, limits);
     fleet.listed(
       rooms.map((m) => listed(m.name, 500)),
@@ -319,6 +324,10 @@
   const dearBox = empty('m-3', { type: 'dear', free: half, emptyMs: 60_000 });
   assert.deepEqual(drained([busy, box, dearBox], 0.5), ['m-3']);
   const one = { cpus: 2, gpus: 1, memoryGb: 8 };
-  const nearlyEmpty = roomOf('m-6', { type: 'dear', free: one, byRank: [one, NOTHING, NOTHING, NOTHING] });
+  const nearlyEmpty = roomOf('m-6', {
+    type: 'dear',
+    free: one,
+    byRank: [one, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES],
+  });
   assert.deepEqual(drained([used('m-4', 1), used('m-5', 2), nearlyEmpty], 0.5), ['m-6']);
 });
--- a/packages/core/test/rental-choice.test.ts
+++ b/packages/core/test/rental-choice.test.ts
@@ -5,14 +5,14 @@
 import {
   chooseRental,
   Job,
-  NOTHING,
+  NO_RESOURCES,
   type RentalChoice,
   type RentalDemand,
   type RentalOption,
   RentalPlan,
   type RentalPlanInput,
   type RentalSituation,
-  timesIn,
+  countFitting,
 } from '../src/index';
 import { CLUSTER_CONFIG, specOf } from './fixtures';
 
@@ -256,7 +256,10 @@
 });
 
 test('the room of a suspect machine is rented anew, of smaller machines where no large one can be had', () => {
-  const machine = { spot: false, byRank: [{ cpus: 16, gpus: 8, memoryGb: 64 }, NOTHING, NOTHING, NOTHING] };
+  const machine = {
+    spot: false,
+    byRank: [{ cpus: 16, gpus: 8, memoryGb: 64 }, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES],
+  };
   const suspect = { ...machine } as unknown as Parameters<RentalPlan['replace']>[0];
   const plan = planOf();
   plan.replace(suspect);
@@ -296,14 +299,14 @@
         const places = plan
           .requests(() => 'r')
           .map((r) => ({
-            fit: timesIn(
+            fit: countFitting(
               entry.job.spec,
               all.find((t) => t.name === r.type)!,
             ),
             ...r,
           }));
         const room = places.reduce((sum, { fit, count }) => sum + fit * count, 0);
-        const couldServe = open.some((o) => !o.spot && timesIn(entry.job.spec, o.type) > 0);
+        const couldServe = open.some((o) => !o.spot && countFitting(entry.job.spec, o.type) > 0);
         assert.ok(couldServe ? room >= tasks : room === 0);
         for (const { fit, spot } of places) {
           assert.equal(spot, false);
--- a/packages/core/test/stranded-tasks.test.ts
+++ b/packages/core/test/stranded-tasks.test.ts
@@ -1,7 +1,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { MachineType, Round } from '@gingerlock/wire';
-import { Job, type MachineRoom, NOTHING, Partition, type PartSummary, strandedTasks, type Unmet } from '../src/index';
+import {
+  Job,
+  type MachineRoom,
+  NO_RESOURCES,
+  Partition,
+  type PartSummary,
+  strandedTasks,
+  type Unmet,
+} from '../src/index';
 import { roomOf, specOf } from './fixtures';
 
 const HOMES = ['north', 'south'];
@@ -31,7 +39,7 @@
 }
 
 function summaryOf(part: number, machines: readonly MachineRoom[], over: Partial<PartSummary> = {}): PartSummary {
-  return { part, term: 1, revision: 9, machines, missing: NOTHING, running: [], ...over };
+  return { part, term: 1, revision: 9, machines, missing: NO_RESOURCES, running: [], ...over };
 }
 
 function stranded(job: Job, summaries: readonly PartSummary[], isFrozen = true): readonly Omit<Unmet, 'job'>[] {
@@ -59,7 +67,7 @@
 
 test('no machine is asked for where one can take the tasks in time, or where nothing waits', () => {
   const job = jobWith([round(0, 0)]);
-  const full = roomOf('m-1', { zone: 'north', free: NOTHING });
+  const full = roomOf('m-1', { zone: 'north', free: NO_RESOURCES });
   assert.deepEqual(stranded(job, [summaryOf(0, [full])]), []);
   assert.deepEqual(stranded(job, [summaryOf(0, [{ ...full, takesWork: false }])]), [
     { count: 2, zones: ['north', 'west'] },
--- a/packages/core/test/trials.test.ts
+++ b/packages/core/test/trials.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobRecord } from '@gingerlock/wire';
-import { assignTasks, isTried, JobTable, NOTHING, type PartSummary, TrialSchedule } from '../src/index';
+import { assignTasks, isTried, JobTable, NO_RESOURCES, type PartSummary, TrialSchedule } from '../src/index';
 import { CLUSTER_CONFIG, roomOf, specOf } from './fixtures';
 
 const team = { name: 'red', cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 0 };
@@ -10,7 +10,7 @@
 
 /** A job that is marked as failing, and two partitions with one machine each. */
 function failingJob(
-  byRank = NOTHING,
+  byRank = NO_RESOURCES,
   free = { cpus: 8, gpus: 4, memoryGb: 32 },
 ): {
   jobs: JobTable;
@@ -28,8 +28,8 @@
     part,
     term: 1,
     revision: 0,
-    machines: [roomOf(`m-${part}`, { free, byRank: [NOTHING, NOTHING, NOTHING, byRank] })],
-    missing: NOTHING,
+    machines: [roomOf(`m-${part}`, { free, byRank: [NO_RESOURCES, NO_RESOURCES, NO_RESOURCES, byRank] })],
+    missing: NO_RESOURCES,
     running: [],
   }));
   const assign = (now: number): ReturnType<typeof assignTasks> =>
@@ -74,7 +74,7 @@
 
 test('a trial waits for free room: it stops nobody, and nothing is asked for it', () => {
   const room = { cpus: 8, gpus: 4, memoryGb: 32 };
-  const { assign } = failingJob(room, NOTHING);
+  const { assign } = failingJob(room, NO_RESOURCES);
   assert.deepEqual([assign(0).assignments.length, assign(0).unmet.length], [0, 0]);
 });
 
--- a/packages/daemon/src/combined-reservations.ts
+++ b/packages/daemon/src/combined-reservations.ts
@@ -1,13 +1,15 @@
 // Room that is kept for reclaims and for replica groups, as one.
-import { type Amounts, NOTHING, plus, type Reservations } from '@gingerlock/core';
+import { type Resources, NO_RESOURCES, addResources, type Reservations } from '@gingerlock/core';
 
 export class CombinedReservations implements Reservations {
   constructor(readonly all: readonly Reservations[]) {}
 
-  keptOn(machine: string): Amounts {
+  keptOn(machine: string): Resources {
     // Where nothing is kept, granting does not look at tasks one by one.
-    const kept = this.all.map((reservations) => reservations.keptOn(machine)).filter((amounts) => amounts !== NOTHING);
-    return kept.length === 0 ? NOTHING : kept.reduce((sum, amounts) => plus(sum, amounts));
+    const kept = this.all
+      .map((reservations) => reservations.keptOn(machine))
+      .filter((resources) => resources !== NO_RESOURCES);
+    return kept.length === 0 ? NO_RESOURCES : kept.reduce((sum, resources) => addResources(sum, resources));
   }
 
   machineFor(task: string): string | null {
--- a/packages/daemon/src/leader-borrowing.ts
+++ b/packages/daemon/src/leader-borrowing.ts
@@ -15,7 +15,7 @@
   type TeamAccount,
 } from '@gingerlock/borrowing';
 import {
-  type Amounts,
+  type Resources,
   type AssignmentResult,
   type Job,
   type PartSummary,
@@ -193,7 +193,7 @@
 /** How a team stands, for a line of the log. */
 export function accountFigures(account: TeamAccount): Record<string, number | string> {
   const { team, low, high, waiting } = account;
-  const gpusOf = (amounts: Amounts): number => Math.round(amounts.gpus * 1000) / 1000;
+  const gpusOf = (resources: Resources): number => Math.round(resources.gpus * 1000) / 1000;
   return {
     team: team.name,
     guarantee: team.gpus,
--- a/packages/daemon/src/owner.ts
+++ b/packages/daemon/src/owner.ts
@@ -1,5 +1,5 @@
 import {
-  type Amounts,
+  type Resources,
   ClaimTable,
   maxGrantContactAgeMs,
   type Machine,
@@ -37,7 +37,7 @@
   readonly #messages: WorkerMessages;
   readonly #writes: OwnerWrites;
   #scannedAt = 0;
-  #rooms: ReadonlyMap<Machine, Amounts> = new Map();
+  #rooms: ReadonlyMap<Machine, Resources> = new Map();
   #packedAt = -Infinity;
   #packedChange = -1;
   /** Machines of the membership that are to be shown our term, how many at each tick, and when the last round of that began. */
--- a/packages/daemon/src/part-summary.ts
+++ b/packages/daemon/src/part-summary.ts
@@ -1,12 +1,12 @@
 // How a partition stands, as its owner tells the leader and the others.
 import {
-  type Amounts,
+  type Resources,
   type ClaimTable,
   type Machine,
   type MachineRoom,
-  NOTHING,
+  NO_RESOURCES,
   plannedByRank,
-  plus,
+  addResources,
   toldRank,
 } from '@gingerlock/core';
 import type { PartSummary } from '@gingerlock/core';
@@ -18,13 +18,13 @@
 /** `rooms`: what the last packing left of each machine that takes work. */
 export function summaryOf(
   claimTable: ClaimTable,
-  rooms: ReadonlyMap<Machine, Amounts>,
+  rooms: ReadonlyMap<Machine, Resources>,
   revision: number,
   now: number,
 ): PartSummary {
   const planned = plannedByRank(claimTable);
   const machines = [...claimTable.machines.values()].map((machine) =>
-    roomOf(claimTable, machine, rooms.get(machine), planned.get(machine) ?? PRIORITIES.map(() => NOTHING), now),
+    roomOf(claimTable, machine, rooms.get(machine), planned.get(machine) ?? PRIORITIES.map(() => NO_RESOURCES), now),
   );
   return {
     part: claimTable.part,
@@ -39,14 +39,14 @@
 function roomOf(
   claimTable: ClaimTable,
   m: Machine,
-  room: Amounts | undefined,
-  planned: readonly Amounts[],
+  room: Resources | undefined,
+  planned: readonly Resources[],
   now: number,
 ): MachineRoom {
   const byRank = [...planned];
   for (const slot of m.claims.values()) {
     const rank = toldRank(slot.job);
-    if (slot.claim!.stopGraceS === null) byRank[rank] = plus(byRank[rank]!, slot.job.spec);
+    if (slot.claim!.stopGraceS === null) byRank[rank] = addResources(byRank[rank]!, slot.job.spec);
   }
   return {
     name: m.name,
@@ -54,7 +54,7 @@
     zone: m.zone,
     spot: m.spot,
     session: m.session,
-    free: room ?? NOTHING,
+    free: room ?? NO_RESOURCES,
     byRank,
     images: m.cache.images(),
     takesWork: claimTable.takesWork(m, now) && room !== undefined,
--- a/packages/daemon/src/summary-pieces.ts
+++ b/packages/daemon/src/summary-pieces.ts
@@ -7,7 +7,7 @@
 const MACHINE_BYTES = 80;
 
 /** Bytes of the three numbers of an amount. */
-const AMOUNTS_BYTES = 24;
+const RESOURCES_BYTES = 24;
 
 /** Bytes of one job that runs, beside its name. */
 const RUNNING_BYTES = 12;
@@ -20,7 +20,7 @@
 function machineBytes(machine: MachineRoom): number {
   const texts = [machine.name, machine.type, machine.zone, ...machine.images];
   const textBytes = texts.reduce((sum, text) => sum + Buffer.byteLength(text) + LENGTH_BYTES, 0);
-  return MACHINE_BYTES + textBytes + AMOUNTS_BYTES * (machine.byRank.length + 1);
+  return MACHINE_BYTES + textBytes + RESOURCES_BYTES * (machine.byRank.length + 1);
 }
 
 function runningBytes({ job }: Running): number {
--- a/packages/daemon/src/users.ts
+++ b/packages/daemon/src/users.ts
@@ -1,6 +1,6 @@
 // What users ask for: submissions, polls and cancellations.
 import { type TxnResult, URGENCY } from '@gingerlock/clients';
-import { coverPerPartition, assignedUnfinished, type Job, neverRuns } from '@gingerlock/core';
+import { coverPerPartition, assignedUnfinished, type Job, unschedulableReason } from '@gingerlock/core';
 import { isGroupSpec } from '@gingerlock/replica-groups';
 import {
   decodeSubmission,
@@ -125,7 +125,7 @@
     const most = mostMembers(valueBytes);
     if (isGroupSpec(features.replicaGroups, spec) && spec.tasks > most)
       return `a replica group has ${most} members at the most`;
-    return neverRuns(spec, clusterConfig, [...this.shared.store.types.values()]);
+    return unschedulableReason(spec, clusterConfig, [...this.shared.store.types.values()]);
   }
 
   /** The answer to a submission that names jobs which it can't wait for; null: it can. */
--- a/packages/daemon/test/summary-pieces.test.ts
+++ b/packages/daemon/test/summary-pieces.test.ts
@@ -2,11 +2,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { type MachineRoom, NOTHING, type PartSummary } from '@gingerlock/core';
+import { type MachineRoom, NO_RESOURCES, type PartSummary } from '@gingerlock/core';
 import { encodePeer, type PeerMessage, type PeerSummary } from '@gingerlock/peer';
 import { SummaryAssembly, summaryMessages } from '../src/summary-pieces';
 
-const amounts = { cpus: 1, gpus: 2, memoryGb: 3 };
+const resources = { cpus: 1, gpus: 2, memoryGb: 3 };
 
 const machine = fc.record({
   name: fc.string({ maxLength: 20 }),
@@ -20,8 +20,8 @@
     zone: 'north',
     spot: false,
     session: 1,
-    free: amounts,
-    byRank: [amounts, NOTHING, NOTHING, amounts],
+    free: resources,
+    byRank: [resources, NO_RESOURCES, NO_RESOURCES, resources],
     images,
     takesWork: true,
     draining: false,
@@ -43,7 +43,7 @@
     term: 9,
     revision: 11,
     machines: machines.map(roomOf),
-    missing: amounts,
+    missing: resources,
     running,
   }));
 
--- a/packages/peer/src/messages.ts
+++ b/packages/peer/src/messages.ts
@@ -11,7 +11,7 @@
   fields: Object.entries(fields).map(([field, type]) => ({ name: field, type })),
 });
 
-const amounts = record('Amounts', { cpus: 'double', gpus: 'double', memoryGb: 'double' });
+const resources = record('Amounts', { cpus: 'double', gpus: 'double', memoryGb: 'double' });
 
 /** How a member of a replica group is. */
 const MEMBER_PHASES = ['pending', 'held', 'starting', 'running', 'lost'] as const;
@@ -34,7 +34,7 @@
         zone: 'string',
         spot: 'boolean',
         session: 'long',
-        free: amounts,
+        free: resources,
         byRank: { type: 'array', items: 'Amounts' },
         images: { type: 'array', items: 'string' },
         takesWork: 'boolean',
@@ -138,7 +138,7 @@
   }),
 ];
 
-export interface PeerAmounts {
+export interface PeerResources {
   cpus: number;
   gpus: number;
   memoryGb: number;
@@ -150,8 +150,8 @@
   zone: string;
   spot: boolean;
   session: number;
-  free: PeerAmounts;
-  byRank: PeerAmounts[];
+  free: PeerResources;
+  byRank: PeerResources[];
   images: string[];
   takesWork: boolean;
   draining: boolean;
@@ -188,7 +188,7 @@
   term: number;
   revision: number;
   machines: PeerMachineRoom[];
-  missing: PeerAmounts;
+  missing: PeerResources;
   running: { job: string; tasks: number }[];
 }
 
--- a/packages/peer/test/link.test.ts
+++ b/packages/peer/test/link.test.ts
@@ -16,7 +16,7 @@
   TcpLink,
 } from '../src/index';
 
-const amounts = { cpus: 1.5, gpus: 2, memoryGb: 0 };
+const resources = { cpus: 1.5, gpus: 2, memoryGb: 0 };
 const messages: PeerMessage[] = [
   { kind: 'Hello', version: 1, node: 'a' },
   { kind: 'Hint', revision: 2 ** 40 },
@@ -44,8 +44,8 @@
         zone: 'z',
         spot: true,
         session: 3,
-        free: amounts,
-        byRank: [amounts, amounts],
+        free: resources,
+        byRank: [resources, resources],
         images: ['i'],
         takesWork: true,
         draining: false,
@@ -69,7 +69,7 @@
     index: 1,
     pieces: 2,
     machines: [],
-    missing: amounts,
+    missing: resources,
     running: [{ job: 'j-2', tasks: 1 }],
   },
   {
@@ -117,11 +117,11 @@
       name: `m-${String(part * 180 + i).padStart(6, '0')}`,
       type: 'machine-type-of-48',
       zone: 'a-zone-with-a-name',
-      byRank: [amounts, amounts, amounts, amounts],
+      byRank: [resources, resources, resources, resources],
       images: Array.from({ length: 18 }, (_, k) => `image-${String(k).padStart(4, '0')}`),
     }));
     const running = Array.from({ length: 300 }, (_, i) => ({ job: `j-${String(i).padStart(6, '0')}`, tasks: 3 }));
-    const missing = amounts;
+    const missing = resources;
     bytes += frame(
       encodePeer({ kind: 'Summary', owner: 'node-1', part, term: 9, revision: 1e6, machines, missing, running }),
     ).length;
--- a/packages/replica-groups/src/part-groups.ts
+++ b/packages/replica-groups/src/part-groups.ts
@@ -1,14 +1,14 @@
 // The owner's part in replica groups: keeps room for members, says when each may be started, stops and returns those of a generation
 // that ends, and tells the leader how they are. A new owner begins with nothing but the records.
 import {
-  type Amounts,
+  type Resources,
   type ClaimTable,
-  fits,
+  fitsIn,
   type Job,
   type Machine,
   type MemberPolicy,
-  NOTHING,
-  plus,
+  NO_RESOURCES,
+  addResources,
   type Reservations,
   type Slot,
   type Versioned,
@@ -23,7 +23,7 @@
   /** The claim table that asks this policy; set once, right after both were made. */
   table: ClaimTable | null = null;
   /** By machine: what is kept for members that it does not hold yet. */
-  #kept = new Map<string, Amounts>();
+  #kept = new Map<string, Resources>();
   /** By task: the machine on which room is kept for it. */
   #machineFor = new Map<string, string>();
 
@@ -31,8 +31,8 @@
 
   // --- reservations ------------------------------------------------------------------------------------------------
 
-  keptOn(machine: string): Amounts {
-    return this.#kept.get(machine) ?? NOTHING;
+  keptOn(machine: string): Resources {
+    return this.#kept.get(machine) ?? NO_RESOURCES;
   }
 
   /** By task: the machine on which room is kept for it. */
@@ -54,7 +54,7 @@
         const member = record.members[slot.index];
         if (member === undefined || slot.state !== 'waiting' || this.#isSpent(slot, record)) continue;
         this.#machineFor.set(slot.name, member.machine);
-        this.#kept.set(member.machine, plus(this.keptOn(member.machine), slot.job.spec));
+        this.#kept.set(member.machine, addResources(this.keptOn(member.machine), slot.job.spec));
       }
     }
   }
@@ -141,7 +141,7 @@
     const name = record.members[slot.index]?.machine;
     const machine = name === undefined ? undefined : this.table!.machines.get(name);
     if (slot.state !== 'waiting' || machine === undefined || !machine.isMember) return false;
-    return this.table!.takesWork(machine, now) && fits(this.keptOn(machine.name), this.table!.room(machine));
+    return this.table!.takesWork(machine, now) && fitsIn(this.keptOn(machine.name), this.table!.room(machine));
   }
 
   /** Why the member has ended, will not start or is about to end; null: none of that is known. */
--- a/packages/testkit/src/liveness.ts
+++ b/packages/testkit/src/liveness.ts
@@ -1,6 +1,6 @@
 // What may not fail once all troubles are over: work starts where there is room, machines are not rented for it in vain, and
 // questions are answered.
-import { type Amounts, fits, NOTHING, plus, timesIn, typeAllows } from '@gingerlock/core';
+import { type Resources, fitsIn, NO_RESOURCES, countFitting, allowsMachine, subtractResources } from '@gingerlock/core';
 import { type JobSpec, jobRecord, KEYS, parseTaskName } from '@gingerlock/wire';
 import type { Told } from './users';
 import type { SimWorker } from './worker';
@@ -144,8 +144,8 @@
   #couldStartWhole(spec: JobSpec): boolean {
     const byZone = new Map<string, number>();
     for (const worker of this.world.workers.values()) {
-      if (!typeAllows(spec, worker.type, worker.zone, worker.spot)) continue;
-      const members = timesIn(spec, this.#roomOn(worker));
+      if (!allowsMachine(spec, worker.type, worker.zone, worker.spot)) continue;
+      const members = countFitting(spec, this.#roomOn(worker));
       byZone.set(worker.zone, (byZone.get(worker.zone) ?? 0) + members);
     }
     const counts = [...byZone.values()];
@@ -160,18 +160,18 @@
   }
 
   #couldStartOn(worker: SimWorker, spec: JobSpec, zones: readonly (string | undefined)[]): boolean {
-    if (!typeAllows(spec, worker.type, worker.zone, worker.spot)) return false;
+    if (!allowsMachine(spec, worker.type, worker.zone, worker.spot)) return false;
     if (spec.oneZone && zones.some((zone) => zone !== worker.zone)) return false;
     const inZone = zones.filter((zone) => zone === worker.zone).length;
     if (spec.spread && inZone >= Math.ceil(spec.tasks / 2)) return false;
-    return fits(spec, this.#roomOn(worker));
+    return fitsIn(spec, this.#roomOn(worker));
   }
 
-  #roomOn(worker: SimWorker): Amounts {
+  #roomOn(worker: SimWorker): Resources {
     const { world } = this;
     let room = world.roomOf(worker.type);
     for (const { state, task } of worker.tasks.values()) {
-      if (state !== 'exited') room = plus(room, world.job(parseTaskName(task)!.job) ?? NOTHING, -1);
+      if (state !== 'exited') room = subtractResources(room, world.job(parseTaskName(task)!.job) ?? NO_RESOURCES);
     }
     return room;
   }
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -10,7 +10,7 @@
   settingsOf,
   SILENT,
 } from '@gingerlock/daemon';
-import { type Amounts, NOTHING } from '@gingerlock/core';
+import { type Resources, NO_RESOURCES } from '@gingerlock/core';
 import type { PeerMessage } from '@gingerlock/peer';
 import { decodeReport, type JobSpec, holdRecord, KEYS, LEAD, type MachineType, parseTaskName } from '@gingerlock/wire';
 import {
@@ -208,8 +208,8 @@
     return (imageGb / this.machineType(type)!.fetchGbPerS) * 1000;
   }
 
-  roomOf(type: string): Amounts {
-    return this.machineType(type) ?? NOTHING;
+  roomOf(type: string): Resources {
+    return this.machineType(type) ?? NO_RESOURCES;
   }
 
   get controllers(): string[] {
