--- a/packages/borrowing/src/accounts.ts
+++ b/packages/borrowing/src/accounts.ts
@@ -12,7 +12,7 @@
   subtractResources,
 } from '@gingerlock/core';
 import { parseTaskName } from '@gingerlock/wire';
-import type { PartClaims } from './claims';
+import type { PartitionClaims } from './claims';
 
 /** Sums of decimal amounts are compared with this much slack. */
 const EPSILON = 1e-6;
@@ -66,7 +66,7 @@
 export function heldBackGpus(
   clusterConfig: ClusterConfig,
   jobs: ReadonlyMap<string, Job>,
-  claims: readonly PartClaims[],
+  claims: readonly PartitionClaims[],
 ): Map<string, number> {
   const used = new Map<string, number>();
   for (const { held } of claims.flatMap(({ machines }) => machines)) {
--- a/packages/borrowing/src/claims.ts
+++ b/packages/borrowing/src/claims.ts
@@ -19,8 +19,8 @@
 }
 
 /** What the machines of one partition hold, as its owner told it. */
-export interface PartClaims {
-  readonly part: number;
+export interface PartitionClaims {
+  readonly partitionId: number;
   readonly term: number;
   /** The owner's replica stood at this revision: what reclaims that ended by then have stopped is not in the list. */
   readonly revision: number;
--- a/packages/borrowing/src/execution.ts
+++ b/packages/borrowing/src/execution.ts
@@ -155,7 +155,7 @@
 }
 
 /** The reclaims of one partition, and the room that they keep. */
-export class PartReclaims implements Reservations {
+export class PartitionReclaims implements Reservations {
   readonly #reclaims = new Map<string, Reclaim>();
   #byTask = new Map<string, Reclaim>();
   #byMachine = new Map<string, Reclaim[]>();
--- a/packages/borrowing/src/planner.ts
+++ b/packages/borrowing/src/planner.ts
@@ -17,7 +17,7 @@
 } from '@gingerlock/core';
 import { parseTaskName, type ReclaimRecord } from '@gingerlock/wire';
 import { Accounts, type TeamAccount } from './accounts';
-import type { MachineClaims, PartClaims, TaskAttempt } from './claims';
+import type { MachineClaims, PartitionClaims, TaskAttempt } from './claims';
 import type { BorrowingSettings } from './settings';
 import {
   addLoss,
@@ -67,7 +67,7 @@
   /** By machine that takes work: what is left there after all assignments. */
   readonly free: ReadonlyMap<string, Resources>;
   /** What machines hold, of the partitions of which that is known. */
-  readonly claims: readonly PartClaims[];
+  readonly claims: readonly PartitionClaims[];
   /** Reclaims that are under way. */
   readonly pending: readonly ReclaimRecord[];
   /** How many may be decided now. */
@@ -87,7 +87,7 @@
 /** A machine on which tasks may be stopped. */
 interface Source {
   readonly room: MachineRoom;
-  readonly part: number;
+  readonly partitionId: number;
   readonly term: number;
   readonly candidates: readonly Candidate[];
   readonly free: Resources;
@@ -169,7 +169,7 @@
 
   /** Decides on room for as many of the tasks as the machine can be made to hold. */
   #take(job: Job, source: Source, tasks: readonly number[], zones: ZoneChoice): { count: number; unused: number[] } {
-    const { room, part, term } = source;
+    const { room, partitionId, term } = source;
     const places: Place[] = [];
     const victims: Candidate[] = [];
     let reason: ReclaimReason | null = null;
@@ -178,7 +178,7 @@
     while (places.length < tasks.length) {
       const choice = this.#mayTake(job, room.zone, zones) ? this.#choose(job, left) : null;
       if (choice === null || this.#isRentSooner(job, choice)) break;
-      places.push({ part, zone: zones.take(room.zone), term });
+      places.push({ partitionId, zone: zones.take(room.zone), term });
       victims.push(...choice.victims);
       reason = choice.reason === 'guarantee' ? 'guarantee' : (reason ?? choice.reason);
       loss = loss === null ? choice.loss : addLoss(loss, choice.loss);
@@ -252,16 +252,16 @@
   constructor(readonly input: PlannerInput) {
     this.#victims = new Set(input.pending.flatMap((reclaim) => reclaim.victims.map(keyOf)));
     this.#busy = new Set(input.pending.map((reclaim) => reclaim.machine));
-    const byPart = new Map(input.claims.map((claims) => [claims.part, claims]));
+    const byPartition = new Map(input.claims.map((claims) => [claims.partitionId, claims]));
     for (const summary of input.summaries) {
-      const claims = byPart.get(summary.part);
+      const claims = byPartition.get(summary.partitionId);
       if (claims?.term !== summary.term) continue;
       const rooms = new Map(summary.machines.map((room) => [room.name, room]));
       for (const machine of claims.machines) this.#add(machine, rooms.get(machine.machine), summary);
     }
   }
 
-  #add({ machine, held }: MachineClaims, room: MachineRoom | undefined, { part, term }: PartSummary): void {
+  #add({ machine, held }: MachineClaims, room: MachineRoom | undefined, { partitionId, term }: PartSummary): void {
     if (room === undefined || !isWell(room, this.input.clusterConfig)) return;
     const candidates = held.flatMap((task): Candidate[] => {
       const name = parseTaskName(task.task);
@@ -277,7 +277,7 @@
     }
     const free = this.input.free.get(machine);
     if (free === undefined || this.#busy.has(machine)) return;
-    this.sources.set(machine, { room, part, term, candidates, free });
+    this.sources.set(machine, { room, partitionId, term, candidates, free });
   }
 }
 
--- a/packages/borrowing/test/execution.test.ts
+++ b/packages/borrowing/test/execution.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { ClaimTable, JobTable, type Slot } from '@gingerlock/core';
 import { jobRecord, type ReclaimRecord, type ReportedTask, type WorkerReport } from '@gingerlock/wire';
-import { PartReclaims, type Reclaim, reclaimBoundMs } from '../src/index';
+import { PartitionReclaims, type Reclaim, reclaimBoundMs } from '../src/index';
 import { clusterConfigOf, jobOf, teamOf } from './fixtures';
 
 const CLUSTER_CONFIG = clusterConfigOf([teamOf('red', 4), teamOf('blue', 4)]);
@@ -26,7 +26,7 @@
   readonly jobs = new JobTable(() => 64);
   readonly table: ClaimTable;
   readonly moves: string[] = [];
-  readonly reclaims = new PartReclaims({ moved: (reclaim) => this.moves.push(moveOf(reclaim)) });
+  readonly reclaims = new PartitionReclaims({ moved: (reclaim) => this.moves.push(moveOf(reclaim)) });
   now = 1000;
   #seq = 0;
   #tasks: ReportedTask[] = [];
@@ -36,7 +36,7 @@
     this.store('j-000001', batch.spec, 4);
     this.table = new ClaimTable({
       clusterConfig: CLUSTER_CONFIG,
-      part: 0,
+      partitionId: 0,
       term: TERM,
       fencedUntil: 0,
       openedAt: 0,
@@ -57,7 +57,7 @@
   }
 
   store(id: string, spec: Parameters<typeof jobOf>[1] & object, assigned: number): void {
-    const rounds = assigned === 0 ? [] : [{ from: 0, count: assigned, part: 0, zone: null, term: TERM }];
+    const rounds = assigned === 0 ? [] : [{ from: 0, count: assigned, partitionId: 0, zone: null, term: TERM }];
     const full = jobOf(id, spec).spec;
     const record = { final: null, spec: full, acceptedAt: 0, cancelled: false, failing: false, rounds } as const;
     this.jobs.applyJob(id, jobRecord.write(record), ++this.now);
@@ -144,7 +144,7 @@
   const record = scene.recordOf(2);
   scene.step(record);
   scene.report();
-  const successor = new PartReclaims({ moved: (reclaim) => scene.moves.push(reclaim.state) });
+  const successor = new PartitionReclaims({ moved: (reclaim) => scene.moves.push(reclaim.state) });
   successor.table = scene.table;
   scene.table.reservations = successor;
   successor.sync(new Map([['1-1', record]]));
--- a/packages/borrowing/test/planner.test.ts
+++ b/packages/borrowing/test/planner.test.ts
@@ -40,12 +40,12 @@
     ]),
   );
   const jobs = new Map([...next.keys(), ...waiting].map((job) => [job.id, job]));
-  for (const [job, count] of next) job.rounds = [{ from: 0, count, part: 0, zone: null, term: 3 }];
+  for (const [job, count] of next) job.rounds = [{ from: 0, count, partitionId: 0, zone: null, term: 3 }];
   const free = new Map(
     machines.map((tasks, i) => [`m-${i}`, tasks.reduce((sum, { job }) => subtractResources(sum, job.spec), MACHINE)]),
   );
   const rooms = machines.map((_, i) => roomOf(`m-${i}`));
-  const summary = { part: 0, term: 3, revision: 1, machines: rooms, missing: NO_RESOURCES, running: [] };
+  const summary = { partitionId: 0, term: 3, revision: 1, machines: rooms, missing: NO_RESOURCES, running: [] };
   const claims = [...held].map(([machine, tasks]) => ({ machine, held: tasks }));
   const input: PlannerInput = {
     clusterConfig: clusterConfigOf(teams),
@@ -54,7 +54,7 @@
     unmet: waiting.map((job) => ({ job, count: job.spec.tasks, zones: null })),
     summaries: [summary],
     free,
-    claims: [{ part: 0, term: 3, revision: 1, machines: claims }],
+    claims: [{ partitionId: 0, term: 3, revision: 1, machines: claims }],
     pending: [],
     most: 100,
     rentMs: () => Infinity,
--- a/packages/core/src/assignment.ts
+++ b/packages/core/src/assignment.ts
@@ -45,7 +45,7 @@
 }
 
 export interface PartSummary {
-  readonly part: number;
+  readonly partitionId: number;
   readonly term: number;
   /** The owner's replica stood at this revision: later assignments are not in it yet. */
   readonly revision: number;
@@ -75,7 +75,7 @@
 export interface Trials {
   isProven(job: string): boolean;
   mayTry(job: string, now: number): boolean;
-  lastPart(job: string): number | null;
+  lastPartitionId(job: string): number | null;
 }
 
 /** Where all members of a replica group are to run. */
@@ -91,7 +91,7 @@
   readonly jobs: Iterable<Job>;
   readonly summaries: readonly PartSummary[];
   /** Assignments that a summary may not show yet. */
-  readonly recent: readonly { revision: number; machine: string; part: number; need: Resources }[];
+  readonly recent: readonly { revision: number; machine: string; partitionId: number; need: Resources }[];
   readonly clusterConfig: ClusterConfig;
   readonly types: ReadonlyMap<string, MachineType>;
   readonly most: number;
@@ -119,7 +119,7 @@
 
 interface Bin {
   readonly room: MachineRoom;
-  readonly part: number;
+  readonly partitionId: number;
   readonly term: number;
   free: Resources;
   byRank: Resources[];
@@ -162,14 +162,15 @@
 /** What is free on the machines that take work, less what earlier assignments will take there. */
 function binsOf({ summaries, recent }: AssignmentInput): Bin[] {
   const bins: Bin[] = [];
-  for (const { machines, part, term, revision } of summaries) {
+  for (const { machines, partitionId, term, revision } of summaries) {
     for (const room of machines) {
       if (!room.takesWork) continue;
       let { free } = room;
       for (const r of recent) {
-        if (r.part === part && r.machine === room.name && r.revision > revision) free = subtractResources(free, r.need);
+        if (r.partitionId === partitionId && r.machine === room.name && r.revision > revision)
+          free = subtractResources(free, r.need);
       }
-      bins.push({ room, part, term, free, byRank: [...room.byRank] });
+      bins.push({ room, partitionId, term, free, byRank: [...room.byRank] });
     }
   }
   return bins;
@@ -357,10 +358,10 @@
       const bin = this.#binOf(machine);
       this.#take(bin, job);
       const { spread, oneZone, zone: asked } = job.spec;
-      return { part: bin.part, zone: spread || oneZone ? bin.room.zone : asked, term: bin.term, machine };
+      return { partitionId: bin.partitionId, zone: spread || oneZone ? bin.room.zone : asked, term: bin.term, machine };
     });
     // Members are alike: ranks follow the places, so that the record needs one round for each place.
-    members.sort((a, b) => a.part - b.part || (a.zone ?? '').localeCompare(b.zone ?? ''));
+    members.sort((a, b) => a.partitionId - b.partitionId || (a.zone ?? '').localeCompare(b.zone ?? ''));
     this.#use.set(job.spec.team, addResources(this.#use.get(job.spec.team) ?? NO_RESOURCES, job.spec, members.length));
     this.groups.push({ job, members });
   }
@@ -395,13 +396,13 @@
     const { trials, now } = input;
     if (assignedUnfinished(job) > 0 || !trials.mayTry(job.id, now) || this.assignments.length >= input.most) return;
     const free = this.#bins.filter((bin) => fitsIn(job.spec, bin.free));
-    const last = trials.lastPart(job.id);
+    const last = trials.lastPartitionId(job.id);
     const allows = (zone: string): boolean => zones.allows(zone);
-    const elsewhere = free.filter((bin) => bin.part !== last);
+    const elsewhere = free.filter((bin) => bin.partitionId !== last);
     const bin = pick(job, elsewhere, input, allows, undefined) ?? pick(job, free, input, allows, undefined);
     if (bin === undefined) return;
     this.#take(bin, job);
-    const place = { part: bin.part, zone: zones.take(bin.room.zone), term: bin.term };
+    const place = { partitionId: bin.partitionId, zone: zones.take(bin.room.zone), term: bin.term };
     const meant = [{ machine: bin.room.name, need: job.spec }];
     this.#use.set(job.spec.team, addResources(this.#use.get(job.spec.team) ?? NO_RESOURCES, job.spec));
     this.assignments.push({ job, added: roundsOf([ranges[0]![0]], [place]), meant });
@@ -427,7 +428,7 @@
         }
         this.#take(bin, job);
         found.indices.push(index);
-        found.places.push({ part: bin.part, zone: zones.take(bin.room.zone), term: bin.term });
+        found.places.push({ partitionId: bin.partitionId, zone: zones.take(bin.room.zone), term: bin.term });
         found.meant.push({ machine: bin.room.name, need: job.spec });
       }
     }
@@ -444,8 +445,8 @@
     if (missing > 0 || this.assignments.length >= input.most) return undefined;
     const shape = shapeOf(job);
     if (this.#full.has(shape)) return undefined;
-    const lastPart = places.at(-1)?.part ?? job.rounds.at(-1)?.part;
-    const bin = pick(job, this.#bins, input, (zone) => zones.allows(zone), lastPart);
+    const lastPartitionId = places.at(-1)?.partitionId ?? job.rounds.at(-1)?.partitionId;
+    const bin = pick(job, this.#bins, input, (zone) => zones.allows(zone), lastPartitionId);
     // With zones of its own to keep to, it says nothing of others.
     if (bin === undefined && !job.spec.spread && !job.spec.oneZone) this.#full.add(shape);
     return bin;
@@ -460,7 +461,9 @@
  * instead of one for each task keeps the record of a large job within the limit on values.
  */
 export function roundsOf(indices: readonly number[], places: readonly Place[]): Round[] {
-  const sorted = [...places].sort((a, b) => a.part - b.part || (a.zone ?? '').localeCompare(b.zone ?? ''));
+  const sorted = [...places].sort(
+    (a, b) => a.partitionId - b.partitionId || (a.zone ?? '').localeCompare(b.zone ?? ''),
+  );
   return joinRounds(sorted.map((place, i) => ({ from: indices[i]!, count: 1, ...place })));
 }
 
@@ -497,14 +500,14 @@
 const APART = 4;
 
 /** How soon the task would run there, in milliseconds, with ties broken towards what is fuller already. */
-function cost(job: Job, bin: Bin, input: AssignmentInput, lastPart: number | undefined): number {
+function cost(job: Job, bin: Bin, input: AssignmentInput, lastPartitionId: number | undefined): number {
   const type = input.types.get(bin.room.type);
   const fetch = fetchMs(job.spec.imageGb, bin.room.images.includes(job.spec.image), type);
   // Ordinary machines are dear: work that may run on spot goes there unless it would wait for longer than this.
   const kind = job.spec.spot && !bin.room.spot ? input.clusterConfig.heartbeatIntervalMs * 2 : 0;
   const tight = type === undefined || type.gpus <= 0 ? 0 : bin.free.gpus / type.gpus;
   const apart =
-    job.spec.kind === 'array' && lastPart !== undefined && lastPart !== bin.part
+    job.spec.kind === 'array' && lastPartitionId !== undefined && lastPartitionId !== bin.partitionId
       ? input.clusterConfig.heartbeatIntervalMs / APART
       : 0;
   return fetch + kind + apart + (input.clusterConfig.heartbeatIntervalMs / 10) * tight;
@@ -518,13 +521,13 @@
   bins: readonly Bin[],
   input: AssignmentInput,
   zoneAllowed: (zone: string) => boolean,
-  lastPart: number | undefined,
+  lastPartitionId: number | undefined,
 ): Bin | undefined {
   let best: Bin | undefined;
   let bestCost = Infinity;
   for (const bin of bins) {
     if (!zoneAllowed(bin.room.zone) || !suits(job, bin)) continue;
-    let c = cost(job, bin, input, lastPart);
+    let c = cost(job, bin, input, lastPartitionId);
     if (c >= bestCost) continue;
     if (!fitsIn(job.spec, bin.free)) {
       if (!input.preempts) continue;
--- a/packages/core/src/claims.ts
+++ b/packages/core/src/claims.ts
@@ -47,7 +47,7 @@
 
 export interface ClaimTableOptions {
   readonly clusterConfig: ClusterConfig;
-  readonly part: number;
+  readonly partitionId: number;
   readonly term: number;
   readonly fencedUntil: number;
   /** When this owner took the part over. */
@@ -72,7 +72,7 @@
 
 export class ClaimTable implements ClaimView {
   readonly clusterConfig: ClusterConfig;
-  readonly part: number;
+  readonly partitionId: number;
   readonly term: number;
   readonly openedAt: number;
   readonly machines = new Map<string, Machine>();
@@ -96,7 +96,7 @@
 
   constructor(options: ClaimTableOptions) {
     this.clusterConfig = options.clusterConfig;
-    this.part = options.part;
+    this.partitionId = options.partitionId;
     this.term = options.term;
     this.openedAt = options.openedAt;
     this.#jobs = options.jobs;
@@ -111,7 +111,7 @@
     this.log = options.log ?? (() => undefined);
     this.alarm = options.alarm ?? (() => undefined);
     this.#tasks = new SlotTable({
-      part: options.part,
+      partitionId: options.partitionId,
       term: options.term,
       jobs: options.jobs,
       isCleared: () => this.cleared,
@@ -438,7 +438,7 @@
     for (const slots of this.slots.values()) {
       for (const slot of slots.values()) if (slot.state === 'uncertain') this.#tasks.move(slot, 'waiting', now);
     }
-    this.log('part cleared', { part: this.part, term: this.term });
+    this.log('part cleared', { partitionId: this.partitionId, term: this.term });
   }
 
   /** Ends what time alone ends; returns the machines whose lease has run out, or that surely hold nothing since the fencing period. */
--- a/packages/core/src/facts.ts
+++ b/packages/core/src/facts.ts
@@ -145,7 +145,7 @@
 }
 
 /** A stable hash (FNV-1a) below 2^32. */
-export function hashOf(text: string): number {
+export function hashName(text: string): number {
   let hash = 0x811c9dc5;
   for (let i = 0; i < text.length; i++) {
     hash = Math.imul(hash ^ text.charCodeAt(i), 0x01000193);
@@ -161,7 +161,7 @@
  * Which part each machine belongs to: by a hash of its name, among the parts that have their homes in its zone. A zone
  * that is cut off so has an owner inside that goes on answering. Where no part is at home, all share the machines.
  */
-export class Partition {
+export class Partitioner {
   readonly #all: readonly number[];
   readonly #byZone = new Map<string, number[]>();
 
@@ -169,24 +169,24 @@
     readonly count: number,
     readonly zones: readonly string[] = [],
   ) {
-    this.#all = Array.from({ length: count }, (_, part) => part);
-    for (const part of this.#all) {
-      const zone = zones[part];
+    this.#all = Array.from({ length: count }, (_, partitionId) => partitionId);
+    for (const partitionId of this.#all) {
+      const zone = zones[partitionId];
       if (zone === undefined) continue;
-      const parts = this.#byZone.get(zone);
-      if (parts === undefined) this.#byZone.set(zone, [part]);
-      else parts.push(part);
+      const partitionIds = this.#byZone.get(zone);
+      if (partitionIds === undefined) this.#byZone.set(zone, [partitionId]);
+      else partitionIds.push(partitionId);
     }
   }
 
   /** The parts that share the machines of a zone. */
-  partsOf(zone: string): readonly number[] {
+  partitionsOf(zone: string): readonly number[] {
     return this.#byZone.get(zone) ?? this.#all;
   }
 
-  of(machine: string, zone: string): number {
-    const parts = this.partsOf(zone);
-    return parts[hashOf(machine) % parts.length]!;
+  partitionOf(machine: string, zone: string): number {
+    const partitionIds = this.partitionsOf(zone);
+    return partitionIds[hashName(machine) % partitionIds.length]!;
   }
 }
 
--- a/packages/core/src/fleet.ts
+++ b/packages/core/src/fleet.ts
@@ -11,7 +11,7 @@
   type ClusterConfig,
   fitsIn,
   hasNoGuarantee,
-  type Partition,
+  type Partitioner,
   SUSPECT_INTERVALS,
   allowsMachine,
   workerLeaseBoundMs,
@@ -30,7 +30,7 @@
   readonly types: ReadonlyMap<string, MachineType>;
   readonly summaries: readonly PartSummary[];
   readonly unmet: readonly Unmet[];
-  readonly parts: Partition;
+  readonly partitioner: Partitioner;
   /** Machines that are neither emptied nor given back while idle. */
   readonly pinned?: ReadonlySet<string>;
 }
@@ -58,7 +58,7 @@
 export class Fleet {
   readonly #inventory: FleetInventory;
   /** By part: its owner's term, and since when that owner has told of it. */
-  readonly #partSince = new Map<number, { term: number; since: number }>();
+  readonly #partitionSince = new Map<number, { term: number; since: number }>();
   readonly #refused = new Map<string, Refusal>();
   /** Zones in which most machines have fallen silent, and until when nothing is rented there for that. */
   readonly #silentZones = new Map<string, number>();
@@ -173,10 +173,12 @@
     this.#inventory.heard(rooms.values(), now);
 
     for (const s of input.summaries) {
-      if (this.#partSince.get(s.part)?.term !== s.term) this.#partSince.set(s.part, { term: s.term, since: now });
+      if (this.#partitionSince.get(s.partitionId)?.term !== s.term)
+        this.#partitionSince.set(s.partitionId, { term: s.term, since: now });
     }
-    const heard = new Set(input.summaries.map((s) => s.part));
-    for (const part of this.#partSince.keys()) if (!heard.has(part)) this.#partSince.delete(part);
+    const heard = new Set(input.summaries.map((s) => s.partitionId));
+    for (const partitionId of this.#partitionSince.keys())
+      if (!heard.has(partitionId)) this.#partitionSince.delete(partitionId);
 
     this.#watchZones(input, rooms);
     const giveBack: string[] = [];
@@ -205,8 +207,8 @@
    * the time to hear it first: silence from before proves nothing, and healthy machines were once returned for it.
    */
   #quietSince(k: KnownMachine, input: FleetInput): number {
-    const part = input.parts.of(k.name, k.zone);
-    const owner = this.#partSince.get(part);
+    const partitionId = input.partitioner.partitionOf(k.name, k.zone);
+    const owner = this.#partitionSince.get(partitionId);
     if (owner === undefined) return Infinity;
     return Math.max(k.heardAt ?? -Infinity, k.upSince ?? -Infinity, owner.since);
   }
--- a/packages/core/src/job-use.ts
+++ b/packages/core/src/job-use.ts
@@ -39,10 +39,10 @@
 }
 
 /** The job's unfinished tasks that are assigned to the partition under this term or an earlier one, by their numbers. */
-export function tasksAssignedTo(job: Job, part: number, term: number): Map<number, AssignedTask> {
+export function tasksAssignedTo(job: Job, partitionId: number, term: number): Map<number, AssignedTask> {
   const assigned = new Map<number, AssignedTask>();
   for (const round of job.rounds) {
-    if (round.part !== part || round.term > term) continue;
+    if (round.partitionId !== partitionId || round.term > term) continue;
     for (let task = round.from; task < round.from + round.count; task++) {
       if (!job.isFinished(task)) assigned.set(task, { zone: round.zone, term: round.term });
     }
--- a/packages/core/src/jobs.ts
+++ b/packages/core/src/jobs.ts
@@ -187,8 +187,8 @@
     const page: FinishedPage = {
       key:
         key.kind === 'finished'
-          ? KEYS.finished(key.id, key.part, key.page)
-          : KEYS.finishedFrom(key.id, key.part, key.first),
+          ? KEYS.finished(key.id, key.partitionId, key.page)
+          : KEYS.finishedFrom(key.id, key.partitionId, key.first),
       first: key.kind === 'finished' ? key.page * this.pageTasks() : key.first,
       bits: new Bits(finishedRecord.read(value)),
       version,
@@ -220,17 +220,17 @@
  */
 export function finishedPageFor(
   job: Job,
-  part: number,
+  partitionId: number,
   task: number,
   limits: { readonly pageTasks: number; readonly valueBytes: number },
 ): { readonly key: string; readonly first: number; readonly bits: Bits } {
   const capacity = pageCapacity(limits.valueBytes);
   const page = Math.floor(task / limits.pageTasks);
-  const key = KEYS.finished(job.id, part, page);
+  const key = KEYS.finished(job.id, partitionId, page);
   const stored = job.pages.get(key)?.bits ?? new Bits();
   const first = page * limits.pageTasks;
   if (task - first < capacity && stored.bytes.length * 8 <= capacity) return { key, first, bits: stored };
   const start = task - (task % capacity);
-  const overflowKey = KEYS.finishedFrom(job.id, part, start);
+  const overflowKey = KEYS.finishedFrom(job.id, partitionId, start);
   return { key: overflowKey, first: start, bits: job.pages.get(overflowKey)?.bits ?? new Bits() };
 }
--- a/packages/core/src/rounds.ts
+++ b/packages/core/src/rounds.ts
@@ -2,10 +2,10 @@
 import type { Round } from '@gingerlock/wire';
 
 /** Cuts the given tasks out of the rounds of one partition; what is left keeps its partition, zone and term. */
-export function withoutTasks(rounds: readonly Round[], part: number, removed: ReadonlySet<number>): Round[] {
+export function withoutTasks(rounds: readonly Round[], partitionId: number, removed: ReadonlySet<number>): Round[] {
   const left: Round[] = [];
   for (const round of rounds) {
-    if (round.part !== part) {
+    if (round.partitionId !== partitionId) {
       left.push(round);
       continue;
     }
@@ -21,7 +21,7 @@
 }
 
 function assignedAlike(a: Round, b: Round): boolean {
-  return a.part === b.part && a.zone === b.zone && a.term === b.term;
+  return a.partitionId === b.partitionId && a.zone === b.zone && a.term === b.term;
 }
 
 /**
@@ -68,12 +68,12 @@
 export function coverPerPartition(rounds: readonly Round[]): Round[] {
   const covers = new Map<number, Round>();
   for (const round of rounds) {
-    const cover = covers.get(round.part) ?? round;
+    const cover = covers.get(round.partitionId) ?? round;
     const from = Math.min(cover.from, round.from);
     const end = Math.max(cover.from + cover.count, round.from + round.count);
     // The higher term would make an owner trust that no other machine can run the task.
     const term = Math.min(cover.term, round.term);
-    covers.set(round.part, { from, count: end - from, part: round.part, zone: null, term });
+    covers.set(round.partitionId, { from, count: end - from, partitionId: round.partitionId, zone: null, term });
   }
   return [...covers.values()];
 }
--- a/packages/core/src/slot-table.ts
+++ b/packages/core/src/slot-table.ts
@@ -6,7 +6,7 @@
 import { WakeQueue } from './wake-queue';
 
 export interface SlotTableOptions {
-  readonly part: number;
+  readonly partitionId: number;
   readonly term: number;
   readonly jobs: JobTable;
   /** Whether no machine can hold a task of an earlier owner any more. */
@@ -66,7 +66,9 @@
     const slots = this.slots.get(id) ?? new Map<number, Slot>();
     // Assigned to an owner after this one: while all is read anew that may show before the owner's own record does.
     const assigned =
-      job === undefined ? new Map<number, AssignedTask>() : tasksAssignedTo(job, this.options.part, this.options.term);
+      job === undefined
+        ? new Map<number, AssignedTask>()
+        : tasksAssignedTo(job, this.options.partitionId, this.options.term);
     const stopped: Slot[] = [];
     for (const slot of [...slots.values()]) {
       if (assigned.has(slot.index) && slot.job === job) continue;
--- a/packages/core/src/stranded-tasks.ts
+++ b/packages/core/src/stranded-tasks.ts
@@ -1,7 +1,7 @@
 // Tasks that are assigned to a partition which has no machine for them, and that their owner can't give back.
 import type { MachineType } from '@gingerlock/wire';
 import type { MachineRoom, PartSummary, Unmet } from './assignment';
-import { fitsIn, type Partition, allowsMachine } from './facts';
+import { fitsIn, type Partitioner, allowsMachine } from './facts';
 import { unfinishedIn } from './job-use';
 import type { Job } from './jobs';
 
@@ -9,7 +9,7 @@
   readonly jobs: Iterable<Job>;
   readonly summaries: readonly PartSummary[];
   readonly types: ReadonlyMap<string, MachineType>;
-  readonly partition: Partition;
+  readonly partitioner: Partitioner;
   readonly zones: readonly string[];
   /** Whether the state service would not take the job's record, whatever its owners leave out of it. */
   readonly isFrozen: (job: Job) => boolean;
@@ -26,17 +26,17 @@
     for (const summary of input.summaries) {
       const count = waitingIn(job, summary);
       if (count <= 0 || summary.machines.some((machine) => couldTake(machine, job, input.types))) continue;
-      stranded.push({ job, count, zones: zonesFor(job, summary.part, input) });
+      stranded.push({ job, count, zones: zonesFor(job, summary.partitionId, input) });
     }
   }
   return stranded;
 }
 
 /** How many tasks of the job wait in the partition; none while its summary is older than the assignment. */
-function waitingIn(job: Job, { part, revision, running }: PartSummary): number {
+function waitingIn(job: Job, { partitionId, revision, running }: PartSummary): number {
   if (revision < job.version) return 0;
   const assigned = job.rounds
-    .filter((round) => round.part === part)
+    .filter((round) => round.partitionId === partitionId)
     .reduce((n, round) => n + unfinishedIn(job, round), 0);
   return assigned - (running.find(([id]) => id === job.id)?.[1] ?? 0);
 }
@@ -53,7 +53,9 @@
 }
 
 /** The zones whose machines belong to the partition, some of them at least, and to which its tasks of the job are bound. */
-function zonesFor(job: Job, part: number, { partition, zones }: StrandedTasksInput): string[] {
-  const bound = new Set(job.rounds.filter((round) => round.part === part).map((round) => round.zone));
-  return zones.filter((zone) => partition.partsOf(zone).includes(part) && (bound.has(null) || bound.has(zone)));
+function zonesFor(job: Job, partitionId: number, { partitioner, zones }: StrandedTasksInput): string[] {
+  const bound = new Set(job.rounds.filter((round) => round.partitionId === partitionId).map((round) => round.zone));
+  return zones.filter(
+    (zone) => partitioner.partitionsOf(zone).includes(partitionId) && (bound.has(null) || bound.has(zone)),
+  );
 }
--- a/packages/core/src/trials.ts
+++ b/packages/core/src/trials.ts
@@ -12,7 +12,7 @@
   provenAfterMs: number;
   isProven: boolean;
   /** Where its last trial was; the next one goes elsewhere if it can. */
-  lastPart: number | null;
+  lastPartitionId: number | null;
 }
 
 /** The pause after the first trial, and how long a trial has to run at first, in report intervals. */
@@ -36,7 +36,7 @@
         runningSince: null,
         provenAfterMs: this.clusterConfig.heartbeatIntervalMs * PROVEN_INTERVALS,
         isProven: false,
-        lastPart: null,
+        lastPartitionId: null,
       };
       this.#trials.set(job, trial);
     }
@@ -80,14 +80,14 @@
     return now >= this.#of(job).nextAt;
   }
 
-  lastPart(job: string): number | null {
-    return this.#of(job).lastPart;
+  lastPartitionId(job: string): number | null {
+    return this.#of(job).lastPartitionId;
   }
 
   /** A task of the job has been assigned to a partition as a trial. */
-  tried(job: string, part: number, now: number): void {
+  tried(job: string, partitionId: number, now: number): void {
     const trial = this.#of(job);
-    trial.lastPart = part;
+    trial.lastPartitionId = partitionId;
     trial.nextAt = now + trial.pauseMs;
     trial.pauseMs = Math.min(trial.pauseMs * 2, this.clusterConfig.cancellationBoundMs);
   }
--- a/packages/core/src/vacating.ts
+++ b/packages/core/src/vacating.ts
@@ -3,7 +3,7 @@
 import type { MachineRoom } from './assignment';
 import { machineUse } from './machine-use';
 import { unitPrice } from './rental-choice';
-import { bootMsOf, type ClusterConfig, type Partition, SUSPECT_INTERVALS } from './facts';
+import { bootMsOf, type ClusterConfig, type Partitioner, SUSPECT_INTERVALS } from './facts';
 
 /** Work of this rank and below makes way for services. */
 export const BATCH_RANK = PRIORITIES.indexOf('normal');
@@ -22,7 +22,7 @@
 export interface VacatingInput {
   readonly now: number;
   readonly types: ReadonlyMap<string, MachineType>;
-  readonly parts: Partition;
+  readonly partitioner: Partitioner;
   readonly pinned?: ReadonlySet<string>;
 }
 
@@ -87,9 +87,9 @@
       if (cost > spare[kind]) continue;
       if (!m.spot) {
         const others = (freeIn.get(m.zone) ?? 0) - (m.takesWork ? m.free.gpus : 0);
-        const part = input.parts.of(m.name, m.zone);
-        if (busy.has(part) || used > others) continue;
-        busy.add(part);
+        const partitionId = input.partitioner.partitionOf(m.name, m.zone);
+        if (busy.has(partitionId) || used > others) continue;
+        busy.add(partitionId);
         freeIn.set(m.zone, others - used);
       }
       spare[kind] -= cost;
--- a/packages/core/test/assignment.test.ts
+++ b/packages/core/test/assignment.test.ts
@@ -42,7 +42,14 @@
     const record = { final: null, spec, acceptedAt: i, cancelled: false, failing: false, rounds: [] };
     table.applyJob(spec.id, jobRecord.write(record), i + 1);
   }
-  const summary: PartSummary = { part: 0, term: 1, revision: 0, machines: rooms, missing: NO_RESOURCES, running: [] };
+  const summary: PartSummary = {
+    partitionId: 0,
+    term: 1,
+    revision: 0,
+    machines: rooms,
+    missing: NO_RESOURCES,
+    running: [],
+  };
   const { assignments, unmet } = assignTasks({
     now: 0,
     trials: new TrialSchedule(clusterConfig),
@@ -80,7 +87,7 @@
 test('a job of one zone goes on in another once all its tasks there are finished, and not while one may run', () => {
   const table = new JobTable(() => 64);
   const spec = specOf('j-1', { oneZone: true });
-  const rounds = [{ from: 0, count: 2, part: 0, zone: 'a', term: 1 }];
+  const rounds = [{ from: 0, count: 2, partitionId: 0, zone: 'a', term: 1 }];
   table.applyJob(
     spec.id,
     jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: false, rounds }),
@@ -92,7 +99,7 @@
       trials: new TrialSchedule(clusterConfig),
       jobs: table.live.values(),
       summaries: [
-        { part: 1, term: 1, revision: 0, machines: [roomIn('m-1', 'b', 8)], missing: NO_RESOURCES, running: [] },
+        { partitionId: 1, term: 1, revision: 0, machines: [roomIn('m-1', 'b', 8)], missing: NO_RESOURCES, running: [] },
       ],
       recent: [],
       clusterConfig,
@@ -106,7 +113,7 @@
   };
   const finish = (tasks: number, version: number): void =>
     table.applyFinished(
-      { kind: 'finished', id: spec.id, part: 0, page: 0 },
+      { kind: 'finished', id: spec.id, partitionId: 0, page: 0 },
       finishedRecord.write(new Uint8Array([2 ** tasks - 1])),
       version,
     );
--- a/packages/core/test/claims.test.ts
+++ b/packages/core/test/claims.test.ts
@@ -28,7 +28,7 @@
 ): ClaimTable {
   return new ClaimTable({
     clusterConfig,
-    part: 0,
+    partitionId: 0,
     term: 2,
     fencedUntil,
     openedAt: 0,
@@ -41,7 +41,7 @@
 
 /** The job with its four tasks assigned to the part. */
 function assigned(jobs: JobTable, term: number, version: number): void {
-  const rounds = [{ from: 0, count: 4, part: 0, zone: null, term }];
+  const rounds = [{ from: 0, count: 4, partitionId: 0, zone: null, term }];
   jobs.applyJob(
     spec.id,
     jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: false, rounds }),
@@ -162,10 +162,10 @@
   return claimTable.syncJob(spec.id, 2000);
 }
 
-const round = (from: number, count: number, zone: string | null, part = 0): Round => ({
+const round = (from: number, count: number, zone: string | null, partitionId = 0): Round => ({
   from,
   count,
-  part,
+  partitionId,
   zone,
   term: 2,
 });
@@ -335,7 +335,7 @@
   const ids = { guest: 'j-000010', normal: 'j-000011', late: 'j-000012' };
   const accept = (id: string, priority: 'normal' | 'low', version: number): void => {
     const one = specOf(id, { priority, tasks: 1, gpus: 0 });
-    const rounds = [{ from: 0, count: 1, part: 0, zone: null, term: 2 }];
+    const rounds = [{ from: 0, count: 1, partitionId: 0, zone: null, term: 2 }];
     const record = { final: null, spec: one, acceptedAt: version, cancelled: false, failing: false, rounds } as const;
     jobs.applyJob(id, jobRecord.write(record), version);
     claimTable.syncJob(id, 0);
--- a/packages/core/test/cost.test.ts
+++ b/packages/core/test/cost.test.ts
@@ -27,7 +27,7 @@
   const jobs = new JobTable(() => 64);
   const job = (id: string, tasks: number): void => {
     const spec = specOf(id, { kind: 'service', priority: 'production', tasks, cpus: 4, memoryGb: 12 });
-    const rounds = [{ from: 0, count: tasks, part: 0, zone: null, term: 2 }];
+    const rounds = [{ from: 0, count: tasks, partitionId: 0, zone: null, term: 2 }];
     jobs.applyJob(
       id,
       jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: false, rounds }),
@@ -36,7 +36,7 @@
   };
   const claimTable = new ClaimTable({
     clusterConfig,
-    part: 0,
+    partitionId: 0,
     term: 2,
     fencedUntil: 0,
     openedAt: 0,
--- a/packages/core/test/finished-pages.test.ts
+++ b/packages/core/test/finished-pages.test.ts
@@ -8,7 +8,7 @@
 /** Pages as fixed by a first controller under a limit of 16 KiB, and the limit that holds now. */
 const PAGE_TASKS = 49_152;
 const VALUE_BYTES = 2048;
-const PART = 3;
+const PARTITION_ID = 3;
 
 function tableWith(tasks: number): { table: JobTable; job: Job } {
   const table = new JobTable(() => PAGE_TASKS);
@@ -39,13 +39,13 @@
       const large = new Map<string, Bits>();
       for (const t of before) {
         const page = Math.floor(t / PAGE_TASKS);
-        const key = KEYS.finished(job.id, PART, page);
+        const key = KEYS.finished(job.id, PARTITION_ID, page);
         large.set(key, (large.get(key) ?? new Bits()).with(t - page * PAGE_TASKS));
       }
       for (const [key, bits] of large) store(table, key, bits, ++version);
       for (const t of after) {
         const limits = { pageTasks: PAGE_TASKS, valueBytes: VALUE_BYTES };
-        const { key, first, bits } = finishedPageFor(job, PART, t, limits);
+        const { key, first, bits } = finishedPageFor(job, PARTITION_ID, t, limits);
         const written = store(table, key, bits.with(t - first), ++version);
         assert.ok(written <= VALUE_BYTES, `${key} takes ${written} characters`);
       }
@@ -60,7 +60,7 @@
 test('tasks that fit into the page of the format of before go there, so that the version before reads them', () => {
   const { job } = tableWith(90);
   for (const t of [0, 41, 89]) {
-    const { key, first } = finishedPageFor(job, PART, t, { pageTasks: PAGE_TASKS, valueBytes: VALUE_BYTES });
-    assert.deepEqual({ key, first }, { key: KEYS.finished(job.id, PART, 0), first: 0 });
+    const { key, first } = finishedPageFor(job, PARTITION_ID, t, { pageTasks: PAGE_TASKS, valueBytes: VALUE_BYTES });
+    assert.deepEqual({ key, first }, { key: KEYS.finished(job.id, PARTITION_ID, 0), first: 0 });
   }
 });
--- a/packages/core/test/partition.test.ts
+++ b/packages/core/test/partition.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Partition } from '../src/index';
+import { Partitioner } from '../src/index';
 
 const HOMES = ['north', 'south', 'east'];
 
 /** By partition: how many of so many machines of a zone it has. */
 function shares(zone: string, machines: number): number[] {
-  const parts = new Partition(HOMES.length, HOMES);
+  const partitioner = new Partitioner(HOMES.length, HOMES);
   const counts = HOMES.map(() => 0);
-  for (let i = 0; i < machines; i++) counts[parts.of(`m-${String(i).padStart(6, '0')}`, zone)]!++;
+  for (let i = 0; i < machines; i++) counts[partitioner.partitionOf(`m-${String(i).padStart(6, '0')}`, zone)]!++;
   return counts;
 }
 
@@ -17,5 +17,5 @@
 });
 
 test('machines of a zone with a controller belong to the partition that is at home there', () => {
-  HOMES.forEach((zone, part) => assert.equal(shares(zone, 50)[part], 50));
+  HOMES.forEach((zone, partitionId) => assert.equal(shares(zone, 50)[partitionId], 50));
 });
--- a/packages/core/test/rounds.test.ts
+++ b/packages/core/test/rounds.test.ts
@@ -6,7 +6,7 @@
 
 const TASKS = 40;
 const place = fc.record(
-  { part: fc.nat({ max: 2 }), zone: fc.constantFrom(null, 'a', 'b'), term: fc.constantFrom(1, 2) },
+  { partitionId: fc.nat({ max: 2 }), zone: fc.constantFrom(null, 'a', 'b'), term: fc.constantFrom(1, 2) },
   { noNullPrototype: true },
 );
 type Place = Omit<Round, 'from' | 'count'>;
@@ -21,10 +21,10 @@
 
 function placesOf(rounds: readonly Round[]): (Place | null)[] {
   const places: (Place | null)[] = Array.from({ length: TASKS }, () => null);
-  for (const { from, count, part, zone, term } of rounds) {
+  for (const { from, count, partitionId, zone, term } of rounds) {
     for (let task = from; task < from + count; task++) {
       assert.equal(places[task], null, `task ${task} is in two rounds`);
-      places[task] = { part, zone, term };
+      places[task] = { partitionId, zone, term };
     }
   }
   return places;
@@ -47,10 +47,10 @@
 
 test('tasks are taken out of the rounds of their own partition only', () => {
   fc.assert(
-    fc.property(assignment, tasks, fc.nat({ max: 2 }), (places, removed, part) => {
-      const left = placesOf(withoutTasks(joinRounds(roundsOf(places)), part, removed));
+    fc.property(assignment, tasks, fc.nat({ max: 2 }), (places, removed, partitionId) => {
+      const left = placesOf(withoutTasks(joinRounds(roundsOf(places)), partitionId, removed));
       for (let task = 0; task < TASKS; task++) {
-        const goes = removed.has(task) && places[task]?.part === part;
+        const goes = removed.has(task) && places[task]?.partitionId === partitionId;
         assert.deepEqual(left[task], goes ? null : places[task], `task ${task}`);
       }
     }),
@@ -74,10 +74,10 @@
   fc.assert(
     fc.property(assignment, (places) => {
       const covers = coverPerPartition(roundsOf(places));
-      assert.equal(new Set(covers.map((c) => c.part)).size, covers.length);
+      assert.equal(new Set(covers.map((c) => c.partitionId)).size, covers.length);
       for (const [task, p] of places.entries()) {
         if (p === null) continue;
-        const cover = covers.find((c) => c.part === p.part)!;
+        const cover = covers.find((c) => c.partitionId === p.partitionId)!;
         assert.ok(cover.from <= task && task < cover.from + cover.count && cover.term <= p.term, `task ${task}`);
       }
     }),
--- a/packages/core/test/stranded-tasks.test.ts
+++ b/packages/core/test/stranded-tasks.test.ts
@@ -5,7 +5,7 @@
   Job,
   type MachineRoom,
   NO_RESOURCES,
-  Partition,
+  Partitioner,
   type PartSummary,
   strandedTasks,
   type Unmet,
@@ -34,12 +34,16 @@
   return job;
 }
 
-function round(from: number, part: number, zone: string | null = null): Round {
-  return { from, count: 2, part, zone, term: 1 };
+function round(from: number, partitionId: number, zone: string | null = null): Round {
+  return { from, count: 2, partitionId, zone, term: 1 };
 }
 
-function summaryOf(part: number, machines: readonly MachineRoom[], over: Partial<PartSummary> = {}): PartSummary {
-  return { part, term: 1, revision: 9, machines, missing: NO_RESOURCES, running: [], ...over };
+function summaryOf(
+  partitionId: number,
+  machines: readonly MachineRoom[],
+  over: Partial<PartSummary> = {},
+): PartSummary {
+  return { partitionId, term: 1, revision: 9, machines, missing: NO_RESOURCES, running: [], ...over };
 }
 
 function stranded(job: Job, summaries: readonly PartSummary[], isFrozen = true): readonly Omit<Unmet, 'job'>[] {
@@ -47,7 +51,7 @@
     jobs: [job],
     summaries,
     types: new Map([[box.name, box]]),
-    partition: new Partition(HOMES.length, HOMES),
+    partitioner: new Partitioner(HOMES.length, HOMES),
     zones: box.zones,
     isFrozen: () => isFrozen,
   });
--- a/packages/core/test/trials.test.ts
+++ b/packages/core/test/trials.test.ts
@@ -24,11 +24,11 @@
     1,
   );
   const trials = new TrialSchedule(clusterConfig);
-  const summaries = [0, 1].map((part): PartSummary => ({
-    part,
+  const summaries = [0, 1].map((partitionId): PartSummary => ({
+    partitionId,
     term: 1,
     revision: 0,
-    machines: [roomOf(`m-${part}`, { free, byRank: [NO_RESOURCES, NO_RESOURCES, NO_RESOURCES, byRank] })],
+    machines: [roomOf(`m-${partitionId}`, { free, byRank: [NO_RESOURCES, NO_RESOURCES, NO_RESOURCES, byRank] })],
     missing: NO_RESOURCES,
     running: [],
   }));
@@ -52,7 +52,7 @@
 test('of a failing job one task at a time is assigned, with pauses that grow, in turn to the partitions, and for ever', () => {
   const { trials, assign } = failingJob();
   const times: number[] = [];
-  const parts: number[] = [];
+  const partitionIds: number[] = [];
   for (let now = 0; now < clusterConfig.cancellationBoundMs * 20; now += clusterConfig.heartbeatIntervalMs / 10) {
     const { assignments, unmet } = assign(now);
     assert.equal(unmet.length, 0);
@@ -60,8 +60,8 @@
     const { added } = assignments[0]!;
     assert.deepEqual([added.length, added[0]!.count], [1, 1]);
     times.push(now);
-    parts.push(added[0]!.part);
-    trials.tried(spec.id, added[0]!.part, now);
+    partitionIds.push(added[0]!.partitionId);
+    trials.tried(spec.id, added[0]!.partitionId, now);
   }
   // It is tried at once, then less and less often down to once in the time that a cancellation has.
   const pauses = times.slice(1).map((at, i) => at - times[i]!);
@@ -69,7 +69,7 @@
   assert.ok(pauses[0]! <= clusterConfig.heartbeatIntervalMs * 3);
   assert.ok(pauses.every((pause, i) => pause >= (pauses[i - 1] ?? 0) - clusterConfig.heartbeatIntervalMs));
   assert.ok(pauses.at(-1)! <= clusterConfig.cancellationBoundMs * 1.1 && pauses.length >= 18);
-  assert.ok(parts.every((part, i) => i === 0 || part !== parts[i - 1]));
+  assert.ok(partitionIds.every((partitionId, i) => i === 0 || partitionId !== partitionIds[i - 1]));
 });
 
 test('a trial waits for free room: it stops nobody, and nothing is asked for it', () => {
--- a/packages/daemon/src/claim-lists.ts
+++ b/packages/daemon/src/claim-lists.ts
@@ -1,5 +1,5 @@
 // What machines hold, as owners tell the leader while borrowing is on: one or several messages, and back.
-import type { HeldTask, MachineClaims, PartClaims } from '@gingerlock/borrowing';
+import type { HeldTask, MachineClaims, PartitionClaims } from '@gingerlock/borrowing';
 import type { ClaimTable } from '@gingerlock/core';
 import type { PeerMessage, PeerMessages } from '@gingerlock/peer';
 import { contentsOf, SenderAssemblies } from './pieces';
@@ -11,7 +11,7 @@
 const MACHINE_BYTES = 8;
 
 /** What the machines of the partition hold, as its owner knows it. */
-export function claimsOf(table: ClaimTable, revision: number, now: number): PartClaims {
+export function claimsOf(table: ClaimTable, revision: number, now: number): PartitionClaims {
   const machines: MachineClaims[] = [];
   for (const machine of table.machines.values()) {
     if (machine.claims.size === 0) continue;
@@ -22,7 +22,7 @@
     });
     machines.push({ machine: machine.name, held });
   }
-  return { part: table.part, term: table.term, revision, machines };
+  return { partitionId: table.partitionId, term: table.term, revision, machines };
 }
 
 function machineBytes({ machine, held }: MachineClaims): number {
@@ -30,12 +30,12 @@
   return MACHINE_BYTES + Buffer.byteLength(machine) + taskBytes;
 }
 
-export function claimListMessages(claims: PartClaims, sequence: number, frameBytes: number): PeerMessage[] {
-  const { part, term, revision } = claims;
+export function claimListMessages(claims: PartitionClaims, sequence: number, frameBytes: number): PeerMessage[] {
+  const { partitionId, term, revision } = claims;
   const contents = contentsOf(claims.machines, machineBytes, frameBytes);
   return contents.map((run, index) => ({
     kind: 'ClaimList',
-    part,
+    partitionId,
     term,
     revision,
     sequence,
@@ -46,7 +46,7 @@
 }
 
 interface SeenClaims {
-  readonly claims: PartClaims;
+  readonly claims: PartitionClaims;
   readonly at: number;
 }
 
@@ -59,23 +59,23 @@
   onPiece(from: string, piece: PeerMessages['ClaimList'], now: number): void {
     const all = this.#assemblies.add(from, piece);
     if (all === null) return;
-    const { part, term, revision } = piece;
-    this.note({ part, term, revision, machines: all.flatMap((p) => p.machines) }, now);
+    const { partitionId, term, revision } = piece;
+    this.note({ partitionId, term, revision, machines: all.flatMap((p) => p.machines) }, now);
   }
 
   /** Takes a whole list, unless a later one is known. */
-  note(claims: PartClaims, now: number): void {
-    const known = this.#seen.get(claims.part)?.claims;
+  note(claims: PartitionClaims, now: number): void {
+    const known = this.#seen.get(claims.partitionId)?.claims;
     if (known !== undefined && (claims.term < known.term || isOlder(claims, known))) return;
-    this.#seen.set(claims.part, { claims, at: now });
+    this.#seen.set(claims.partitionId, { claims, at: now });
   }
 
   /** The lists that were told since `since`. */
-  since(since: number): PartClaims[] {
+  since(since: number): PartitionClaims[] {
     return [...this.#seen.values()].filter((seen) => seen.at >= since).map((seen) => seen.claims);
   }
 }
 
-function isOlder(claims: PartClaims, than: PartClaims): boolean {
+function isOlder(claims: PartitionClaims, than: PartitionClaims): boolean {
   return claims.term === than.term && claims.revision < than.revision;
 }
--- a/packages/daemon/src/controller.ts
+++ b/packages/daemon/src/controller.ts
@@ -21,7 +21,7 @@
 import { LeaderBorrowing } from './leader-borrowing';
 import { LeaderGroups } from './leader-groups';
 import type { Log } from './log';
-import { PartOwner } from './owner';
+import { PartitionOwner } from './owner';
 import { OwnershipManager } from './ownership-manager';
 import { PeerChannel } from './peer-channel';
 import { PeerConfirmation } from './peer-confirmation';
@@ -60,7 +60,7 @@
   readonly #budget: Budget;
   readonly #users: Users;
   readonly #rendezvous: Rendezvous | null;
-  readonly #owners = new Map<number, PartOwner>();
+  readonly #owners = new Map<number, PartitionOwner>();
   readonly #ownership: OwnershipManager;
   readonly #peers: PeerChannel;
   readonly #summaries = new Summaries();
@@ -150,26 +150,26 @@
     this.#confirmation = new PeerConfirmation(this.state, this.replica, this.#peers, clusterConfig.heartbeatIntervalMs);
     this.#formerOwners = new FormerOwnerQueries(this.#owners, this.#peers, clusterConfig.heartbeatIntervalMs);
     this.#relay = new ReportRelay(this.settings, ports.clock, this.#peers, {
-      partitionOf: (report) => this.store.partition?.of(report.machine, report.zone),
-      ownerOf: (part) => this.#ownerOf(part),
-      owns: (part) => this.#owners.has(part),
-      answer: (part, report) => this.#answer(part, report),
-      onRelayed: (part) => this.#workerReach.relayed(part, this.clock.now()),
-      missedByOwner: (part, machine) => this.#missedByOwner(part, machine),
+      partitionOf: (report) => this.store.partitioner?.partitionOf(report.machine, report.zone),
+      ownerOf: (partitionId) => this.#ownerOf(partitionId),
+      owns: (partitionId) => this.#owners.has(partitionId),
+      answer: (partitionId, report) => this.#answer(partitionId, report),
+      onRelayed: (partitionId) => this.#workerReach.relayed(partitionId, this.clock.now()),
+      missedByOwner: (partitionId, machine) => this.#missedByOwner(partitionId, machine),
     });
     this.shared.announce = (revision) => {
       this.#peers.broadcast({ kind: 'Hint', revision });
       this.replica.hint(revision);
     };
     this.shared.announceCancelled = (job) => this.#peers.broadcast({ kind: 'JobCancelled', job });
-    this.shared.spareCapacity = (exceptPart) =>
-      this.#summaries.spareCapacity(exceptPart, this.clock.now() - clusterConfig.heartbeatIntervalMs * 2);
+    this.shared.spareCapacity = (exceptPartitionId) =>
+      this.#summaries.spareCapacity(exceptPartitionId, this.clock.now() - clusterConfig.heartbeatIntervalMs * 2);
     this.store.onJob = (id) => {
       for (const owner of this.#owners.values()) owner.jobChanged(id);
     };
-    this.store.onReclaimEnded = (part, revision) => this.#leader?.borrowing?.reclaimEnded(part, revision);
-    this.store.onMembership = (part, machine, present) =>
-      this.#owners.get(part)?.claimTable.setMember(machine, present);
+    this.store.onReclaimEnded = (partitionId, revision) => this.#leader?.borrowing?.reclaimEnded(partitionId, revision);
+    this.store.onMembership = (partitionId, machine, present) =>
+      this.#owners.get(partitionId)?.claimTable.setMember(machine, present);
     this.link.onMessage = (from, message) => {
       try {
         this.#fromPeer(from, message);
@@ -194,7 +194,7 @@
   }
 
   /** The parts that this controller owns now. */
-  owned(): readonly PartOwner[] {
+  owned(): readonly PartitionOwner[] {
     return [...this.#owners.values()];
   }
 
@@ -270,9 +270,12 @@
       this.#leader = this.#newLeader(tenure);
       return;
     }
-    const part = Number(tenure.resource);
-    const before = this.#summaries.of(part)?.summary.machines ?? [];
-    this.#owners.set(part, new PartOwner(this.shared, part, tenure, new Map(before.map((m) => [m.name, m] as const))));
+    const partitionId = Number(tenure.resource);
+    const before = this.#summaries.of(partitionId)?.summary.machines ?? [];
+    this.#owners.set(
+      partitionId,
+      new PartitionOwner(this.shared, partitionId, tenure, new Map(before.map((m) => [m.name, m] as const))),
+    );
   }
 
   #newLeader(tenure: Tenure): Leader {
@@ -292,8 +295,8 @@
       this.#leader.stop();
       this.#leader = null;
     }
-    const part = Number(tenure.resource);
-    if (this.#owners.get(part)?.tenure === tenure) this.#owners.delete(part);
+    const partitionId = Number(tenure.resource);
+    if (this.#owners.get(partitionId)?.tenure === tenure) this.#owners.delete(partitionId);
   }
 
   // --- workers -----------------------------------------------------------------------------------------------------
@@ -311,15 +314,15 @@
       return refusal(400, error instanceof Malformed ? error.message : 'malformed');
     }
     this.#workerReach.direct(this.clock.now());
-    const { partition } = this.store;
-    if (partition === null) return refusal(503, 'starting');
-    const part = partition.of(report.machine, report.zone);
-    if (this.#owners.has(part)) return this.#answer(part, report);
-    return this.#relay.forward(part, report, body);
+    const { partitioner } = this.store;
+    if (partitioner === null) return refusal(503, 'starting');
+    const partitionId = partitioner.partitionOf(report.machine, report.zone);
+    if (this.#owners.has(partitionId)) return this.#answer(partitionId, report);
+    return this.#relay.forward(partitionId, report, body);
   }
 
-  #answer(part: number, report: WorkerReport): Reply {
-    const owner = this.#owners.get(part)!;
+  #answer(partitionId: number, report: WorkerReport): Reply {
+    const owner = this.#owners.get(partitionId)!;
     const now = this.clock.now();
     // Between the two requests of a full reload the records may show the next owner before that is acted upon.
     if (!owner.isOwner()) return refusal(503, 'part was taken over');
@@ -334,7 +337,7 @@
         this.log.debug({ machine: report.machine, why: outcome.why }, 'report refused');
         return refusal(503, outcome.why);
       case 'superseded':
-        this.log.info({ part, machine: report.machine, token: report.token }, 'superseded');
+        this.log.info({ partitionId, machine: report.machine, token: report.token }, 'superseded');
         this.#ownership.superseded(owner.tenure);
         return { status: 421, body: encodeReportTo(null) };
     }
@@ -344,15 +347,15 @@
    * Who owns the part, as far as we know; null: nobody now. What an owner says of itself may be newer than our replica:
    * a controller without the state service still sends workers the right way.
    */
-  #ownerOf(part: number): string | null {
-    const owner = this.store.owners.get(String(part));
-    const seen = this.#summaries.of(part);
+  #ownerOf(partitionId: number): string | null {
+    const owner = this.store.owners.get(String(partitionId));
+    const seen = this.#summaries.of(partitionId);
     if (seen !== undefined && seen.summary.term > (owner?.record.term ?? 0)) return seen.owner;
-    return this.store.holds.has(String(part)) ? (owner?.record.node ?? null) : null;
+    return this.store.holds.has(String(partitionId)) ? (owner?.record.node ?? null) : null;
   }
 
-  #missedByOwner(part: number, machine: string): boolean {
-    const seen = this.#summaries.of(part);
+  #missedByOwner(partitionId: number, machine: string): boolean {
+    const seen = this.#summaries.of(partitionId);
     const room = seen?.summary.machines.find((m) => m.name === machine);
     if (room === undefined) return false;
     const { heartbeatIntervalMs, workerLeaseMs } = this.settings.clusterConfig;
@@ -391,7 +394,7 @@
         this.store.markCancelled(message.job);
         return;
       case 'Summary':
-        if (!this.#owners.has(message.part)) this.#summaries.onSummary(message, now);
+        if (!this.#owners.has(message.partitionId)) this.#summaries.onSummary(message, now);
         return;
       case 'ClaimList':
         if (this.settings.features.borrowing !== null) this.#claimLists.onPiece(from, message, now);
@@ -400,7 +403,7 @@
         if (this.settings.features.replicaGroups !== null) this.#groupReports.onPiece(from, message);
         return;
       case 'SummaryPiece':
-        if (!this.#owners.has(message.part)) this.#summaries.onPiece(from, message, now);
+        if (!this.#owners.has(message.partitionId)) this.#summaries.onPiece(from, message, now);
         return;
       case 'FleetOrders':
         if (this.store.owners.get(LEAD)?.record.term === message.term) this.#obey(message.drain, message.gone);
@@ -412,7 +415,7 @@
         this.#confirmation.onAnswer(from, message);
         return;
       case 'OwnershipQuery': {
-        const owns = this.#ownership.ownsAfterQuery(message.part, message.term);
+        const owns = this.#ownership.ownsAfterQuery(message.partitionId, message.term);
         this.link.send(from, { kind: 'OwnershipAnswer', id: message.id, owns });
         return;
       }
--- a/packages/daemon/src/fleet-manager.ts
+++ b/packages/daemon/src/fleet-manager.ts
@@ -138,7 +138,7 @@
     const { clusterConfig, clock, store, log } = shared;
     const now = clock.now();
     const current = this.view.summaries(now);
-    const allHeard = current.length === (store.meta?.parts ?? Infinity);
+    const allHeard = current.length === (store.meta?.partitionCount ?? Infinity);
     // Until all that is up has been heard, or has had the time to be, what is free is not known.
     const isFleetHeard = now - this.#since >= clusterConfig.heartbeatIntervalMs * 2 || this.#fleet.allHeard(current);
     if (!this.#listed || !allHeard || !isFleetHeard || this.#offers.current.size === 0) return;
@@ -147,7 +147,7 @@
       types: this.#offers.current,
       summaries: current,
       unmet: this.view.unmet(),
-      parts: store.partition!,
+      partitioner: store.partitioner!,
       pinned: this.view.pinned(),
     });
     this.#drain = plan.drain;
--- a/packages/daemon/src/former-owners.ts
+++ b/packages/daemon/src/former-owners.ts
@@ -1,11 +1,11 @@
 // Asks the controllers from which partitions of ours were taken whether they have given them up: if so, no worker has been
 // answered by them since, and the fencing period ends sooner.
 import type { PeerMessages } from '@gingerlock/peer';
-import type { PartOwner } from './owner';
+import type { PartitionOwner } from './owner';
 import type { PeerChannel } from './peer-channel';
 
 interface OwnerQuery {
-  readonly part: number;
+  readonly partitionId: number;
   readonly term: number;
   readonly at: number;
 }
@@ -15,7 +15,7 @@
   #askedAt = -Infinity;
 
   constructor(
-    readonly owners: ReadonlyMap<number, PartOwner>,
+    readonly owners: ReadonlyMap<number, PartitionOwner>,
     readonly peers: PeerChannel,
     readonly heartbeatIntervalMs: number,
   ) {}
@@ -24,18 +24,18 @@
     if (now - this.#askedAt < this.heartbeatIntervalMs / 2) return;
     this.#askedAt = now;
     for (const [id, query] of this.#open) if (now - query.at > this.heartbeatIntervalMs * 2) this.#open.delete(id);
-    for (const { part, tenure, claimTable } of this.owners.values()) {
+    for (const { partitionId, tenure, claimTable } of this.owners.values()) {
       const { term, formerOwner } = tenure;
       if (formerOwner === null || claimTable.cleared) continue;
       const id = this.peers.nextRequestId();
-      this.#open.set(id, { part, term, at: now });
-      this.peers.send(formerOwner.node, { kind: 'OwnershipQuery', id, part, term });
+      this.#open.set(id, { partitionId, term, at: now });
+      this.peers.send(formerOwner.node, { kind: 'OwnershipQuery', id, partitionId, term });
     }
   }
 
   onAnswer(from: string, { id, owns }: PeerMessages['OwnershipAnswer'], now: number, wall: number): void {
     const query = this.#open.get(id);
-    const owner = query === undefined ? undefined : this.owners.get(query.part);
+    const owner = query === undefined ? undefined : this.owners.get(query.partitionId);
     if (query === undefined || owns || owner?.tenure.term !== query.term) return;
     owner.tenure.formerOwnerEnded(from, now, wall);
     owner.claimTable.fencedUntil = owner.tenure.fencedUntil;
--- a/packages/daemon/src/group-reports.ts
+++ b/packages/daemon/src/group-reports.ts
@@ -1,5 +1,5 @@
 // What owners tell the leader of the members of replica groups: one or several messages, and back.
-import type { GroupReport, PartGroupReport } from '@gingerlock/replica-groups';
+import type { GroupReport, PartitionGroupReport } from '@gingerlock/replica-groups';
 import type { PeerGroupReport, PeerMessage, PeerMessages } from '@gingerlock/peer';
 import { GROUP_REASONS } from '@gingerlock/wire';
 import { contentsOf, SenderAssemblies } from './pieces';
@@ -34,12 +34,12 @@
   };
 }
 
-export function groupReportMessages(report: PartGroupReport, sequence: number, frameBytes: number): PeerMessage[] {
-  const { part, term, revision } = report;
+export function groupReportMessages(report: PartitionGroupReport, sequence: number, frameBytes: number): PeerMessage[] {
+  const { partitionId, term, revision } = report;
   const contents = contentsOf(report.groups, groupBytes, frameBytes);
   return contents.map((run, index) => ({
     kind: 'GroupReports',
-    part,
+    partitionId,
     term,
     revision,
     sequence,
@@ -51,31 +51,31 @@
 
 /** The newest report of each partition. */
 export class GroupReports {
-  readonly #seen = new Map<number, PartGroupReport & { readonly byJob: ReadonlyMap<string, GroupReport> }>();
+  readonly #seen = new Map<number, PartitionGroupReport & { readonly byJob: ReadonlyMap<string, GroupReport> }>();
   readonly #assemblies = new SenderAssemblies<PeerMessages['GroupReports']>();
 
   /** Takes a piece from another controller. */
   onPiece(from: string, piece: PeerMessages['GroupReports']): void {
     const all = this.#assemblies.add(from, piece);
     if (all === null) return;
-    const { part, term, revision } = piece;
-    this.note({ part, term, revision, groups: all.flatMap(({ groups }) => groups.map(fromPeer)) });
+    const { partitionId, term, revision } = piece;
+    this.note({ partitionId, term, revision, groups: all.flatMap(({ groups }) => groups.map(fromPeer)) });
   }
 
   /** Takes a whole report, unless a later one is known. */
-  note(report: PartGroupReport): void {
-    const known = this.#seen.get(report.part);
+  note(report: PartitionGroupReport): void {
+    const known = this.#seen.get(report.partitionId);
     if (known !== undefined && report.term < known.term) return;
     if (known !== undefined && report.term === known.term && report.revision < known.revision) return;
-    this.#seen.set(report.part, { ...report, byJob: new Map(report.groups.map((group) => [group.job, group])) });
+    this.#seen.set(report.partitionId, { ...report, byJob: new Map(report.groups.map((group) => [group.job, group])) });
   }
 
   /**
    * What the owner of that term tells of the group, once it has read the group's record at that version; null: nothing. Nothing is told of
    * a group that serves well.
    */
-  of(part: number, term: number, job: string, version: number): GroupReport | null {
-    const report = this.#seen.get(part);
+  of(partitionId: number, term: number, job: string, version: number): GroupReport | null {
+    const report = this.#seen.get(partitionId);
     if (report === undefined || report.term !== term || report.revision < version) return null;
     return report.byJob.get(job) ?? null;
   }
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -6,7 +6,7 @@
 export { SummaryAssembly, summaryMessages } from './summary-pieces';
 export { TransactionRoom } from './transaction-room';
 export { LeaderBorrowing } from './leader-borrowing';
-export { PartOwner } from './owner';
+export { PartitionOwner } from './owner';
 export { OwnerReclaims } from './owner-reclaims';
 export { LeaderGroups } from './leader-groups';
 export { OwnerGroups } from './owner-groups';
--- a/packages/daemon/src/leader-borrowing.ts
+++ b/packages/daemon/src/leader-borrowing.ts
@@ -7,7 +7,7 @@
   type Decision,
   heldBackGpus,
   lent,
-  type PartClaims,
+  type PartitionClaims,
   planReclaims,
   reclaimBoundMs,
   type Refused,
@@ -69,8 +69,8 @@
   ) {}
 
   /** A reclaim of the partition has ended. */
-  reclaimEnded(part: number, revision: number): void {
-    this.#endedAt.set(part, Math.max(this.#endedAt.get(part) ?? 0, revision));
+  reclaimEnded(partitionId: number, revision: number): void {
+    this.#endedAt.set(partitionId, Math.max(this.#endedAt.get(partitionId) ?? 0, revision));
   }
 
   /** By team: GPUs of its guarantee that others leave free for it. */
@@ -99,16 +99,21 @@
   }
 
   #pending(): ReclaimRecord[] {
-    return [...this.shared.store.reclaims.values()].flatMap((ofPart) => [...ofPart.values()].map((r) => r.record));
+    return [...this.shared.store.reclaims.values()].flatMap((ofPartition) =>
+      [...ofPartition.values()].map((r) => r.record),
+    );
   }
 
   /** What machines hold, of the partitions of which that is known as it stands after all reclaims that have ended. */
-  #claims(summaries: readonly PartSummary[]): PartClaims[] {
+  #claims(summaries: readonly PartSummary[]): PartitionClaims[] {
     const { clock, clusterConfig } = this.shared;
-    const terms = new Map(summaries.map(({ part, term }) => [part, term]));
+    const terms = new Map(summaries.map(({ partitionId, term }) => [partitionId, term]));
     return this.lists
       .since(clock.now() - clusterConfig.heartbeatIntervalMs * CLAIMS_INTERVALS)
-      .filter(({ part, term, revision }) => terms.get(part) === term && revision >= (this.#endedAt.get(part) ?? 0));
+      .filter(
+        ({ partitionId, term, revision }) =>
+          terms.get(partitionId) === term && revision >= (this.#endedAt.get(partitionId) ?? 0),
+      );
   }
 
   /** The record of a decision, under a name that is never used again: it carries the leader's term. */
@@ -116,7 +121,7 @@
     const id = `${this.tenure.term}-${++this.#counter}`;
     const decidedAt = Math.round(this.shared.clock.wall());
     return {
-      key: KEYS.reclaim(places[0]!.part, id),
+      key: KEYS.reclaim(places[0]!.partitionId, id),
       record: { machine, job: job.id, tasks, victims, decidedAt, reason },
     };
   }
@@ -133,10 +138,10 @@
     const { store, clock } = this.shared;
     const wall = clock.wall();
     const found: AbandonedReclaim[] = [];
-    for (const [part, ofPart] of store.reclaims) {
-      for (const [id, { record, version }] of ofPart) {
+    for (const [partitionId, ofPartition] of store.reclaims) {
+      for (const [id, { record, version }] of ofPartition) {
         const boundMs = this.#boundMs(record) * ABANDONED_BOUNDS;
-        if (wall - record.decidedAt > boundMs) found.push({ key: KEYS.reclaim(part, id), version });
+        if (wall - record.decidedAt > boundMs) found.push({ key: KEYS.reclaim(partitionId, id), version });
       }
     }
     return found;
--- a/packages/daemon/src/leader-groups.ts
+++ b/packages/daemon/src/leader-groups.ts
@@ -114,9 +114,9 @@
       wall: clock.wall(),
       storedForMs: stored === null ? 0 : clock.now() - this.#knownSince(job.id, stored.version),
       longestSaveS: this.#longestSaveS,
-      reportOf: (part) => {
-        const term = store.owners.get(String(part))?.record.term ?? 0;
-        return this.reports.of(part, term, job.id, stored?.version ?? Infinity);
+      reportOf: (partitionId) => {
+        const term = store.owners.get(String(partitionId))?.record.term ?? 0;
+        return this.reports.of(partitionId, term, job.id, stored?.version ?? Infinity);
       },
     };
   }
@@ -191,10 +191,10 @@
     const next = nextRecord(job, stored?.record ?? null, this.#contextOf(job));
     if (next === null || batch.jobs.has(job.id)) return true;
     // Members are admitted for the owners that keep their room now: a later one would start none of them.
-    const owners = next.state === 'admitted' ? new Set(next.members.map(({ part }) => part)) : [];
-    for (const part of owners) {
-      const owner = this.shared.store.owners.get(String(part));
-      if (owner !== undefined && !batch.requireOwner({ key: KEYS.owner(String(part)), version: owner.version }))
+    const owners = next.state === 'admitted' ? new Set(next.members.map(({ partitionId }) => partitionId)) : [];
+    for (const partitionId of owners) {
+      const owner = this.shared.store.owners.get(String(partitionId));
+      if (owner !== undefined && !batch.requireOwner({ key: KEYS.owner(String(partitionId)), version: owner.version }))
         return false;
     }
     const change = { put: KEYS.group(job.id), value: groupRecord.write(next) };
@@ -207,11 +207,12 @@
   addReservations(
     batch: JobBatch,
     placements: readonly GroupPlacement[],
-  ): { part: number; machine: string; need: Job['spec'] }[] {
-    const meant: { part: number; machine: string; need: Job['spec'] }[] = [];
+  ): { partitionId: number; machine: string; need: Job['spec'] }[] {
+    const meant: { partitionId: number; machine: string; need: Job['spec'] }[] = [];
     for (const placement of placements) {
       if (batch.jobs.has(placement.job.id) || !this.#addReservation(batch, placement)) continue;
-      for (const { part, machine } of placement.members) meant.push({ part, machine, need: placement.job.spec });
+      for (const { partitionId, machine } of placement.members)
+        meant.push({ partitionId, machine, need: placement.job.spec });
     }
     this.#inFlight = meant.map(({ machine }) => machine);
     return meant;
@@ -222,7 +223,7 @@
     const { store, clock } = this.shared;
     if (batch.changes.length + CHANGES_PER_RESERVATION > this.shared.settings.txnOps) return false;
     const stored = this.#stored(job);
-    const kept = members.map(({ part, machine }) => ({ part, machine, attempt: null }));
+    const kept = members.map(({ partitionId, machine }) => ({ partitionId, machine, attempt: null }));
     const next = reserve(stored?.record ?? null, kept, Math.round(clock.wall()));
     const value = groupRecord.write(next);
     const rounds = roundsOf(
@@ -234,9 +235,9 @@
       this.shared.log.error({ job: job.id, members: members.length }, 'group too large, not placed');
       return false;
     }
-    for (const part of new Set(members.map((member) => member.part))) {
-      const owner = store.owners.get(String(part));
-      if (owner !== undefined && !batch.requireOwner({ key: KEYS.owner(String(part)), version: owner.version }))
+    for (const partitionId of new Set(members.map((member) => member.partitionId))) {
+      const owner = store.owners.get(String(partitionId));
+      if (owner !== undefined && !batch.requireOwner({ key: KEYS.owner(String(partitionId)), version: owner.version }))
         return false;
     }
     if (!batch.requireVersion({ key: KEYS.group(job.id), version: stored?.version ?? 0 })) return false;
--- a/packages/daemon/src/leader.ts
+++ b/packages/daemon/src/leader.ts
@@ -23,7 +23,7 @@
 
 interface Meant {
   readonly revision: number;
-  readonly part: number;
+  readonly partitionId: number;
   readonly machine: string;
   readonly need: { cpus: number; gpus: number; memoryGb: number };
 }
@@ -102,7 +102,7 @@
       .filter(
         (s) =>
           now - s.at < clusterConfig.heartbeatIntervalMs * 2 &&
-          store.owners.get(String(s.summary.part))?.record.term === s.summary.term,
+          store.owners.get(String(s.summary.partitionId))?.record.term === s.summary.term,
       )
       .map((s) => s.summary);
   }
@@ -136,7 +136,9 @@
     this.groups?.begin();
     this.#close(batch);
     this.groups?.addChanges(batch);
-    this.#recent = this.#recent.filter((r) => current.some((s) => s.part === r.part && s.revision < r.revision));
+    this.#recent = this.#recent.filter((r) =>
+      current.some((s) => s.partitionId === r.partitionId && s.revision < r.revision),
+    );
     const result = assignTasks({
       now,
       trials: this.#trials,
@@ -181,12 +183,12 @@
 
   #strandedTasks(summaries: readonly PartSummary[]): Unmet[] {
     const { store, clusterConfig } = this.shared;
-    if (store.partition === null) return [];
+    if (store.partitioner === null) return [];
     return strandedTasks({
       jobs: store.jobs.live.values(),
       summaries,
       types: store.types,
-      partition: store.partition,
+      partitioner: store.partitioner,
       zones: clusterConfig.zones,
       isFrozen: (job) => this.#isFrozen(job),
     });
@@ -196,8 +198,8 @@
   #isFrozen(job: Job): boolean {
     const { settings } = this.shared;
     if (job.rounds.length * LARGEST_ROUND_BYTES < settings.valueBytes) return false;
-    return [...new Set(job.rounds.map(({ part }) => part))].every((part) => {
-      const rounds = job.rounds.filter((round) => round.part !== part);
+    return [...new Set(job.rounds.map(({ partitionId }) => partitionId))].every((partitionId) => {
+      const rounds = job.rounds.filter((round) => round.partitionId !== partitionId);
       return !this.shared.fitsValue(recordOf(job, job.failing, rounds));
     });
   }
@@ -229,7 +231,7 @@
   #noteTrials(assignments: readonly Assignment[], batch: JobBatch, now: number): void {
     for (const { job, added } of assignments) {
       if (!batch.jobs.has(job.id) || !job.markedFailing) continue;
-      if (isTried(job, this.#trials)) this.#trials.tried(job.id, added[0]!.part, now);
+      if (isTried(job, this.#trials)) this.#trials.tried(job.id, added[0]!.partitionId, now);
     }
     for (const id of batch.jobs) if (this.#trials.isProven(id)) this.#trials.cleared(id);
   }
@@ -261,8 +263,8 @@
       if (!this.#requireOwners(batch, added)) return meant;
       if (!batch.put(job, recordWith(job, isTried(job, this.#trials), added))) return meant;
       for (const { machine, need } of assignment.meant) {
-        const { part } = current.find((s) => s.machines.some((m) => m.name === machine))!;
-        meant.push({ part, machine, need });
+        const { partitionId } = current.find((s) => s.machines.some((m) => m.name === machine))!;
+        meant.push({ partitionId, machine, need });
       }
     }
     return meant;
@@ -297,7 +299,7 @@
     if (!this.shared.fitsValue(record) || !this.shared.fitsValue(value)) return null;
     const rounds = roundsOf(tasks, places);
     if (!this.#requireOwners(batch, rounds) || !batch.put(job, record, { put: reclaim.key, value })) return null;
-    const meant = tasks.map(() => ({ part: places[0]!.part, machine, need: job.spec }));
+    const meant = tasks.map(() => ({ partitionId: places[0]!.partitionId, machine, need: job.spec }));
     return { decision, key: reclaim.key, meant };
   }
 
@@ -310,9 +312,11 @@
 
   /** Makes the batch rest on the owners of the partitions that the rounds name; false: it has no room for that. */
   #requireOwners(batch: JobBatch, rounds: readonly Round[]): boolean {
-    return rounds.every(({ part }) => {
-      const owner = this.shared.store.owners.get(String(part));
-      return owner === undefined || batch.requireOwner({ key: KEYS.owner(String(part)), version: owner.version });
+    return rounds.every(({ partitionId }) => {
+      const owner = this.shared.store.owners.get(String(partitionId));
+      return (
+        owner === undefined || batch.requireOwner({ key: KEYS.owner(String(partitionId)), version: owner.version })
+      );
     });
   }
 
--- a/packages/daemon/src/owner-groups.ts
+++ b/packages/daemon/src/owner-groups.ts
@@ -1,13 +1,13 @@
 // The owner's part in replica groups: what its claim table asks of them, and what its leader is told.
 import type { ClaimTable, Slot } from '@gingerlock/core';
-import { PartGroups, type PartGroupReport } from '@gingerlock/replica-groups';
+import { PartitionGroups, type PartitionGroupReport } from '@gingerlock/replica-groups';
 import type { Shared } from './shared';
 
 export class OwnerGroups {
-  readonly members: PartGroups;
+  readonly members: PartitionGroups;
 
   constructor(readonly shared: Shared) {
-    this.members = new PartGroups(shared.store.groups);
+    this.members = new PartitionGroups(shared.store.groups);
   }
 
   attach(table: ClaimTable): void {
@@ -24,7 +24,7 @@
     return this.members.step();
   }
 
-  report({ part, term }: ClaimTable, now: number): PartGroupReport {
-    return { part, term, revision: this.shared.replica.revision, groups: this.members.reports(now) };
+  report({ partitionId, term }: ClaimTable, now: number): PartitionGroupReport {
+    return { partitionId, term, revision: this.shared.replica.revision, groups: this.members.reports(now) };
   }
 }
--- a/packages/daemon/src/owner-reclaims.ts
+++ b/packages/daemon/src/owner-reclaims.ts
@@ -1,5 +1,5 @@
 // The owner's part in borrowing: carries the reclaims of one partition out and has the records of those that are over removed.
-import { PartReclaims, type Reclaim } from '@gingerlock/borrowing';
+import { PartitionReclaims, type Reclaim } from '@gingerlock/borrowing';
 import type { ClaimTable, Slot } from '@gingerlock/core';
 import { type Change, type Condition, KEYS } from '@gingerlock/wire';
 import type { Shared } from './shared';
@@ -11,13 +11,13 @@
 }
 
 export class OwnerReclaims {
-  readonly reservations: PartReclaims;
+  readonly reservations: PartitionReclaims;
 
   constructor(
     readonly shared: Shared,
-    readonly part: number,
+    readonly partitionId: number,
   ) {
-    this.reservations = new PartReclaims({ moved: (reclaim, detail) => this.#tell(reclaim, detail) });
+    this.reservations = new PartitionReclaims({ moved: (reclaim, detail) => this.#tell(reclaim, detail) });
   }
 
   attach(table: ClaimTable): void {
@@ -27,7 +27,7 @@
   /** Returns the tasks that are to be told to stop now. */
   step(table: ClaimTable, now: number): readonly Slot[] {
     const { store, clock } = this.shared;
-    const records = new Map([...store.reclaimsOf(this.part)].map(([id, { record }]) => [id, record]));
+    const records = new Map([...store.reclaimsOf(this.partitionId)].map(([id, { record }]) => [id, record]));
     this.reservations.sync(records);
     const stopped = this.reservations.step(table, clock.wall(), now);
     if (stopped.length > 0) table.noteChange();
@@ -35,18 +35,18 @@
   }
 
   removals(): ReclaimRemoval[] {
-    const known = this.shared.store.reclaimsOf(this.part);
+    const known = this.shared.store.reclaimsOf(this.partitionId);
     return this.reservations.over.flatMap(({ id }) => {
       const stored = known.get(id);
       if (stored === undefined) return [];
-      const key = KEYS.reclaim(this.part, id);
+      const key = KEYS.reclaim(this.partitionId, id);
       return { conditions: [{ key, version: stored.version }], change: { remove: key } };
     });
   }
 
   #tell({ id, record, state }: Reclaim, detail: Record<string, unknown>): void {
     const { machine, job, reason } = record;
-    const reclaim = KEYS.reclaim(this.part, id);
+    const reclaim = KEYS.reclaim(this.partitionId, id);
     this.shared.log.info({ reclaim, job, machine, tasks: record.tasks.length, reason, ...detail }, `reclaim ${state}`);
   }
 }
--- a/packages/daemon/src/owner-writes.ts
+++ b/packages/daemon/src/owner-writes.ts
@@ -38,7 +38,7 @@
 
   constructor(
     readonly shared: Shared,
-    readonly part: number,
+    readonly partitionId: number,
     readonly tenure: Tenure,
     readonly claimTable: ClaimTable,
     /** Null: borrowing is off. */
@@ -53,7 +53,7 @@
     try {
       for (let more = true; more;) more = await this.#writeOnce();
     } catch (error) {
-      this.shared.log.error({ part: this.part, error: String(error) }, 'write failed');
+      this.shared.log.error({ partitionId: this.partitionId, error: String(error) }, 'write failed');
     } finally {
       this.#writing = false;
     }
@@ -69,7 +69,7 @@
   #writes(now: number): { writes: Write[]; urgency: (typeof URGENCY)[keyof typeof URGENCY] } {
     const { store, replica } = this.shared;
     const writes: Write[] = [];
-    const membership = store.membership(this.part);
+    const membership = store.membership(this.partitionId);
     for (const m of this.claimTable.machines.values()) {
       if (!m.synchronised || m.answeredAt === null || m.isMember || this.membershipRemovals.has(m.name)) continue;
       if (membership.has(m.name)) {
@@ -78,7 +78,7 @@
         continue;
       }
       // A name goes into the membership before its first grant, so that a new owner knows to ask for it.
-      const key = KEYS.membership(this.part, m.name);
+      const key = KEYS.membership(this.partitionId, m.name);
       writes.push({
         conditions: [{ key, version: replica.version(key) }],
         change: { put: key, value: membershipRecord.write(m.addr) },
@@ -104,7 +104,7 @@
           this.membershipRemovals.delete(name);
           continue;
         }
-        const key = KEYS.membership(this.part, name);
+        const key = KEYS.membership(this.partitionId, name);
         writes.push({
           conditions: [{ key, version: replica.version(key) }],
           change: { remove: key },
@@ -138,7 +138,7 @@
 
   #recordWithout(job: Job, slots: readonly Slot[]): unknown {
     const { spec, acceptedAt, cancelled } = job;
-    const left = withoutTasks(job.rounds, this.part, new Set(slots.map((s) => s.index)));
+    const left = withoutTasks(job.rounds, this.partitionId, new Set(slots.map((s) => s.index)));
     // Finished tasks are off their machines: of a cancelled job nothing is left to wait for when only they remain.
     const rounds = joinRounds(left, (task) => job.isFinished(task));
     if (cancelled && rounds.length === 0) return jobRecord.write({ final: 'cancelled' });
@@ -161,7 +161,7 @@
     const limits = { pageTasks: this.shared.store.meta!.pageTasks, valueBytes: this.shared.settings.valueBytes };
     const pages = new Map<string, Bits>();
     for (const slot of slots) {
-      const { key, first, bits } = finishedPageFor(job, this.part, slot.index, limits);
+      const { key, first, bits } = finishedPageFor(job, this.partitionId, slot.index, limits);
       pages.set(key, (pages.get(key) ?? bits).with(slot.index - first));
     }
     return [...pages].map(([key, bits]) => {
@@ -182,7 +182,7 @@
     const conditions = [this.tenure.condition, ...batch.flatMap((w) => w.conditions)];
     const changes = batch.map((w) => w.change);
     shared.log.debug(
-      { part: this.part, urgency, keys: changes.map((c) => ('put' in c ? c.put : c.remove)) },
+      { partitionId: this.partitionId, urgency, keys: changes.map((c) => ('put' in c ? c.put : c.remove)) },
       'writing',
     );
     const done = await shared.settle(urgency, conditions, changes, () => this.tenure.isCurrent);
--- a/packages/daemon/src/owner.ts
+++ b/packages/daemon/src/owner.ts
@@ -28,7 +28,7 @@
 const CALL_ROUND_LEASES = 0.5;
 
 /** One part that this controller owns: its claim table, and the writes that follow from it. */
-export class PartOwner {
+export class PartitionOwner {
   readonly claimTable: ClaimTable;
   /** Null: borrowing is off. */
   readonly reclaims: OwnerReclaims | null;
@@ -49,38 +49,38 @@
 
   constructor(
     readonly shared: Shared,
-    readonly part: number,
+    readonly partitionId: number,
     /** Fixed for the life of this object: all that it writes and sends rests on the term and version of this one tenure. */
     readonly tenure: Tenure,
     before: ReadonlyMap<string, MachineRoom>,
   ) {
     const { store, clusterConfig, clock, log } = shared;
     this.#before = before;
-    this.reclaims = shared.settings.features.borrowing === null ? null : new OwnerReclaims(shared, part);
+    this.reclaims = shared.settings.features.borrowing === null ? null : new OwnerReclaims(shared, partitionId);
     this.groups = shared.settings.features.replicaGroups === null ? null : new OwnerGroups(shared);
     this.claimTable = new ClaimTable({
       clusterConfig,
-      part,
+      partitionId,
       term: tenure.term,
       fencedUntil: tenure.fencedUntil,
       openedAt: tenure.takenAt,
       jobs: store.jobs,
       types: () => store.types,
-      membership: store.membership(part),
+      membership: store.membership(partitionId),
       reservations: this.#reservations(),
       ...(this.reclaims === null ? {} : { preempts: false }),
       ...(this.groups === null ? {} : { members: this.groups.members }),
       attemptsPerTerm: shared.limits.attemptsPerTerm,
       images: new Map([...before].map(([name, m]) => [name, m.images])),
-      log: (message, detail) => log.debug({ part, ...detail }, message),
-      alarm: (message, detail) => log.error({ part, term: tenure.term, ...detail }, message),
+      log: (message, detail) => log.debug({ partitionId, ...detail }, message),
+      alarm: (message, detail) => log.error({ partitionId, term: tenure.term, ...detail }, message),
     });
     for (const id of store.jobs.live.keys()) this.claimTable.syncJob(id, clock.now());
     this.reclaims?.attach(this.claimTable);
     this.groups?.attach(this.claimTable);
     this.groups?.changed();
     this.#messages = new WorkerMessages(shared, this.claimTable);
-    this.#writes = new OwnerWrites(shared, part, tenure, this.claimTable, this.reclaims, () => this.isOwner());
+    this.#writes = new OwnerWrites(shared, partitionId, tenure, this.claimTable, this.reclaims, () => this.isOwner());
   }
 
   /**
@@ -132,7 +132,7 @@
       this.#rooms = rooms;
       this.#writes.stuck = stuck;
       if (this.mayGrant(now))
-        stopped.push(...vacate(this.claimTable, rooms, () => this.shared.spareCapacity(this.part), now));
+        stopped.push(...vacate(this.claimTable, rooms, () => this.shared.spareCapacity(this.partitionId), now));
       this.#pushAll(stopped);
       if (this.mayGrant(now))
         for (const machine of toCall(this.claimTable, now)) this.#messages.callForReport(machine, now);
--- a/packages/daemon/src/ownership-manager.ts
+++ b/packages/daemon/src/ownership-manager.ts
@@ -11,7 +11,7 @@
   type Versioned,
 } from '@gingerlock/core';
 import { FORMAT, KEYS, LEAD, metaRecord, type OwnerRecord } from '@gingerlock/wire';
-import type { PartOwner } from './owner';
+import type { PartitionOwner } from './owner';
 import type { Settings } from './settings';
 import type { Shared } from './shared';
 import type { WorkerReach } from './worker-reach';
@@ -78,7 +78,7 @@
       void this.#found();
       return;
     }
-    if (this.#ownerships.size === 0) this.#open(store.meta.parts);
+    if (this.#ownerships.size === 0) this.#open(store.meta.partitionCount);
     for (const ownership of this.#ownerships.values()) this.#decide(ownership);
   }
 
@@ -107,10 +107,12 @@
     const { shared } = this;
     const tasks = Math.floor(this.#settings.valueBytes * PAGE_SHARE) * TASKS_PER_CHARACTER;
     const pageTasks = Math.max(LEAST_PAGE_TASKS, tasks);
-    const parts = this.#settings.clusterConfig.controllerCount;
+    const partitionCount = this.#settings.clusterConfig.controllerCount;
     const nodes = this.#nodes();
-    const zones = Array.from({ length: parts }, (_, part) => this.#zoneOf(nodes[part % nodes.length]!));
-    const meta = { format: FORMAT, parts, zones, pageTasks: pageTasks - (pageTasks % 8) };
+    const zones = Array.from({ length: partitionCount }, (_, partitionId) =>
+      this.#zoneOf(nodes[partitionId % nodes.length]!),
+    );
+    const meta = { format: FORMAT, partitionCount, zones, pageTasks: pageTasks - (pageTasks % 8) };
     const changes = [{ put: KEYS.meta, value: metaRecord.write(meta) }];
     const result = await shared.state.txn(URGENCY.accept, [{ key: KEYS.meta, version: 0 }], changes);
     if (result.kind !== 'done') return;
@@ -131,10 +133,10 @@
   }
 
   /** Who should own the partition, its home first: those in its zone go before the others. */
-  #orderFor(part: number): string[] {
+  #orderFor(partitionId: number): string[] {
     const nodes = this.#nodes();
-    const zone = this.shared.store.meta?.zones[part];
-    const from = nodes.map((_, i) => nodes[(i + part) % nodes.length]!);
+    const zone = this.shared.store.meta?.zones[partitionId];
+    const from = nodes.map((_, i) => nodes[(i + partitionId) % nodes.length]!);
     return [...from.filter((n) => this.#zoneOf(n) === zone), ...from.filter((n) => this.#zoneOf(n) !== zone)];
   }
 
@@ -149,7 +151,7 @@
     return sum;
   }
 
-  #open(parts: number): void {
+  #open(partitionCount: number): void {
     const { node, clusterConfig } = this.#settings;
     const { borrowing, replicaGroups } = this.#settings.features;
     const me = {
@@ -158,11 +160,11 @@
       ...(borrowing === null ? {} : { takesClaimLists: true }),
       ...(replicaGroups === null ? {} : { takesGroupReports: true }),
     };
-    for (let part = 0; part < parts; part++) {
-      const order = this.#orderFor(part);
-      const resource = String(part);
+    for (let partitionId = 0; partitionId < partitionCount; partitionId++) {
+      const order = this.#orderFor(partitionId);
+      const resource = String(partitionId);
       // Given up because its workers do not reach this controller, it is left to others first.
-      const turn = (): number => this.#turn(order) + (this.#isLeftToOthers(part) ? TURN.cutOff : 0);
+      const turn = (): number => this.#turn(order) + (this.#isLeftToOthers(partitionId) ? TURN.cutOff : 0);
       this.#ownerships.set(resource, new Ownership(resource, clusterConfig, me, turn));
     }
     const nodes = this.#nodes();
@@ -243,45 +245,45 @@
    * A later owner of the given term asks whether the partition is still owned here. Without the state service this controller may
    * be the last to learn that it was taken over. The answer no holds for ever, for all earlier terms.
    */
-  ownsAfterQuery(part: number, term: number): boolean {
-    const ownership = this.#ownerships.get(String(part));
+  ownsAfterQuery(partitionId: number, term: number): boolean {
+    const ownership = this.#ownerships.get(String(partitionId));
     const ended = ownership?.renounceBefore(term) ?? null;
     if (ended !== null) this.#ended(ended);
     return (ownership?.tenure ?? null) !== null;
   }
 
-  #isLeftToOthers(part: number): boolean {
-    return this.#clock.now() < (this.#leftToOthersUntil.get(part) ?? -Infinity);
+  #isLeftToOthers(partitionId: number): boolean {
+    return this.#clock.now() < (this.#leftToOthersUntil.get(partitionId) ?? -Infinity);
   }
 
   /**
    * Gives a partition whose workers have long been unable to reach this controller to one that they do reach. Relaying carries them
    * meanwhile, but each report takes a way that costs it seconds whenever it is tried directly again.
    */
-  releaseCutOff(owners: Iterable<PartOwner>, now: number): void {
+  releaseCutOff(owners: Iterable<PartitionOwner>, now: number): void {
     if (!this.shared.fresh() || this.shared.replica.failures > 0) return;
-    for (const { part, tenure, claimTable } of owners) {
-      if (tenure.state !== 'held' || !claimTable.cleared || !this.workerReach.isCutOff(part, now)) continue;
+    for (const { partitionId, tenure, claimTable } of owners) {
+      if (tenure.state !== 'held' || !claimTable.cleared || !this.workerReach.isCutOff(partitionId, now)) continue;
       if (!this.#settings.peers.some(({ node }) => this.peers.isAlive(node))) continue;
       const ownership = this.#ownerships.get(tenure.resource)!;
       const attempt = ownership.release(this.shared.store.view(tenure.resource));
       if (attempt === null) continue;
-      this.shared.log.info({ part }, 'workers can not reach this controller');
-      this.#leftToOthersUntil.set(part, now + this.shared.clusterConfig.workerLeaseMs);
+      this.shared.log.info({ partitionId }, 'workers can not reach this controller');
+      this.#leftToOthersUntil.set(partitionId, now + this.shared.clusterConfig.workerLeaseMs);
       this.#ended(tenure);
       void this.#release(ownership, attempt);
     }
   }
 
   /** Gives up partitions whose terms run out of attempts: whoever takes them, mostly this controller, does so under a new term. */
-  renewTerms(owners: Iterable<PartOwner>): void {
+  renewTerms(owners: Iterable<PartitionOwner>): void {
     if (!this.shared.fresh()) return;
-    for (const { part, tenure, claimTable } of owners) {
+    for (const { partitionId, tenure, claimTable } of owners) {
       if (tenure.state !== 'held' || !claimTable.needsNewTerm) continue;
       const ownership = this.#ownerships.get(tenure.resource)!;
       const attempt = ownership.release(this.shared.store.view(tenure.resource));
       if (attempt === null) continue;
-      this.shared.log.info({ part, term: tenure.term }, 'term used up');
+      this.shared.log.info({ partitionId, term: tenure.term }, 'term used up');
       this.#ended(tenure);
       void this.#release(ownership, attempt);
     }
@@ -292,11 +294,11 @@
    * owned most of the fleet, and its end cost the most. One at a time, and not while anything is wrong: workers of the
    * partition have to find their new owner.
    */
-  releaseOne(owners: Iterable<PartOwner>, now: number): void {
+  releaseOne(owners: Iterable<PartitionOwner>, now: number): void {
     const { workerLeaseMs } = this.shared.clusterConfig;
     if (now - this.#releasedAt < workerLeaseMs || !this.shared.fresh() || this.shared.replica.failures > 0) return;
-    for (const { part, tenure, claimTable } of owners) {
-      const home = this.#orderFor(part)[0]!;
+    for (const { partitionId, tenure, claimTable } of owners) {
+      const home = this.#orderFor(partitionId)[0]!;
       if (home === this.#settings.node || tenure.state !== 'held' || !claimTable.cleared) continue;
       // What its home gave up itself, for its workers did not reach it, it gets back later.
       const patienceMs = tenure.releasedBy === home ? workerLeaseMs * CUT_OFF_RETURN_LEASES : workerLeaseMs;
--- a/packages/daemon/src/part-summary.ts
+++ b/packages/daemon/src/part-summary.ts
@@ -27,7 +27,7 @@
     roomOf(claimTable, machine, rooms.get(machine), planned.get(machine) ?? PRIORITIES.map(() => NO_RESOURCES), now),
   );
   return {
-    part: claimTable.part,
+    partitionId: claimTable.partitionId,
     term: claimTable.term,
     revision,
     machines,
--- a/packages/daemon/src/pieces.ts
+++ b/packages/daemon/src/pieces.ts
@@ -56,13 +56,13 @@
 }
 
 /** What several controllers send in pieces, of several partitions each. */
-export class SenderAssemblies<P extends Piece & { readonly part: number }> {
+export class SenderAssemblies<P extends Piece & { readonly partitionId: number }> {
   /** By sender and partition: a whole of which not all pieces have come yet. */
   readonly #assemblies = new Map<string, PieceAssembly<P>>();
 
   /** Takes a piece; returns all pieces of the whole once they are there. */
   add(from: string, piece: P): readonly P[] | null {
-    const key = `${from} ${piece.part}`;
+    const key = `${from} ${piece.partitionId}`;
     const assembly = this.#assemblies.get(key) ?? new PieceAssembly<P>();
     this.#assemblies.set(key, assembly);
     const all = assembly.add(piece);
--- a/packages/daemon/src/rendezvous.ts
+++ b/packages/daemon/src/rendezvous.ts
@@ -47,7 +47,9 @@
     const record = job?.isGroup === true ? store.groups.get(id)?.record : undefined;
     const isServing = record?.state === 'serving' && record.members[rank]?.attempt === attempt;
     if (record === undefined || !isServing || job!.cancelled) return this.#refuse(record);
-    const members = record.members.map(({ part, machine }) => hostOf(store.membership(part).get(machine) ?? ''));
+    const members = record.members.map(({ partitionId, machine }) =>
+      hostOf(store.membership(partitionId).get(machine) ?? ''),
+    );
     if (!isComplete(members)) return refusal(503, 'the address of a member is not known', RETRY_S);
     const { generation } = record;
     const serveMs = serveLeaseMs(this.settings, clusterConfig);
--- a/packages/daemon/src/report-relay.ts
+++ b/packages/daemon/src/report-relay.ts
@@ -32,15 +32,15 @@
   /** The partition of the machine; undefined: not known yet. */
   partitionOf(report: WorkerReport): number | undefined;
   /** Who owns the partition, as far as we know; null: nobody now. */
-  ownerOf(part: number): string | null;
+  ownerOf(partitionId: number): string | null;
   /** Whether this controller owns it. */
-  owns(part: number): boolean;
+  owns(partitionId: number): boolean;
   /** Answers a report as the owner. */
-  answer(part: number, report: WorkerReport): Reply;
+  answer(partitionId: number, report: WorkerReport): Reply;
   /** A report has come for a partition of ours that its worker could not bring here itself. */
-  onRelayed(part: number): void;
+  onRelayed(partitionId: number): void;
   /** Whether the owner says that it has not heard the machine for a while. */
-  missedByOwner(part: number, machine: string): boolean;
+  missedByOwner(partitionId: number, machine: string): boolean;
 }
 
 export class ReportRelay {
@@ -70,29 +70,29 @@
    * try the next controller, which may be dead or cut off too: that costs it seconds of its lease at each. So its report
    * waits here for as long as it waits itself, until the partition has an owner that it can be sent to.
    */
-  async forward(part: number, report: WorkerReport, body: Buffer): Promise<Reply> {
+  async forward(partitionId: number, report: WorkerReport, body: Buffer): Promise<Reply> {
     const { clock, routing } = this;
     const until = clock.now() + WORKER_PATIENCE_MS * HOLD_SHARE;
     for (;;) {
-      const before = routing.ownerOf(part);
-      const reply = await this.#pointTo(before, part, report, body);
+      const before = routing.ownerOf(partitionId);
+      const reply = await this.#pointTo(before, partitionId, report, body);
       if (reply.status !== 503) return reply;
       do {
         if (clock.now() >= until || this.#stopped) return reply;
         await sleep(clock, this.settings.clusterConfig.heartbeatIntervalMs / 10);
-        if (routing.owns(part)) return routing.answer(part, report);
-      } while (routing.ownerOf(part) === before);
+        if (routing.owns(partitionId)) return routing.answer(partitionId, report);
+      } while (routing.ownerOf(partitionId) === before);
     }
   }
 
-  async #pointTo(owner: string | null, part: number, report: WorkerReport, body: Buffer): Promise<Reply> {
+  async #pointTo(owner: string | null, partitionId: number, report: WorkerReport, body: Buffer): Promise<Reply> {
     const { clusterConfig, node } = this.settings;
     if (owner === null || owner === node) return refusal(503, 'part has no owner now');
     const now = this.clock.now();
     const last = this.#redirected.get(report.machine);
     const relayedSince = last?.relayedSince ?? null;
     const relayed = relayedSince === null || now - relayedSince < clusterConfig.workerLeaseMs * RELAY_LEASES;
-    if (relayed && this.#isCutOff(owner, part, report.machine, last, now)) {
+    if (relayed && this.#isCutOff(owner, partitionId, report.machine, last, now)) {
       this.#redirected.set(report.machine, { owner, at: now, relayedSince: relayedSince ?? now });
       return this.#relay(owner, body);
     }
@@ -105,11 +105,11 @@
    * says that it has not heard it for a while. The same when we ourselves hear nothing of the owner though others are
    * there: sent to a dead owner, a worker would lose several seconds of its lease.
    */
-  #isCutOff(owner: string, part: number, machine: string, last: Redirection | undefined, now: number): boolean {
+  #isCutOff(owner: string, partitionId: number, machine: string, last: Redirection | undefined, now: number): boolean {
     if (last?.owner === owner && now - last.at < this.settings.clusterConfig.workerLeaseMs) return true;
     const { peers } = this;
     const dead = !peers.alive(owner) && peers.nodes.some((node) => peers.alive(node));
-    return dead || this.routing.missedByOwner(part, machine);
+    return dead || this.routing.missedByOwner(partitionId, machine);
   }
 
   #relay(owner: string, body: Buffer): Promise<Reply> {
@@ -155,10 +155,10 @@
   #replyAsOwner(body: Buffer): Reply {
     try {
       const report = decodeReport(body);
-      const part = this.routing.partitionOf(report);
-      if (part === undefined || !this.routing.owns(part)) return refusal(503, 'not the owner');
-      this.routing.onRelayed(part);
-      return this.routing.answer(part, report);
+      const partitionId = this.routing.partitionOf(report);
+      if (partitionId === undefined || !this.routing.owns(partitionId)) return refusal(503, 'not the owner');
+      this.routing.onRelayed(partitionId);
+      return this.routing.answer(partitionId, report);
     } catch {
       return refusal(400, 'malformed');
     }
--- a/packages/daemon/src/shared.ts
+++ b/packages/daemon/src/shared.ts
@@ -49,7 +49,7 @@
   /** Tells the other controllers that a user is being told that the job is cancelled. */
   announceCancelled: (job: string) => void = () => undefined;
   /** Free room on ordinary machines of all other parts, as their owners told of it last. */
-  spareCapacity: (exceptPart: number) => SpareCapacity[] = () => [];
+  spareCapacity: (exceptPartitionId: number) => SpareCapacity[] = () => [];
 
   constructor(
     readonly settings: Settings,
--- a/packages/daemon/src/store.ts
+++ b/packages/daemon/src/store.ts
@@ -1,4 +1,4 @@
-import { JobTable, Partition, type OwnershipView, type Versioned } from '@gingerlock/core';
+import { JobTable, Partitioner, type OwnershipView, type Versioned } from '@gingerlock/core';
 import {
   type GroupRecord,
   groupRecord,
@@ -24,7 +24,7 @@
 export class Store {
   meta: Meta | null = null;
   /** Made of `meta`; null as long as that is. */
-  partition: Partition | null = null;
+  partitioner: Partitioner | null = null;
   term: Versioned<number> | null = null;
   types: ReadonlyMap<string, MachineType> = new Map();
   readonly jobs: JobTable;
@@ -43,8 +43,8 @@
   /** Hears of each job that has changed, or for which something has changed because of another job. */
   onJob: (id: string) => void = () => undefined;
   /** Hears of the end of a reclaim. */
-  onReclaimEnded: (part: number, revision: number) => void = () => undefined;
-  onMembership: (part: number, machine: string, present: boolean) => void = () => undefined;
+  onReclaimEnded: (partitionId: number, revision: number) => void = () => undefined;
+  onMembership: (partitionId: number, machine: string, present: boolean) => void = () => undefined;
 
   /** Finished pages read before `meta`, which says what they stand for: lists come in the order of the keys. */
   #beforeMeta: { readonly key: string; readonly value: unknown; readonly version: number }[] = [];
@@ -70,27 +70,27 @@
     };
   }
 
-  membership(part: number): Map<string, string> {
-    let membership = this.memberships.get(part);
+  membership(partitionId: number): Map<string, string> {
+    let membership = this.memberships.get(partitionId);
     if (membership === undefined) {
       membership = new Map();
-      this.memberships.set(part, membership);
+      this.memberships.set(partitionId, membership);
     }
     return membership;
   }
 
-  reclaimsOf(part: number): ReadonlyMap<string, Versioned<ReclaimRecord>> {
-    return this.reclaims.get(part) ?? NO_RECLAIMS;
+  reclaimsOf(partitionId: number): ReadonlyMap<string, Versioned<ReclaimRecord>> {
+    return this.reclaims.get(partitionId) ?? NO_RECLAIMS;
   }
 
-  #applyReclaim(part: number, id: string, value: unknown, version: number): void {
-    const ofPart = this.reclaims.get(part) ?? new Map<string, Versioned<ReclaimRecord>>();
-    this.reclaims.set(part, ofPart);
+  #applyReclaim(partitionId: number, id: string, value: unknown, version: number): void {
+    const ofPartition = this.reclaims.get(partitionId) ?? new Map<string, Versioned<ReclaimRecord>>();
+    this.reclaims.set(partitionId, ofPartition);
     if (value !== undefined) {
-      ofPart.set(id, { record: reclaimRecord.read(value), version });
+      ofPartition.set(id, { record: reclaimRecord.read(value), version });
       return;
     }
-    if (ofPart.delete(id)) this.onReclaimEnded(part, version);
+    if (ofPartition.delete(id)) this.onReclaimEnded(partitionId, version);
   }
 
   /** Throws if the value is none that we write. */
@@ -100,7 +100,7 @@
       case 'meta':
         if (value === undefined) return;
         this.meta = metaRecord.read(value);
-        this.partition = new Partition(this.meta.parts, this.meta.zones);
+        this.partitioner = new Partitioner(this.meta.partitionCount, this.meta.zones);
         for (const page of this.#beforeMeta.splice(0)) this.apply(page.key, page.value, page.version);
         return;
       case 'term':
@@ -121,12 +121,12 @@
         if (value !== undefined) this.timed.set(k.slot, termRecord.read(value));
         return;
       case 'membership':
-        if (value === undefined) this.membership(k.part).delete(k.machine);
-        else this.membership(k.part).set(k.machine, membershipRecord.read(value));
-        this.onMembership(k.part, k.machine, value !== undefined);
+        if (value === undefined) this.membership(k.partitionId).delete(k.machine);
+        else this.membership(k.partitionId).set(k.machine, membershipRecord.read(value));
+        this.onMembership(k.partitionId, k.machine, value !== undefined);
         return;
       case 'reclaim':
-        this.#applyReclaim(k.part, k.id, value, version);
+        this.#applyReclaim(k.partitionId, k.id, value, version);
         return;
       case 'group':
         if (value === undefined) this.groups.delete(k.job);
--- a/packages/daemon/src/summaries.ts
+++ b/packages/daemon/src/summaries.ts
@@ -2,7 +2,7 @@
 // what users are shown and for new owners; nothing that safety rests on.
 import type { SpareCapacity, PartSummary } from '@gingerlock/core';
 import type { PeerMessages, PeerSummary } from '@gingerlock/peer';
-import type { PartOwner } from './owner';
+import type { PartitionOwner } from './owner';
 import type { PeerChannel } from './peer-channel';
 import { SummaryAssembly, summaryMessages } from './summary-pieces';
 
@@ -23,21 +23,25 @@
     return [...this.#seen.values()];
   }
 
-  of(part: number): SeenSummary | undefined {
-    return this.#seen.get(part);
+  of(partitionId: number): SeenSummary | undefined {
+    return this.#seen.get(partitionId);
   }
 
   /** Takes what an owner tells, unless a later owner has told something. */
   onSummary(message: PeerSummary, now: number): void {
-    const { owner, part, term, revision, machines, missing } = message;
-    if (term < (this.#seen.get(part)?.summary.term ?? 0)) return;
+    const { owner, partitionId, term, revision, machines, missing } = message;
+    if (term < (this.#seen.get(partitionId)?.summary.term ?? 0)) return;
     const running = message.running.map((r) => [r.job, r.tasks] as const);
-    this.#seen.set(part, { summary: { part, term, revision, machines, missing, running }, at: now, owner });
+    this.#seen.set(partitionId, {
+      summary: { partitionId, term, revision, machines, missing, running },
+      at: now,
+      owner,
+    });
   }
 
   /** Takes one piece; the summary counts once all of its pieces are there. */
   onPiece(from: string, piece: PeerMessages['SummaryPiece'], now: number): void {
-    const key = `${from} ${piece.part}`;
+    const key = `${from} ${piece.partitionId}`;
     const assembly = this.#assemblies.get(key) ?? new SummaryAssembly();
     this.#assemblies.set(key, assembly);
     const whole = assembly.add(piece);
@@ -47,9 +51,9 @@
   }
 
   /** Notes how a partition of our own stands, and tells the given peers. */
-  publish(owner: PartOwner, node: string, now: number, peers: PeerChannel, to: readonly string[]): void {
+  publish(owner: PartitionOwner, node: string, now: number, peers: PeerChannel, to: readonly string[]): void {
     const summary = owner.summary(now);
-    this.#seen.set(owner.part, { summary, at: now, owner: node });
+    this.#seen.set(owner.partitionId, { summary, at: now, owner: node });
     const messages = summaryMessages(summary, node, ++this.#sequence, peers.link.frameBytes);
     for (const peer of to) peers.sendGroup(peer, messages);
   }
@@ -71,9 +75,9 @@
   }
 
   /** Free capacity on ordinary machines of all other partitions, told of since `since`. */
-  spareCapacity(exceptPart: number, since: number): SpareCapacity[] {
+  spareCapacity(exceptPartitionId: number, since: number): SpareCapacity[] {
     return this.all()
-      .filter((seen) => seen.summary.part !== exceptPart && seen.at > since)
+      .filter((seen) => seen.summary.partitionId !== exceptPartitionId && seen.at > since)
       .flatMap((seen) => seen.summary.machines.filter((m) => m.takesWork && !m.spot && m.free.gpus + m.free.cpus > 0));
   }
 }
--- a/packages/daemon/src/summary-pieces.ts
+++ b/packages/daemon/src/summary-pieces.ts
@@ -34,8 +34,8 @@
   sequence: number,
   frameBytes: number,
 ): PeerMessage[] {
-  const { part, term, revision, missing } = summary;
-  const head = { owner, part, term, revision, missing };
+  const { partitionId, term, revision, missing } = summary;
+  const head = { owner, partitionId, term, revision, missing };
   const machines: PeerMachineRoom[] = summary.machines.map((machine) => ({
     ...machine,
     byRank: [...machine.byRank],
@@ -62,9 +62,9 @@
   add(piece: PeerMessages['SummaryPiece']): PeerSummary | null {
     const all = this.#pieces.add(piece);
     if (all === null) return null;
-    const { owner, part, term, revision, missing } = piece;
+    const { owner, partitionId, term, revision, missing } = piece;
     const machines = all.flatMap((p) => p.machines);
     const running = all.flatMap((p) => p.running);
-    return { owner, part, term, revision, missing, machines, running };
+    return { owner, partitionId, term, revision, missing, machines, running };
   }
 }
--- a/packages/daemon/src/summary-publisher.ts
+++ b/packages/daemon/src/summary-publisher.ts
@@ -2,7 +2,7 @@
 import { LEAD } from '@gingerlock/wire';
 import { type ClaimLists, claimListMessages, claimsOf } from './claim-lists';
 import { type GroupReports, groupReportMessages } from './group-reports';
-import type { PartOwner } from './owner';
+import type { PartitionOwner } from './owner';
 import type { PeerChannel } from './peer-channel';
 import { DISPLAY_LAG_MS, type Shared } from './shared';
 import type { Summaries } from './summaries';
@@ -34,7 +34,7 @@
   ) {}
 
   /** Tells the peers how the partitions stand, if that is due; false: it is not. */
-  publish(owners: readonly PartOwner[], contactAgeMs: number, now: number): boolean {
+  publish(owners: readonly PartitionOwner[], contactAgeMs: number, now: number): boolean {
     const { clusterConfig, settings, store, replica } = this.shared;
     const changes = owners.reduce((sum, { claimTable }) => sum + claimTable.changes + 1, 0);
     const since = now - this.#sentAt;
@@ -57,7 +57,7 @@
   }
 
   /** Tells the leader how the members of replica groups are, if it takes that. */
-  #tellGroups(owners: readonly PartOwner[], now: number): void {
+  #tellGroups(owners: readonly PartitionOwner[], now: number): void {
     const lead = this.shared.store.holds.get(LEAD)?.record;
     const { features, node } = this.shared.settings;
     if (features.replicaGroups === null || lead?.takesGroupReports !== true) return;
@@ -70,7 +70,7 @@
   }
 
   /** Tells the leader what the machines of our parts hold, if it takes that. */
-  #tellClaims(owners: readonly PartOwner[], now: number): void {
+  #tellClaims(owners: readonly PartitionOwner[], now: number): void {
     const lead = this.shared.store.holds.get(LEAD)?.record;
     const { features, node, clusterConfig } = this.shared.settings;
     if (features.borrowing === null || lead?.takesClaimLists !== true) return;
--- a/packages/daemon/src/worker-reach.ts
+++ b/packages/daemon/src/worker-reach.ts
@@ -32,15 +32,15 @@
   }
 
   /** Another controller has relayed a report of a worker of the partition. */
-  relayed(part: number, now: number): void {
-    const known = this.#relayed.get(part);
+  relayed(partitionId: number, now: number): void {
+    const known = this.#relayed.get(partitionId);
     const goesOn = known !== undefined && now - known.last <= this.clusterConfig.heartbeatIntervalMs * HEARD_INTERVALS;
-    this.#relayed.set(part, { since: goesOn ? known.since : now, last: now });
+    this.#relayed.set(partitionId, { since: goesOn ? known.since : now, last: now });
   }
 
   /** Whether the workers of the partition report, and for long have not been able to do so here. */
-  isCutOff(part: number, now: number): boolean {
-    const relayed = this.#relayed.get(part);
+  isCutOff(partitionId: number, now: number): boolean {
+    const relayed = this.#relayed.get(partitionId);
     if (relayed === undefined || now - relayed.last > this.clusterConfig.heartbeatIntervalMs * HEARD_INTERVALS)
       return false;
     const cutMs = this.clusterConfig.workerLeaseMs * CUT_LEASES;
--- a/packages/daemon/test/store.test.ts
+++ b/packages/daemon/test/store.test.ts
@@ -10,7 +10,7 @@
   const store = new Store();
   const spec = specOf('j-1', { tasks: 200 });
   const record = { final: null, spec, acceptedAt: 0, cancelled: false, failing: false, rounds: [] } as const;
-  const meta = metaRecord.write({ format: 1, parts: 1, zones: [], pageTasks: 64 });
+  const meta = metaRecord.write({ format: 1, partitionCount: 1, zones: [], pageTasks: 64 });
   store.apply(KEYS.finished(spec.id, 0, 2), finishedRecord.write(new Uint8Array([0b11])), 5);
   store.apply(KEYS.job(spec.id), jobRecord.write(record), 2);
   store.apply(KEYS.meta, meta, 1);
--- a/packages/daemon/test/summary-pieces.test.ts
+++ b/packages/daemon/test/summary-pieces.test.ts
@@ -39,7 +39,7 @@
     running: fc.array(fc.tuple(fc.string({ maxLength: 12 }), fc.nat(1000)), { maxLength: 200 }),
   })
   .map(({ machines, running }) => ({
-    part: 3,
+    partitionId: 3,
     term: 9,
     revision: 11,
     machines: machines.map(roomOf),
--- a/packages/peer/src/messages.ts
+++ b/packages/peer/src/messages.ts
@@ -20,7 +20,7 @@
 const STAGES = ['granted', 'fetching', 'running', 'saving'] as const;
 
 /** What both a summary and a piece of one say; the named records are defined where they stand first. */
-const SUMMARY_HEAD = { owner: 'string', part: 'int', term: 'long', revision: 'long' };
+const SUMMARY_HEAD = { owner: 'string', partitionId: 'int', term: 'long', revision: 'long' };
 
 const schema = [
   record('Hello', { version: 'int', node: 'string' }),
@@ -63,7 +63,7 @@
   record('ConfirmationRequest', { id: 'string', revision: 'long' }),
   record('Confirmation', { id: 'string', confirms: 'boolean', contactAgeMs: 'double' }),
   /** Asks the owner before of a part whether it still is; see `Holding.gaveUp`. */
-  record('OwnershipQuery', { id: 'string', part: 'int', term: 'long' }),
+  record('OwnershipQuery', { id: 'string', partitionId: 'int', term: 'long' }),
   record('OwnershipAnswer', { id: 'string', owns: 'boolean' }),
   /** A worker's report for the owner of a part, from a controller that the worker can reach. */
   record('Relay', { id: 'string', from: 'string', to: 'string', body: 'bytes' }),
@@ -87,7 +87,7 @@
   }),
   /** What the machines of a partition hold, for a leader that takes such lists; a piece of it, as above. */
   record('ClaimList', {
-    part: 'int',
+    partitionId: 'int',
     term: 'long',
     revision: 'long',
     sequence: 'long',
@@ -112,7 +112,7 @@
   }),
   /** How the members of replica groups on a partition are, for a leader that takes such reports; a piece of it, as above. */
   record('GroupReports', {
-    part: 'int',
+    partitionId: 'int',
     term: 'long',
     revision: 'long',
     sequence: 'long',
@@ -184,7 +184,7 @@
 /** How a partition stands, or a part of that. */
 export interface PeerSummary {
   owner: string;
-  part: number;
+  partitionId: number;
   term: number;
   revision: number;
   machines: PeerMachineRoom[];
@@ -200,7 +200,7 @@
   FleetOrders: { term: number; drain: string[]; gone: string[] };
   ConfirmationRequest: { id: string; revision: number };
   Confirmation: { id: string; confirms: boolean; contactAgeMs: number };
-  OwnershipQuery: { id: string; part: number; term: number };
+  OwnershipQuery: { id: string; partitionId: number; term: number };
   OwnershipAnswer: { id: string; owns: boolean };
   Relay: { id: string; from: string; to: string; body: Buffer };
   RelayAnswer: { id: string; to: string; status: number; body: Buffer };
@@ -209,7 +209,7 @@
   BudgetGrant: { id: string; writes: number };
   SummaryPiece: PeerSummary & { sequence: number; index: number; pieces: number };
   ClaimList: {
-    part: number;
+    partitionId: number;
     term: number;
     revision: number;
     sequence: number;
@@ -218,7 +218,7 @@
     machines: PeerMachineClaims[];
   };
   GroupReports: {
-    part: number;
+    partitionId: number;
     term: number;
     revision: number;
     sequence: number;
--- a/packages/peer/test/link.test.ts
+++ b/packages/peer/test/link.test.ts
@@ -24,7 +24,7 @@
   { kind: 'FleetOrders', term: 3, drain: ['m-1'], gone: [] },
   { kind: 'ConfirmationRequest', id: 'p-1', revision: 9 },
   { kind: 'Confirmation', id: 'p-1', confirms: true, contactAgeMs: 12.5 },
-  { kind: 'OwnershipQuery', id: 'p-2', part: 3, term: 9 },
+  { kind: 'OwnershipQuery', id: 'p-2', partitionId: 3, term: 9 },
   { kind: 'OwnershipAnswer', id: 'p-2', owns: false },
   { kind: 'Relay', id: 'p-4', from: 'a', to: 'b', body: Buffer.from([1, 2, 3]) },
   { kind: 'RelayAnswer', id: 'p-4', to: 'a', status: 200, body: Buffer.alloc(0) },
@@ -34,7 +34,7 @@
   {
     kind: 'Summary',
     owner: 'node-1',
-    part: 1,
+    partitionId: 1,
     term: 5,
     revision: 6,
     machines: [
@@ -62,7 +62,7 @@
   {
     kind: 'SummaryPiece',
     owner: 'node-1',
-    part: 1,
+    partitionId: 1,
     term: 5,
     revision: 6,
     sequence: 7,
@@ -74,7 +74,7 @@
   },
   {
     kind: 'ClaimList',
-    part: 1,
+    partitionId: 1,
     term: 5,
     revision: 6,
     sequence: 7,
@@ -111,10 +111,10 @@
 test('what a controller that owns every part of 900 machines tells in one go fits a connection twice over', () => {
   const machine = (messages.find((m) => m.kind === 'Summary') as PeerMessage & { kind: 'Summary' }).machines[0]!;
   let bytes = 0;
-  for (let part = 0; part < 5; part++) {
+  for (let partitionId = 0; partitionId < 5; partitionId++) {
     const machines = Array.from({ length: 180 }, (_, i) => ({
       ...machine,
-      name: `m-${String(part * 180 + i).padStart(6, '0')}`,
+      name: `m-${String(partitionId * 180 + i).padStart(6, '0')}`,
       type: 'machine-type-of-48',
       zone: 'a-zone-with-a-name',
       byRank: [resources, resources, resources, resources],
@@ -123,7 +123,7 @@
     const running = Array.from({ length: 300 }, (_, i) => ({ job: `j-${String(i).padStart(6, '0')}`, tasks: 3 }));
     const missing = resources;
     bytes += frame(
-      encodePeer({ kind: 'Summary', owner: 'node-1', part, term: 9, revision: 1e6, machines, missing, running }),
+      encodePeer({ kind: 'Summary', owner: 'node-1', partitionId, term: 9, revision: 1e6, machines, missing, running }),
     ).length;
   }
   assert.ok(bytes > 900 * 100, `${bytes} bytes`);
--- a/packages/replica-groups/src/index.ts
+++ b/packages/replica-groups/src/index.ts
@@ -1,5 +1,5 @@
 export * from './next-record';
-export * from './part-groups';
+export * from './partition-groups';
 export * from './placement';
 export * from './reports';
 export * from './settings';
--- a/packages/replica-groups/src/next-record.ts
+++ b/packages/replica-groups/src/next-record.ts
@@ -31,7 +31,7 @@
   /** The longest that a task which was stopped for members may take to save, in seconds. */
   readonly longestSaveS: number;
   /** What the owner of the partition tells of the group, having read its stored record; null: nothing yet. */
-  readonly reportOf: (part: number) => GroupReport | null;
+  readonly reportOf: (partitionId: number) => GroupReport | null;
 }
 
 /** What the leader knows of a group that never was placed. */
@@ -115,8 +115,8 @@
 
 function membersOf(record: GroupRecord, { reportOf }: GroupContext): ToldMember[] {
   const told = new Map<number, MemberReport>();
-  for (const part of new Set(record.members.map((member) => member.part))) {
-    const report = reportOf(part);
+  for (const partitionId of new Set(record.members.map((member) => member.partitionId))) {
+    const report = reportOf(partitionId);
     if (report?.generation !== record.generation) continue;
     for (const member of report.members) told.set(member.rank, member);
   }
@@ -140,7 +140,11 @@
   const { settings, clusterConfig, types, wall } = context;
   const late = members.find(({ report }) => report?.phase !== 'running');
   if (late === undefined) {
-    const serving = members.map(({ part, machine, report }) => ({ part, machine, attempt: report!.attempt }));
+    const serving = members.map(({ partitionId, machine, report }) => ({
+      partitionId,
+      machine,
+      attempt: report!.attempt,
+    }));
     return moveTo(record, 'serving', { since: wall, reason: 'all members run', members: serving });
   }
   if (wall - record.since <= startBoundMs(settings, clusterConfig, job.spec, types)) return null;
--- a/packages/replica-groups/src/part-groups.ts
+++ b/packages/replica-groups/src/partition-groups.ts
@@ -19,7 +19,7 @@
 
 type StoredGroups = ReadonlyMap<string, Versioned<GroupRecord>>;
 
-export class PartGroups implements Reservations, MemberPolicy {
+export class PartitionGroups implements Reservations, MemberPolicy {
   /** The claim table that asks this policy; set once, right after both were made. */
   table: ClaimTable | null = null;
   /** By machine: what is kept for members that it does not hold yet. */
--- a/packages/replica-groups/src/reports.ts
+++ b/packages/replica-groups/src/reports.ts
@@ -28,8 +28,8 @@
 }
 
 /** All that one owner tells. Of a group that serves, and all of whose members here run as its record says, nothing is told. */
-export interface PartGroupReport {
-  readonly part: number;
+export interface PartitionGroupReport {
+  readonly partitionId: number;
   readonly term: number;
   /** The owner's replica stood at this revision. */
   readonly revision: number;
--- a/packages/replica-groups/src/settings.ts
+++ b/packages/replica-groups/src/settings.ts
@@ -1,5 +1,5 @@
 // What operators set for replica groups, and the times that follow from the platform's settings. All times in milliseconds.
-import { bootMsOf, MAX_CLOCK_DRIFT, type ClusterConfig, hashOf, timerMarginMs } from '@gingerlock/core';
+import { bootMsOf, MAX_CLOCK_DRIFT, type ClusterConfig, hashName, timerMarginMs } from '@gingerlock/core';
 import type { JobSpec, MachineType } from '@gingerlock/wire';
 
 export interface ReplicaGroupSettings {
@@ -97,7 +97,7 @@
   if (failures === 0) return 0;
   const longest =
     settings.backoffReports * clusterConfig.heartbeatIntervalMs * 2 ** Math.min(failures - 1, MOST_DOUBLINGS);
-  const jitter = hashOf(`${job}/${generation}`) / 2 ** 32;
+  const jitter = hashName(`${job}/${generation}`) / 2 ** 32;
   return longest * (0.5 + 0.5 * jitter);
 }
 
--- a/packages/replica-groups/test/next-record.test.ts
+++ b/packages/replica-groups/test/next-record.test.ts
@@ -23,9 +23,9 @@
 
 const TYPES = new Map([[BOX.name, BOX]]);
 const MEMBERS: readonly GroupMember[] = [
-  { part: 0, machine: 'm-1', attempt: null },
-  { part: 0, machine: 'm-2', attempt: null },
-  { part: 1, machine: 'm-3', attempt: null },
+  { partitionId: 0, machine: 'm-1', attempt: null },
+  { partitionId: 0, machine: 'm-2', attempt: null },
+  { partitionId: 1, machine: 'm-3', attempt: null },
 ];
 
 /** A group of three, all of which are assigned or none. */
@@ -34,15 +34,15 @@
   job.spec = specOf();
   job.isGroup = true;
   const rounds = [
-    { from: 0, count: 2, part: 0, zone: null, term: 1 },
-    { from: 2, count: 1, part: 1, zone: null, term: 2 },
+    { from: 0, count: 2, partitionId: 0, zone: null, term: 1 },
+    { from: 2, count: 1, partitionId: 1, zone: null, term: 2 },
   ];
   job.rounds = isAssigned ? rounds : [];
   return job;
 }
 
 function contextOf(wall: number, reports: readonly (GroupReport | null)[] = [], storedForMs = 1e9): GroupContext {
-  const reportOf = (part: number): GroupReport | null => reports[part] ?? null;
+  const reportOf = (partitionId: number): GroupReport | null => reports[partitionId] ?? null;
   return {
     settings: SETTINGS,
     clusterConfig: CLUSTER_CONFIG,
--- a/packages/testkit/src/borrowing-faults.ts
+++ b/packages/testkit/src/borrowing-faults.ts
@@ -188,9 +188,9 @@
   const leader = world.leader();
   if (who !== 'owner' && leader !== null) names.add(leader);
   if (who === 'leader') return names;
-  const parts = new Set([...world.borrowing.stored.keys()].map((key) => Number(key.split('/')[2])));
+  const partitionIds = new Set([...world.borrowing.stored.keys()].map((key) => Number(key.split('/')[2])));
   for (const { name, controller } of world.nodes) {
-    if (controller?.owned().some((owner) => parts.has(owner.part)) === true) names.add(name);
+    if (controller?.owned().some((owner) => partitionIds.has(owner.partitionId)) === true) names.add(name);
   }
   return names;
 }
--- a/packages/testkit/src/group-audit.ts
+++ b/packages/testkit/src/group-audit.ts
@@ -1,5 +1,5 @@
 // Checks replica groups against what really runs: their records as they are stored, every start, and what owners keep room for.
-import type { PartOwner } from '@gingerlock/daemon';
+import type { PartitionOwner } from '@gingerlock/daemon';
 import { GROUP_MOVES } from '@gingerlock/replica-groups';
 import { type GroupRecord, groupRecord, KEYS, ownerRecord, parseKey, parseTaskName, taskName } from '@gingerlock/wire';
 import type { World } from './world';
@@ -59,8 +59,8 @@
 
   /** All members' room is kept as the record says so, by the owners that have the partitions then. */
   #checkHeld(job: string, { members, generation }: GroupRecord): void {
-    for (const [rank, { part, machine }] of members.entries()) {
-      const owner = this.#ownerOf(part);
+    for (const [rank, { partitionId, machine }] of members.entries()) {
+      const owner = this.#ownerOf(partitionId);
       const slot = owner?.claimTable.slots.get(job)?.get(rank);
       if (owner === undefined || slot === undefined || slot.job.cancelled) continue;
       const isHeld = owner.claimTable.reservations.machineFor(slot.name) === machine && slot.startedIn !== generation;
@@ -69,13 +69,13 @@
   }
 
   /** The owner that the state service names, if its process is there. */
-  #ownerOf(part: number): PartOwner | undefined {
+  #ownerOf(partitionId: number): PartitionOwner | undefined {
     const { nodes, state } = this.world;
-    const entry = state.data.get(KEYS.owner(String(part)));
+    const entry = state.data.get(KEYS.owner(String(partitionId)));
     if (entry === undefined) return undefined;
     const { node, term } = ownerRecord.read(entry.value);
     const controller = nodes.find(({ name }) => name === node)?.controller;
-    return controller?.owned().find((owner) => owner.part === part && owner.tenure.term === term);
+    return controller?.owned().find((owner) => owner.partitionId === partitionId && owner.tenure.term === term);
   }
 
   /** A start command that was not known yet has come to a worker. */
@@ -138,7 +138,7 @@
   }
 
   /** No room is kept without a record that says so. An owner that can't read the state service can't know. */
-  #checkKept({ groups, shared, part, claimTable }: PartOwner): void {
+  #checkKept({ groups, shared, partitionId, claimTable }: PartitionOwner): void {
     const { clock, replica } = shared;
     const { now } = this.world.sim;
     const isFresh = replica.contactAt !== null && clock.now() - replica.contactAt < this.world.heartbeatIntervalMs;
@@ -150,7 +150,7 @@
       if (isKept && stored.record.members[index]?.machine === machine) continue;
       if (now - (stored?.at ?? 0) < this.world.heartbeatIntervalMs * READ_INTERVALS) continue;
       if (claimTable.slots.get(job)?.get(index)?.job.cancelled === true) continue;
-      this.world.breach('kept_in_vain', `partition ${part} keeps ${machine} for ${task}`);
+      this.world.breach('kept_in_vain', `partition ${partitionId} keeps ${machine} for ${task}`);
     }
   }
 
--- a/packages/testkit/src/group-faults.ts
+++ b/packages/testkit/src/group-faults.ts
@@ -178,8 +178,8 @@
   if (who === 'all') return world.controllers;
   const leader = world.leader();
   if (who === 'leader') return leader === null ? [] : [leader];
-  const parts = new Set(world.groups.seen.get(job)?.record.members.map(({ part }) => part));
+  const partitionIds = new Set(world.groups.seen.get(job)?.record.members.map(({ partitionId }) => partitionId));
   return world.nodes
-    .filter(({ controller }) => controller?.owned().some((owner) => parts.has(owner.part)) === true)
+    .filter(({ controller }) => controller?.owned().some((owner) => partitionIds.has(owner.partitionId)) === true)
     .map(({ name }) => name);
 }
--- a/packages/testkit/src/ownership-audit.ts
+++ b/packages/testkit/src/ownership-audit.ts
@@ -1,5 +1,5 @@
 // Checks the statements on which `ran_twice` rests, while a day goes on: they break long before a task starts a second time.
-import type { PartOwner } from '@gingerlock/daemon';
+import type { PartitionOwner } from '@gingerlock/daemon';
 import { type Slot, tasksAssignedTo } from '@gingerlock/core';
 import { jobRecord, type JobRecord, KEYS, parseTaskName, type Round } from '@gingerlock/wire';
 import type { World } from './world';
@@ -22,27 +22,27 @@
   }
 
   /** A worker is being answered with 200 by a controller that takes itself for the owner of the worker's partition. */
-  answered(node: string, owner: PartOwner): void {
+  answered(node: string, owner: PartitionOwner): void {
     const { tenure, shared } = owner;
     const copy = shared.store.owners.get(tenure.resource);
     if (copy?.version === tenure.version) return;
-    this.world.breach('deposed_owner', `${node} answers for partition ${owner.part} under term ${tenure.term}`);
+    this.world.breach('deposed_owner', `${node} answers for partition ${owner.partitionId} under term ${tenure.term}`);
   }
 
-  #checkClaims(owner: PartOwner): void {
+  #checkClaims(owner: PartitionOwner): void {
     const { tenure, claimTable } = owner;
     const isOwner = this.world.state.data.get(KEYS.owner(tenure.resource))?.version === tenure.version;
     for (const slots of claimTable.slots.values()) {
       for (const slot of slots.values()) {
         if (slot.state === 'waiting') this.#checkPlace(owner, slot);
-        if (isOwner && this.#isFree(owner.part, slot)) this.#checkFree(slot);
+        if (isOwner && this.#isFree(owner.partitionId, slot)) this.#checkFree(slot);
       }
     }
   }
 
   /** What waits to be started is what the newest record that was read says. */
-  #checkPlace({ claimTable, part }: PartOwner, { job, index, name, zone }: Slot): void {
-    const assigned = tasksAssignedTo(job, part, claimTable.term).get(index);
+  #checkPlace({ claimTable, partitionId }: PartitionOwner, { job, index, name, zone }: Slot): void {
+    const assigned = tasksAssignedTo(job, partitionId, claimTable.term).get(index);
     if (assigned?.zone === zone) return;
     this.world.breach('stale_entry', `${name} waits for zone ${zone}, its record says ${assigned?.zone}`);
   }
@@ -51,10 +51,10 @@
    * Whether the task may be started by its owner or given back by it. One that is leaving is neither any more once the record
    * has been written without it: it may run elsewhere before its former partition has read that.
    */
-  #isFree(part: number, { job, index, state }: Slot): boolean {
+  #isFree(partitionId: number, { job, index, state }: Slot): boolean {
     if (state !== 'leaving') return state === 'waiting';
     const record = this.#recordOf(job.id);
-    return record?.final === null && record.rounds.some((r) => r.part === part && isIn(r, index));
+    return record?.final === null && record.rounds.some((r) => r.partitionId === partitionId && isIn(r, index));
   }
 
   /** What may be started, or given back to be started elsewhere, runs nowhere. */
--- a/packages/testkit/test/counts.test.ts
+++ b/packages/testkit/test/counts.test.ts
@@ -5,22 +5,22 @@
 
 // The number of parts is fixed by the first start; the number of controllers may be another one later.
 test('no part is lost when there are more or fewer controllers than at the first start', async () => {
-  for (const { parts, controllers } of [
-    { parts: 3, controllers: 5 },
-    { parts: 5, controllers: 2 },
-    { parts: 7, controllers: 1 },
+  for (const { partitionCount, controllers } of [
+    { partitionCount: 3, controllers: 5 },
+    { partitionCount: 5, controllers: 2 },
+    { partitionCount: 7, controllers: 1 },
   ]) {
     const world = new World({ seed: 9, controllers });
-    const value = metaRecord.write({ format: FORMAT, parts, zones: [], pageTasks: 1024 });
+    const value = metaRecord.write({ format: FORMAT, partitionCount, zones: [], pageTasks: 1024 });
     world.state.data.set(KEYS.meta, { value, version: ++world.state.revision, lease: null });
     await playDay(world, { seed: 9, forMs: 100_000, faults: [] });
     assert.deepEqual(world.breaches, []);
     assert.deepEqual(world.users.open(), []);
     assert.ok(world.users.finished() > 3);
-    const owned = world.nodes.flatMap((n) => (n.controller?.owned() ?? []).map((o) => o.part));
+    const owned = world.nodes.flatMap((n) => (n.controller?.owned() ?? []).map((o) => o.partitionId));
     assert.deepEqual(
       owned.sort((a, b) => a - b),
-      Array.from({ length: parts }, (_, i) => i),
+      Array.from({ length: partitionCount }, (_, i) => i),
     );
   }
 });
--- a/packages/testkit/test/group-mutants.ts
+++ b/packages/testkit/test/group-mutants.ts
@@ -1,7 +1,7 @@
 // Code broken on purpose, once for each check of replica groups: see mutants.test.ts.
 import type { Versioned } from '@gingerlock/core';
 import { LeaderGroups, OwnerGroups } from '@gingerlock/daemon';
-import { PartGroups } from '@gingerlock/replica-groups';
+import { PartitionGroups } from '@gingerlock/replica-groups';
 import { type GroupRecord, groupRecord } from '@gingerlock/wire';
 import { type Fault, GROUP_CLASS, type Rule } from '../src/index';
 import { type Mutant, patch } from './mutant';
@@ -87,10 +87,10 @@
     broken: 'owners start members as soon as these are reserved',
     apply: () =>
       patch(
-        PartGroups.prototype,
+        PartitionGroups.prototype,
         'mayStart',
         (original) =>
-          function (this: PartGroups, slot, machine) {
+          function (this: PartitionGroups, slot, machine) {
             const record = this.groups.get(slot.job.id)?.record;
             const isNext = record?.state === 'reserved' && record.members[slot.index]?.machine === machine.name;
             return isNext || original.call(this, slot, machine);
@@ -108,10 +108,10 @@
     broken: 'owners start a member that has ended once more, as they do with other tasks',
     apply: () =>
       patch(
-        PartGroups.prototype,
+        PartitionGroups.prototype,
         'mayStart',
         (original) =>
-          function (this: PartGroups, slot, machine) {
+          function (this: PartitionGroups, slot, machine) {
             slot.startedIn = 0;
             return original.call(this, slot, machine);
           },
--- a/packages/testkit/test/mutants.test.ts
+++ b/packages/testkit/test/mutants.test.ts
@@ -4,7 +4,7 @@
 import { Accounts } from '@gingerlock/borrowing';
 import { Replica } from '@gingerlock/clients';
 import { ClaimTable, DependencyGraph, FailureAttribution, Fleet, Job, JobTable, Ownership } from '@gingerlock/core';
-import { Controller, LeaderBorrowing, OwnerReclaims, PartOwner } from '@gingerlock/daemon';
+import { Controller, LeaderBorrowing, OwnerReclaims, PartitionOwner } from '@gingerlock/daemon';
 import { MAX_FRAME_BYTES } from '@gingerlock/peer';
 import { encodeJobState, decodeSubmission, PRIORITIES } from '@gingerlock/wire';
 import { type Fault, playDay, type Rule, World } from '../src/index';
@@ -112,7 +112,7 @@
             try {
               return original.call(this, view);
             } finally {
-              for (const [part, ofPart] of stored) reclaims.set(part, ofPart);
+              for (const [partitionId, ofPartition] of stored) reclaims.set(partitionId, ofPartition);
             }
           },
       ),
@@ -171,10 +171,10 @@
     broken: 'a machine is told of with an image whose name is longer than a frame',
     apply: () =>
       patch(
-        PartOwner.prototype,
+        PartitionOwner.prototype,
         'summary',
         (original) =>
-          function (this: PartOwner, now) {
+          function (this: PartitionOwner, now) {
             const summary = original.call(this, now);
             const images = ['i'.repeat(MAX_FRAME_BYTES)];
             return { ...summary, machines: summary.machines.slice(0, 1).map((machine) => ({ ...machine, images })) };
@@ -354,10 +354,10 @@
           },
       );
       const answers = patch(
-        PartOwner.prototype,
+        PartitionOwner.prototype,
         'isOwner',
         () =>
-          function (this: PartOwner) {
+          function (this: PartitionOwner) {
             return this.tenure.isCurrent;
           },
       );
--- a/packages/testkit/test/replica-groups-measure.test.ts
+++ b/packages/testkit/test/replica-groups-measure.test.ts
@@ -143,7 +143,8 @@
 }
 
 function tell(context: TestContext, what: string, f: Figures): void {
-  const percent = (part: number, whole: number): string => `${((100 * part) / Math.max(1, whole)).toFixed(2)}%`;
+  const percent = (partitionId: number, whole: number): string =>
+    `${((100 * partitionId) / Math.max(1, whole)).toFixed(2)}%`;
   const perGroup = (count: number): string => (count / f.groups).toFixed(1);
   context.diagnostic(
     `${what}: to serve ${quantile(f.toServe, 0.5)} (nine of ten ${quantile(f.toServe, 0.9)}, ${f.toServe.length} of ${f.groups}), ` +
--- a/packages/testkit/test/state-limits.test.ts
+++ b/packages/testkit/test/state-limits.test.ts
@@ -24,9 +24,9 @@
     ...over,
   };
   const rounds = Array.from({ length: spec.tasks }, (_, from): Round => {
-    const part = from % world.nodes.length;
-    const { term } = ownerRecord.read(world.state.data.get(KEYS.owner(String(part)))!.value);
-    return { from, count: 1, part, zone: null, term };
+    const partitionId = from % world.nodes.length;
+    const { term } = ownerRecord.read(world.state.data.get(KEYS.owner(String(partitionId)))!.value);
+    return { from, count: 1, partitionId, zone: null, term };
   });
   const value = jobRecord.write({
     final: null,
--- a/packages/testkit/test/takeover.test.ts
+++ b/packages/testkit/test/takeover.test.ts
@@ -7,11 +7,12 @@
 
 /** Which controllers own each part now. */
 function owners(world: World): Map<number, string[]> {
-  const parts = new Map<number, string[]>();
+  const partitions = new Map<number, string[]>();
   for (const { name, controller } of world.nodes) {
-    for (const { part } of controller?.owned() ?? []) parts.set(part, [...(parts.get(part) ?? []), name]);
+    for (const { partitionId } of controller?.owned() ?? [])
+      partitions.set(partitionId, [...(partitions.get(partitionId) ?? []), name]);
   }
-  return parts;
+  return partitions;
 }
 
 // Controllers once left a whole report interval to each of those before them, dead or alive: with five of them a part
@@ -30,7 +31,7 @@
     await world.sim.run(world.sim.now + stateLeaseMs(clusterConfig) + 2 * clusterConfig.heartbeatIntervalMs);
     const after = owners(world);
     assert.equal(after.size, 5, `owned: ${[...after.keys()].join()}`);
-    for (const [part, names] of after) assert.equal(names.length, 1, `part ${part}: ${names.join()}`);
+    for (const [partitionId, names] of after) assert.equal(names.length, 1, `part ${partitionId}: ${names.join()}`);
   }
 });
 
--- a/packages/testkit/test/tenure.test.ts
+++ b/packages/testkit/test/tenure.test.ts
@@ -36,7 +36,7 @@
     // No worker is heard in the next tenure, so that it has nothing to write itself.
     for (const worker of world.workers.keys()) world.network.cut(worker, OWNER, 'lose');
     const { term } = ownerRecordOf(world);
-    world.nodes[0]!.link!.onMessage('node-1', { kind: 'OwnershipQuery', id: 'q', part: 0, term: term + 1 });
+    world.nodes[0]!.link!.onMessage('node-1', { kind: 'OwnershipQuery', id: 'q', partitionId: 0, term: term + 1 });
     await new Promise<void>((resolve) => world.sim.after(900, resolve));
     assert.ok(ownerRecordOf(world).term > term, 'the partition was not taken again');
     return answer;
--- a/packages/wire/src/group-record.ts
+++ b/packages/wire/src/group-record.ts
@@ -33,7 +33,7 @@
 
 /** One member, by its rank: the number of its task. */
 export interface GroupMember {
-  readonly part: number;
+  readonly partitionId: number;
   readonly machine: string;
   /** The attempt under which it serves; null: the group does not serve yet. */
   readonly attempt: number | null;
@@ -84,7 +84,11 @@
     f: group.failures,
     l: group.hasServed ? 1 : 0,
     a: group.avoid,
-    m: group.members.map(({ part, machine, attempt }) => [part, machine, attempt === null ? null : integer(attempt)]),
+    m: group.members.map(({ partitionId, machine, attempt }) => [
+      partitionId,
+      machine,
+      attempt === null ? null : integer(attempt),
+    ]),
   }),
   /** Throws `Malformed` if the value is none that we write. */
   read: (value: unknown): GroupRecord => {
@@ -97,7 +101,7 @@
       failures: g.f,
       hasServed: g.l === 1,
       avoid: g.a,
-      members: g.m.map(([part, machine, attempt]) => ({ part, machine, attempt })),
+      members: g.m.map(([partitionId, machine, attempt]) => ({ partitionId, machine, attempt })),
     };
   },
 };
--- a/packages/wire/src/records.ts
+++ b/packages/wire/src/records.ts
@@ -17,11 +17,11 @@
   /** A term record: the owner of that term knows that the `movedAt` of its record bounds its takeover. */
   timed: (slot: string) => `g/timed/${slot}`,
   job: (id: string) => `g/j/${id}`,
-  finished: (id: string, part: number, page: number) => `g/f/${id}/${part}/${page}`,
+  finished: (id: string, partitionId: number, page: number) => `g/f/${id}/${partitionId}/${page}`,
   /** A page of finished tasks that begins at task `first`; see `finishedPageFor`. */
-  finishedFrom: (id: string, part: number, first: number) => `g/o/${id}/${part}/${first}`,
-  membership: (part: number, machine: string) => `g/r/${part}/${machine}`,
-  reclaim: (part: number, id: string) => `g/b/${part}/${id}`,
+  finishedFrom: (id: string, partitionId: number, first: number) => `g/o/${id}/${partitionId}/${first}`,
+  membership: (partitionId: number, machine: string) => `g/r/${partitionId}/${machine}`,
+  reclaim: (partitionId: number, id: string) => `g/b/${partitionId}/${id}`,
   /** How the replica group of a job stands. */
   group: (job: string) => `g/g/${job}`,
 } as const;
@@ -33,10 +33,10 @@
   | { readonly kind: 'meta' | 'term' | 'types' | 'other' }
   | { readonly kind: 'owner' | 'hold' | 'timed'; readonly slot: string }
   | { readonly kind: 'job'; readonly id: string }
-  | { readonly kind: 'finished'; readonly id: string; readonly part: number; readonly page: number }
-  | { readonly kind: 'finishedFrom'; readonly id: string; readonly part: number; readonly first: number }
-  | { readonly kind: 'membership'; readonly part: number; readonly machine: string }
-  | { readonly kind: 'reclaim'; readonly part: number; readonly id: string }
+  | { readonly kind: 'finished'; readonly id: string; readonly partitionId: number; readonly page: number }
+  | { readonly kind: 'finishedFrom'; readonly id: string; readonly partitionId: number; readonly first: number }
+  | { readonly kind: 'membership'; readonly partitionId: number; readonly machine: string }
+  | { readonly kind: 'reclaim'; readonly partitionId: number; readonly id: string }
   | { readonly kind: 'group'; readonly job: string };
 
 export function parseKey(key: string): ParsedKey {
@@ -55,13 +55,13 @@
     case 'j':
       return { kind: 'job', id: words[2] ?? '' };
     case 'f':
-      return { kind: 'finished', id: words[2] ?? '', part: Number(words[3]), page: Number(words[4]) };
+      return { kind: 'finished', id: words[2] ?? '', partitionId: Number(words[3]), page: Number(words[4]) };
     case 'o':
-      return { kind: 'finishedFrom', id: words[2] ?? '', part: Number(words[3]), first: Number(words[4]) };
+      return { kind: 'finishedFrom', id: words[2] ?? '', partitionId: Number(words[3]), first: Number(words[4]) };
     case 'r':
-      return { kind: 'membership', part: Number(words[2]), machine: words.slice(3).join('/') };
+      return { kind: 'membership', partitionId: Number(words[2]), machine: words.slice(3).join('/') };
     case 'b':
-      return { kind: 'reclaim', part: Number(words[2]), id: words.slice(3).join('/') };
+      return { kind: 'reclaim', partitionId: Number(words[2]), id: words.slice(3).join('/') };
     case 'g':
       return { kind: 'group', job: words[2] ?? '' };
     default:
@@ -72,7 +72,7 @@
 /** Fixed by the first controller that ever starts. */
 export interface Meta {
   readonly format: number;
-  readonly parts: number;
+  readonly partitionCount: number;
   /** The zone in which each part has its home; none: machines are shared out without regard to zones. */
   readonly zones: readonly string[];
   readonly pageTasks: number;
@@ -91,13 +91,13 @@
 export const metaRecord = {
   write: (m: Meta): unknown => ({
     v: m.format,
-    parts: m.parts,
+    parts: m.partitionCount,
     page: m.pageTasks,
     ...(m.zones.length > 0 ? { z: m.zones } : {}),
   }),
   read: (value: unknown): Meta => {
     const m = checkMeta(value);
-    return { format: m.v, parts: m.parts, zones: m.z ?? [], pageTasks: m.page };
+    return { format: m.v, partitionCount: m.parts, zones: m.z ?? [], pageTasks: m.page };
   },
 };
 
@@ -172,7 +172,7 @@
 export interface Round {
   readonly from: number;
   readonly count: number;
-  readonly part: number;
+  readonly partitionId: number;
   readonly zone: string | null;
   /** Term of the part's owner at the assignment. */
   readonly term: number;
@@ -221,7 +221,7 @@
           c: j.cancelled ? 1 : 0,
           // Left out when it does not hold: versions that do not know it drop it, which costs a few more failures.
           ...(j.failing ? { e: 1 } : {}),
-          r: j.rounds.map((r) => [r.from, r.count, r.part, r.zone, r.term]),
+          r: j.rounds.map((r) => [r.from, r.count, r.partitionId, r.zone, r.term]),
         },
   read: (value: unknown): JobRecord => {
     const j = checkJob(value);
@@ -232,7 +232,7 @@
       acceptedAt: j.t,
       cancelled: j.c === 1,
       failing: j.e === 1,
-      rounds: j.r.map(([from, count, part, zone, term]) => ({ from, count, part, zone, term })),
+      rounds: j.r.map(([from, count, partitionId, zone, term]) => ({ from, count, partitionId, zone, term })),
     };
   },
 };
--- a/packages/wire/test/formats.test.ts
+++ b/packages/wire/test/formats.test.ts
@@ -85,7 +85,7 @@
         acceptedAt: 1.5e12,
         cancelled: s.spot,
         failing: s.spread,
-        rounds: [{ from: 0, count: 2, part: 1, zone: s.zone, term: 77 }],
+        rounds: [{ from: 0, count: 2, partitionId: 1, zone: s.zone, term: 77 }],
       };
       assert.deepEqual(wire.jobRecord.read(wire.decode(wire.encode(wire.jobRecord.write(record)))), record);
     }),
@@ -258,7 +258,7 @@
     hasServed: fc.boolean(),
     avoid: fc.option(word),
     members: fc.array(
-      fc.record({ part: fc.integer({ min: 0, max: 6 }), machine: word, attempt: fc.option(count) }, plain),
+      fc.record({ partitionId: fc.integer({ min: 0, max: 6 }), machine: word, attempt: fc.option(count) }, plain),
       { maxLength: 5 },
     ),
   },
@@ -289,7 +289,7 @@
 test('as many members as are allowed fit into a value', () => {
   for (const kb of [2, 8, 16]) {
     const most = wire.mostMembers(kb * 1024);
-    const member = { part: 999, machine: 'm'.repeat(64), attempt: 2 ** 48 };
+    const member = { partitionId: 999, machine: 'm'.repeat(64), attempt: 2 ** 48 };
     const record: wire.GroupRecord = {
       generation: 2 ** 31,
       state: 'serving',
