--- a/packages/borrowing/src/planner.ts
+++ b/packages/borrowing/src/planner.ts
@@ -6,7 +6,7 @@
   countWithinLimit,
   type MachineRoom,
   NO_RESOURCES,
-  type PartSummary,
+  type PartitionStatus,
   type Place,
   addResources,
   SUSPECT_INTERVALS,
@@ -63,7 +63,7 @@
   readonly settings: BorrowingSettings;
   readonly jobs: ReadonlyMap<string, Job>;
   readonly unmet: readonly Unmet[];
-  readonly summaries: readonly PartSummary[];
+  readonly statuses: readonly PartitionStatus[];
   /** By machine that takes work: what is left there after all assignments. */
   readonly free: ReadonlyMap<string, Resources>;
   /** What machines hold, of the partitions of which that is known. */
@@ -110,7 +110,7 @@
     const view = new ClaimsView(input);
     this.#accounts = new Accounts(input.clusterConfig, input.jobs.values(), view.surelyRunning, waitingOf(input.unmet));
     this.#sources = view.sources;
-    this.#machines = input.summaries.reduce((sum, summary) => sum + summary.machines.length, 0);
+    this.#machines = input.statuses.reduce((sum, status) => sum + status.machines.length, 0);
   }
 
   run(): Plan {
@@ -218,8 +218,8 @@
   }
 
   #whyNone(job: Job): Refusal {
-    const { claims, summaries } = this.#input;
-    if (claims.length < summaries.length) return 'what machines hold is not known';
+    const { claims, statuses } = this.#input;
+    if (claims.length < statuses.length) return 'what machines hold is not known';
     let hasCandidate = false;
     for (const { candidates, room } of this.#sources.values()) {
       if (!allowsMachine(job.spec, room.type, room.zone, room.spot)) continue;
@@ -253,15 +253,15 @@
     this.#victims = new Set(input.pending.flatMap((reclaim) => reclaim.victims.map(keyOf)));
     this.#busy = new Set(input.pending.map((reclaim) => reclaim.machine));
     const byPartition = new Map(input.claims.map((claims) => [claims.partitionId, claims]));
-    for (const summary of input.summaries) {
-      const claims = byPartition.get(summary.partitionId);
-      if (claims?.term !== summary.term) continue;
-      const rooms = new Map(summary.machines.map((room) => [room.name, room]));
-      for (const machine of claims.machines) this.#add(machine, rooms.get(machine.machine), summary);
+    for (const status of input.statuses) {
+      const claims = byPartition.get(status.partitionId);
+      if (claims?.term !== status.term) continue;
+      const rooms = new Map(status.machines.map((room) => [room.name, room]));
+      for (const machine of claims.machines) this.#add(machine, rooms.get(machine.machine), status);
     }
   }
 
-  #add({ machine, held }: MachineClaims, room: MachineRoom | undefined, { partitionId, term }: PartSummary): void {
+  #add({ machine, held }: MachineClaims, room: MachineRoom | undefined, { partitionId, term }: PartitionStatus): void {
     if (room === undefined || !isWell(room, this.input.clusterConfig)) return;
     const candidates = held.flatMap((task): Candidate[] => {
       const name = parseTaskName(task.task);
--- a/packages/borrowing/test/planner.test.ts
+++ b/packages/borrowing/test/planner.test.ts
@@ -45,14 +45,14 @@
     machines.map((tasks, i) => [`m-${i}`, tasks.reduce((sum, { job }) => subtractResources(sum, job.spec), MACHINE)]),
   );
   const rooms = machines.map((_, i) => roomOf(`m-${i}`));
-  const summary = { partitionId: 0, term: 3, revision: 1, machines: rooms, missing: NO_RESOURCES, running: [] };
+  const status = { partitionId: 0, term: 3, revision: 1, machines: rooms, missing: NO_RESOURCES, running: [] };
   const claims = [...held].map(([machine, tasks]) => ({ machine, held: tasks }));
   const input: PlannerInput = {
     clusterConfig: clusterConfigOf(teams),
     settings: { maxShare: 1 },
     jobs,
     unmet: waiting.map((job) => ({ job, count: job.spec.tasks, zones: null })),
-    summaries: [summary],
+    statuses: [status],
     free,
     claims: [{ partitionId: 0, term: 3, revision: 1, machines: claims }],
     pending: [],
--- a/packages/core/src/assignment.ts
+++ b/packages/core/src/assignment.ts
@@ -44,7 +44,7 @@
   readonly silentMs: number;
 }
 
-export interface PartSummary {
+export interface PartitionStatus {
   readonly partitionId: number;
   readonly term: number;
   /** The owner's replica stood at this revision: later assignments are not in it yet. */
@@ -89,7 +89,7 @@
   readonly now: number;
   readonly trials: Trials;
   readonly jobs: Iterable<Job>;
-  readonly summaries: readonly PartSummary[];
+  readonly statuses: readonly PartitionStatus[];
   /** Assignments that a summary may not show yet. */
   readonly recent: readonly { revision: number; machine: string; partitionId: number; need: Resources }[];
   readonly clusterConfig: ClusterConfig;
@@ -160,9 +160,9 @@
 }
 
 /** What is free on the machines that take work, less what earlier assignments will take there. */
-function binsOf({ summaries, recent }: AssignmentInput): Bin[] {
+function binsOf({ statuses, recent }: AssignmentInput): Bin[] {
   const bins: Bin[] = [];
-  for (const { machines, partitionId, term, revision } of summaries) {
+  for (const { machines, partitionId, term, revision } of statuses) {
     for (const room of machines) {
       if (!room.takesWork) continue;
       let { free } = room;
--- a/packages/core/src/fleet-inventory.ts
+++ b/packages/core/src/fleet-inventory.ts
@@ -1,6 +1,6 @@
 // The machines that the leader knows of: from what it rented, from the cloud's lists and from what owners tell.
 import type { CloudMachine, RentRequest } from '@gingerlock/wire';
-import type { MachineRoom, PartSummary } from './assignment';
+import type { MachineRoom, PartitionStatus } from './assignment';
 import type { ClusterConfig } from './facts';
 
 /** What is known of one machine. */
@@ -131,8 +131,8 @@
   }
 
   /** Whether the owners have heard every machine that is listed as up. */
-  allHeard(summaries: readonly PartSummary[]): boolean {
-    const heard = new Set(summaries.flatMap((s) => s.machines.map((m) => m.name)));
+  allHeard(statuses: readonly PartitionStatus[]): boolean {
+    const heard = new Set(statuses.flatMap((s) => s.machines.map((m) => m.name)));
     const up = [...this.known.values()].filter((k) => k.state === 'running');
     return up.length > 0 && up.every((k) => heard.has(k.name));
   }
--- a/packages/core/src/fleet.ts
+++ b/packages/core/src/fleet.ts
@@ -1,6 +1,6 @@
 // What the leader rents, drains and returns. It only plans; the controller talks to the cloud and to the owners.
 import { type CloudMachine, isRentable, type JobSpec, type MachineType, type RentRequest } from '@gingerlock/wire';
-import type { MachineRoom, PartSummary, Unmet } from './assignment';
+import type { MachineRoom, PartitionStatus, Unmet } from './assignment';
 import { FleetInventory, type KnownMachine } from './fleet-inventory';
 import { machineUse } from './machine-use';
 import { BATCH_RANK, isSuspect, VacatingPlan } from './vacating';
@@ -28,7 +28,7 @@
 export interface FleetInput {
   readonly now: number;
   readonly types: ReadonlyMap<string, MachineType>;
-  readonly summaries: readonly PartSummary[];
+  readonly statuses: readonly PartitionStatus[];
   readonly unmet: readonly Unmet[];
   readonly partitioner: Partitioner;
   /** Machines that are neither emptied nor given back while idle. */
@@ -120,8 +120,8 @@
   }
 
   /** Whether the owners have heard every machine that is listed as up. */
-  allHeard(summaries: readonly PartSummary[]): boolean {
-    return this.#inventory.allHeard(summaries);
+  allHeard(statuses: readonly PartitionStatus[]): boolean {
+    return this.#inventory.allHeard(statuses);
   }
 
   /** Whether there is a machine of that type. */
@@ -135,10 +135,10 @@
   }
 
   /** How the fleet stands, for the log. */
-  figures(summaries: readonly PartSummary[], types: ReadonlyMap<string, MachineType>): Record<string, number> {
+  figures(statuses: readonly PartitionStatus[], types: ReadonlyMap<string, MachineType>): Record<string, number> {
     const f = { ordinary: 0, spot: 0, notHeard: 0, idle: 0, used: 0, batch: 0, free: 0 };
     for (const k of this.known.values()) f[k.spot ? 'spot' : 'ordinary']++;
-    const rooms = summaries.flatMap((s) => s.machines);
+    const rooms = statuses.flatMap((s) => s.machines);
     f.notHeard = f.ordinary + f.spot - rooms.length;
     for (const m of rooms) {
       if (machineUse(m) === 'idle') f.idle++;
@@ -169,14 +169,14 @@
   plan(input: FleetInput): FleetPlan {
     const { now, types } = input;
     const rooms = new Map<string, MachineRoom>();
-    for (const s of input.summaries) for (const m of s.machines) rooms.set(m.name, m);
+    for (const s of input.statuses) for (const m of s.machines) rooms.set(m.name, m);
     this.#inventory.heard(rooms.values(), now);
 
-    for (const s of input.summaries) {
+    for (const s of input.statuses) {
       if (this.#partitionSince.get(s.partitionId)?.term !== s.term)
         this.#partitionSince.set(s.partitionId, { term: s.term, since: now });
     }
-    const heard = new Set(input.summaries.map((s) => s.partitionId));
+    const heard = new Set(input.statuses.map((s) => s.partitionId));
     for (const partitionId of this.#partitionSince.keys())
       if (!heard.has(partitionId)) this.#partitionSince.delete(partitionId);
 
@@ -302,7 +302,7 @@
       const type = input.types.get(m.type);
       if (type !== undefined && !m.spot) used += type.gpus - roomForServices(m);
     }
-    const missing = input.summaries.reduce((sum, s) => sum + s.missing.gpus, 0);
+    const missing = input.statuses.reduce((sum, s) => sum + s.missing.gpus, 0);
     return used * this.limits.headroom + missing;
   }
 
--- a/packages/core/src/stranded-tasks.ts
+++ b/packages/core/src/stranded-tasks.ts
@@ -1,13 +1,13 @@
 // Tasks that are assigned to a partition which has no machine for them, and that their owner can't give back.
 import type { MachineType } from '@gingerlock/wire';
-import type { MachineRoom, PartSummary, Unmet } from './assignment';
+import type { MachineRoom, PartitionStatus, Unmet } from './assignment';
 import { fitsIn, type Partitioner, allowsMachine } from './facts';
 import { unfinishedIn } from './job-use';
 import type { Job } from './jobs';
 
 export interface StrandedTasksInput {
   readonly jobs: Iterable<Job>;
-  readonly summaries: readonly PartSummary[];
+  readonly statuses: readonly PartitionStatus[];
   readonly types: ReadonlyMap<string, MachineType>;
   readonly partitioner: Partitioner;
   readonly zones: readonly string[];
@@ -23,17 +23,17 @@
   const stranded: Unmet[] = [];
   for (const job of input.jobs) {
     if (job.cancelled || job.rounds.length === 0 || !input.isFrozen(job)) continue;
-    for (const summary of input.summaries) {
-      const count = waitingIn(job, summary);
-      if (count <= 0 || summary.machines.some((machine) => couldTake(machine, job, input.types))) continue;
-      stranded.push({ job, count, zones: zonesFor(job, summary.partitionId, input) });
+    for (const status of input.statuses) {
+      const count = waitingIn(job, status);
+      if (count <= 0 || status.machines.some((machine) => couldTake(machine, job, input.types))) continue;
+      stranded.push({ job, count, zones: zonesFor(job, status.partitionId, input) });
     }
   }
   return stranded;
 }
 
 /** How many tasks of the job wait in the partition; none while its summary is older than the assignment. */
-function waitingIn(job: Job, { partitionId, revision, running }: PartSummary): number {
+function waitingIn(job: Job, { partitionId, revision, running }: PartitionStatus): number {
   if (revision < job.version) return 0;
   const assigned = job.rounds
     .filter((round) => round.partitionId === partitionId)
--- a/packages/core/test/assignment.test.ts
+++ b/packages/core/test/assignment.test.ts
@@ -1,7 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { finishedRecord, jobRecord, type MachineType } from '@gingerlock/wire';
-import { assignTasks, JobTable, type MachineRoom, NO_RESOURCES, type PartSummary, TrialSchedule } from '../src/index';
+import {
+  assignTasks,
+  JobTable,
+  type MachineRoom,
+  NO_RESOURCES,
+  type PartitionStatus,
+  TrialSchedule,
+} from '../src/index';
 import { CLUSTER_CONFIG, roomOf, specOf } from './fixtures';
 
 const ZONES = ['a', 'b', 'c'];
@@ -42,7 +49,7 @@
     const record = { final: null, spec, acceptedAt: i, cancelled: false, failing: false, rounds: [] };
     table.applyJob(spec.id, jobRecord.write(record), i + 1);
   }
-  const summary: PartSummary = {
+  const status: PartitionStatus = {
     partitionId: 0,
     term: 1,
     revision: 0,
@@ -54,7 +61,7 @@
     now: 0,
     trials: new TrialSchedule(clusterConfig),
     jobs: table.live.values(),
-    summaries: [summary],
+    statuses: [status],
     recent: [],
     clusterConfig,
     types: new Map([[type.name, type]]),
@@ -98,7 +105,7 @@
       now: 0,
       trials: new TrialSchedule(clusterConfig),
       jobs: table.live.values(),
-      summaries: [
+      statuses: [
         { partitionId: 1, term: 1, revision: 0, machines: [roomIn('m-1', 'b', 8)], missing: NO_RESOURCES, running: [] },
       ],
       recent: [],
--- a/packages/core/test/stranded-tasks.test.ts
+++ b/packages/core/test/stranded-tasks.test.ts
@@ -6,7 +6,7 @@
   type MachineRoom,
   NO_RESOURCES,
   Partitioner,
-  type PartSummary,
+  type PartitionStatus,
   strandedTasks,
   type Unmet,
 } from '../src/index';
@@ -38,18 +38,18 @@
   return { from, count: 2, partitionId, zone, term: 1 };
 }
 
-function summaryOf(
+function partitionStatusOf(
   partitionId: number,
   machines: readonly MachineRoom[],
-  over: Partial<PartSummary> = {},
-): PartSummary {
+  over: Partial<PartitionStatus> = {},
+): PartitionStatus {
   return { partitionId, term: 1, revision: 9, machines, missing: NO_RESOURCES, running: [], ...over };
 }
 
-function stranded(job: Job, summaries: readonly PartSummary[], isFrozen = true): readonly Omit<Unmet, 'job'>[] {
+function stranded(job: Job, statuses: readonly PartitionStatus[], isFrozen = true): readonly Omit<Unmet, 'job'>[] {
   const found = strandedTasks({
     jobs: [job],
-    summaries,
+    statuses,
     types: new Map([[box.name, box]]),
     partitioner: new Partitioner(HOMES.length, HOMES),
     zones: box.zones,
@@ -61,7 +61,7 @@
 // A fleet without machines was once not rented any for such tasks, and they waited for ever.
 test('tasks that cannot be given back and have no machine in their partition are asked for in its zones', () => {
   const job = jobWith([round(0, 0), round(2, 1), round(4, 0)]);
-  const both = [summaryOf(0, []), summaryOf(1, [])];
+  const both = [partitionStatusOf(0, []), partitionStatusOf(1, [])];
   assert.deepEqual(stranded(job, both), [
     { count: 4, zones: ['north', 'west'] },
     { count: 2, zones: ['south', 'west'] },
@@ -72,14 +72,18 @@
 test('no machine is asked for where one can take the tasks in time, or where nothing waits', () => {
   const job = jobWith([round(0, 0)]);
   const full = roomOf('m-1', { zone: 'north', free: NO_RESOURCES });
-  assert.deepEqual(stranded(job, [summaryOf(0, [full])]), []);
-  assert.deepEqual(stranded(job, [summaryOf(0, [{ ...full, takesWork: false }])]), [
+  assert.deepEqual(stranded(job, [partitionStatusOf(0, [full])]), []);
+  assert.deepEqual(stranded(job, [partitionStatusOf(0, [{ ...full, takesWork: false }])]), [
     { count: 2, zones: ['north', 'west'] },
   ]);
-  assert.deepEqual(stranded(job, [summaryOf(0, [], { running: [['j-1', 1]] })]), [
+  assert.deepEqual(stranded(job, [partitionStatusOf(0, [], { running: [['j-1', 1]] })]), [
     { count: 1, zones: ['north', 'west'] },
   ]);
-  assert.deepEqual(stranded(job, [summaryOf(0, [], { revision: 4 })]), [], 'the summary is older than the assignment');
+  assert.deepEqual(
+    stranded(job, [partitionStatusOf(0, [], { revision: 4 })]),
+    [],
+    'the summary is older than the assignment',
+  );
   const bound = jobWith([round(0, 0, 'west')], { spread: true });
-  assert.deepEqual(stranded(bound, [summaryOf(0, [])]), [{ count: 2, zones: ['west'] }]);
+  assert.deepEqual(stranded(bound, [partitionStatusOf(0, [])]), [{ count: 2, zones: ['west'] }]);
 });
--- a/packages/core/test/trials.test.ts
+++ b/packages/core/test/trials.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobRecord } from '@gingerlock/wire';
-import { assignTasks, isTried, JobTable, NO_RESOURCES, type PartSummary, TrialSchedule } from '../src/index';
+import { assignTasks, isTried, JobTable, NO_RESOURCES, type PartitionStatus, TrialSchedule } from '../src/index';
 import { CLUSTER_CONFIG, roomOf, specOf } from './fixtures';
 
 const team = { name: 'red', cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 0 };
@@ -24,7 +24,7 @@
     1,
   );
   const trials = new TrialSchedule(clusterConfig);
-  const summaries = [0, 1].map((partitionId): PartSummary => ({
+  const statuses = [0, 1].map((partitionId): PartitionStatus => ({
     partitionId,
     term: 1,
     revision: 0,
@@ -37,7 +37,7 @@
       now,
       trials,
       jobs: jobs.live.values(),
-      summaries,
+      statuses,
       recent: [],
       clusterConfig,
       types: new Map(),
--- a/packages/daemon/src/claim-lists.ts
+++ b/packages/daemon/src/claim-lists.ts
@@ -2,7 +2,7 @@
 import type { HeldTask, MachineClaims, PartitionClaims } from '@gingerlock/borrowing';
 import type { ClaimTable } from '@gingerlock/core';
 import type { PeerMessage, PeerMessages } from '@gingerlock/peer';
-import { contentsOf, SenderAssemblies } from './pieces';
+import { fragmentContents, SenderReassemblers } from './fragments';
 
 /** Bytes of the numbers of one task, rounded up. */
 const TASK_BYTES = 32;
@@ -32,7 +32,7 @@
 
 export function claimListMessages(claims: PartitionClaims, sequence: number, frameBytes: number): PeerMessage[] {
   const { partitionId, term, revision } = claims;
-  const contents = contentsOf(claims.machines, machineBytes, frameBytes);
+  const contents = fragmentContents(claims.machines, machineBytes, frameBytes);
   return contents.map((run, index) => ({
     kind: 'ClaimList',
     partitionId,
@@ -40,7 +40,7 @@
     revision,
     sequence,
     index,
-    pieces: contents.length,
+    fragmentCount: contents.length,
     machines: run.map(({ machine, held }) => ({ machine, held: held.map((task) => ({ ...task })) })),
   }));
 }
@@ -53,13 +53,13 @@
 /** The newest list of each partition. */
 export class ClaimLists {
   readonly #seen = new Map<number, SeenClaims>();
-  readonly #assemblies = new SenderAssemblies<PeerMessages['ClaimList']>();
+  readonly #reassemblers = new SenderReassemblers<PeerMessages['ClaimList']>();
 
   /** Takes a piece from another controller. */
-  onPiece(from: string, piece: PeerMessages['ClaimList'], now: number): void {
-    const all = this.#assemblies.add(from, piece);
+  onFragment(from: string, fragment: PeerMessages['ClaimList'], now: number): void {
+    const all = this.#reassemblers.add(from, fragment);
     if (all === null) return;
-    const { partitionId, term, revision } = piece;
+    const { partitionId, term, revision } = fragment;
     this.note({ partitionId, term, revision, machines: all.flatMap((p) => p.machines) }, now);
   }
 
--- a/packages/daemon/src/controller.ts
+++ b/packages/daemon/src/controller.ts
@@ -32,8 +32,8 @@
 import type { Settings } from './settings';
 import { type ControllerLimits, Shared } from './shared';
 import { Store } from './store';
-import { Summaries } from './summaries';
-import { SummaryPublisher } from './summary-publisher';
+import { PartitionStatuses } from './partition-statuses';
+import { StatusPublisher } from './status-publisher';
 import { Users } from './users';
 import { WorkerReach } from './worker-reach';
 
@@ -63,10 +63,10 @@
   readonly #owners = new Map<number, PartitionOwner>();
   readonly #ownership: OwnershipManager;
   readonly #peers: PeerChannel;
-  readonly #summaries = new Summaries();
+  readonly #statuses = new PartitionStatuses();
   readonly #claimLists = new ClaimLists();
   readonly #groupReports = new GroupReports();
-  readonly #publisher: SummaryPublisher;
+  readonly #publisher: StatusPublisher;
   readonly #relay: ReportRelay;
   readonly #workerReach: WorkerReach;
   readonly #confirmation: PeerConfirmation;
@@ -137,14 +137,14 @@
       this.#workerReach,
       { opened: (tenure) => this.#opened(tenure), ended: (tenure) => this.#ended(tenure) },
     );
-    this.#publisher = new SummaryPublisher(
+    this.#publisher = new StatusPublisher(
       this.shared,
       this.#peers,
-      this.#summaries,
+      this.#statuses,
       this.#claimLists,
       this.#groupReports,
     );
-    this.#users = new Users(this.shared, (id) => this.#summaries.runningTasks(id));
+    this.#users = new Users(this.shared, (id) => this.#statuses.runningTasks(id));
     this.#rendezvous = features.replicaGroups === null ? null : new Rendezvous(this.shared, features.replicaGroups);
     this.#budgetSharing = new BudgetSharing(this.#budget, this.#peers, ports.clock, clusterConfig.heartbeatIntervalMs);
     this.#confirmation = new PeerConfirmation(this.state, this.replica, this.#peers, clusterConfig.heartbeatIntervalMs);
@@ -158,12 +158,12 @@
       missedByOwner: (partitionId, machine) => this.#missedByOwner(partitionId, machine),
     });
     this.shared.announce = (revision) => {
-      this.#peers.broadcast({ kind: 'Hint', revision });
+      this.#peers.broadcast({ kind: 'RevisionHint', revision });
       this.replica.hint(revision);
     };
     this.shared.announceCancelled = (job) => this.#peers.broadcast({ kind: 'JobCancelled', job });
     this.shared.spareCapacity = (exceptPartitionId) =>
-      this.#summaries.spareCapacity(exceptPartitionId, this.clock.now() - clusterConfig.heartbeatIntervalMs * 2);
+      this.#statuses.spareCapacity(exceptPartitionId, this.clock.now() - clusterConfig.heartbeatIntervalMs * 2);
     this.store.onJob = (id) => {
       for (const owner of this.#owners.values()) owner.jobChanged(id);
     };
@@ -271,7 +271,7 @@
       return;
     }
     const partitionId = Number(tenure.resource);
-    const before = this.#summaries.of(partitionId)?.summary.machines ?? [];
+    const before = this.#statuses.of(partitionId)?.status.machines ?? [];
     this.#owners.set(
       partitionId,
       new PartitionOwner(this.shared, partitionId, tenure, new Map(before.map((m) => [m.name, m] as const))),
@@ -283,7 +283,7 @@
     return new Leader(
       this.shared,
       tenure,
-      () => this.#summaries.all(),
+      () => this.#statuses.all(),
       this.#http,
       borrowing === null ? null : new LeaderBorrowing(this.shared, tenure, borrowing, this.#claimLists),
       replicaGroups === null ? null : new LeaderGroups(this.shared, replicaGroups, this.#groupReports),
@@ -349,14 +349,14 @@
    */
   #ownerOf(partitionId: number): string | null {
     const owner = this.store.owners.get(String(partitionId));
-    const seen = this.#summaries.of(partitionId);
-    if (seen !== undefined && seen.summary.term > (owner?.record.term ?? 0)) return seen.owner;
+    const seen = this.#statuses.of(partitionId);
+    if (seen !== undefined && seen.status.term > (owner?.record.term ?? 0)) return seen.owner;
     return this.store.holds.has(String(partitionId)) ? (owner?.record.node ?? null) : null;
   }
 
   #missedByOwner(partitionId: number, machine: string): boolean {
-    const seen = this.#summaries.of(partitionId);
-    const room = seen?.summary.machines.find((m) => m.name === machine);
+    const seen = this.#statuses.of(partitionId);
+    const room = seen?.status.machines.find((m) => m.name === machine);
     if (room === undefined) return false;
     const { heartbeatIntervalMs, workerLeaseMs } = this.settings.clusterConfig;
     return (
@@ -374,9 +374,9 @@
     switch (message.kind) {
       case 'Hello':
         // It may have just started: what we saw last of the parts tells it which images its machines have.
-        this.#summaries.sendAll(this.#peers, from);
+        this.#statuses.sendAll(this.#peers, from);
         return;
-      case 'Alive':
+      case 'PeerHeartbeat':
         this.#peerHealth.noteContact(from, message.contactAgeMs, now);
         this.replica.hint(message.revision);
         return;
@@ -386,24 +386,24 @@
       case 'BudgetGrant':
         this.#budgetSharing.onGrant(from, message);
         return;
-      case 'Hint':
+      case 'RevisionHint':
         this.replica.hint(message.revision);
         return;
       case 'JobCancelled':
         // A stop is always safe, with or without the state service. It shortens no bound: the word may be lost.
         this.store.markCancelled(message.job);
         return;
-      case 'Summary':
-        if (!this.#owners.has(message.partitionId)) this.#summaries.onSummary(message, now);
+      case 'PartitionStatus':
+        if (!this.#owners.has(message.partitionId)) this.#statuses.onStatus(message, now);
         return;
       case 'ClaimList':
-        if (this.settings.features.borrowing !== null) this.#claimLists.onPiece(from, message, now);
+        if (this.settings.features.borrowing !== null) this.#claimLists.onFragment(from, message, now);
         return;
       case 'GroupReports':
-        if (this.settings.features.replicaGroups !== null) this.#groupReports.onPiece(from, message);
+        if (this.settings.features.replicaGroups !== null) this.#groupReports.onFragment(from, message);
         return;
-      case 'SummaryPiece':
-        if (!this.#owners.has(message.partitionId)) this.#summaries.onPiece(from, message, now);
+      case 'PartitionStatusFragment':
+        if (!this.#owners.has(message.partitionId)) this.#statuses.onFragment(from, message, now);
         return;
       case 'FleetOrders':
         if (this.store.owners.get(LEAD)?.record.term === message.term) this.#obey(message.drain, message.gone);
--- a/packages/daemon/src/fleet-manager.ts
+++ b/packages/daemon/src/fleet-manager.ts
@@ -1,6 +1,6 @@
 // The leader's dealings with the cloud: reads its lists, rents and returns machines as the fleet's plan says.
 import { Cloud, type Http, sleep, URGENCY } from '@gingerlock/clients';
-import { Fleet, type PartSummary, type Tenure, type Unmet } from '@gingerlock/core';
+import { Fleet, type PartitionStatus, type Tenure, type Unmet } from '@gingerlock/core';
 import {
   type CloudMachine,
   type JobSpec,
@@ -14,7 +14,7 @@
 
 /** What the leader knows of the work and of the machines, as of now. */
 export interface FleetView {
-  summaries(now: number): readonly PartSummary[];
+  statuses(now: number): readonly PartitionStatus[];
   /** Tasks that have no room anywhere. */
   unmet(): readonly Unmet[];
   /** Machines that are neither emptied nor given back while idle. */
@@ -137,7 +137,7 @@
     const { shared } = this;
     const { clusterConfig, clock, store, log } = shared;
     const now = clock.now();
-    const current = this.view.summaries(now);
+    const current = this.view.statuses(now);
     const allHeard = current.length === (store.meta?.partitionCount ?? Infinity);
     // Until all that is up has been heard, or has had the time to be, what is free is not known.
     const isFleetHeard = now - this.#since >= clusterConfig.heartbeatIntervalMs * 2 || this.#fleet.allHeard(current);
@@ -145,7 +145,7 @@
     const plan = this.#fleet.plan({
       now,
       types: this.#offers.current,
-      summaries: current,
+      statuses: current,
       unmet: this.view.unmet(),
       partitioner: store.partitioner!,
       pinned: this.view.pinned(),
--- a/packages/daemon/src/pieces.ts
+++ b/packages/daemon/src/fragments.ts
@@ -20,53 +20,55 @@
 }
 
 /** What names a piece: all of one whole have the same numbers but for `index`. */
-export interface Piece {
+export interface Fragment {
   readonly term: number;
   readonly revision: number;
   readonly sequence: number;
   readonly index: number;
-  readonly pieces: number;
+  readonly fragmentCount: number;
 }
 
 /** Puts the pieces together that one controller sends, in order; the first of another whole makes it begin anew. */
-export class PieceAssembly<P extends Piece> {
+export class FragmentReassembler<P extends Fragment> {
   #first: P | null = null;
-  readonly #pieces = new Map<number, P>();
+  readonly #fragments = new Map<number, P>();
 
   /** Takes a piece; returns all pieces of the whole once they are there. */
-  add(piece: P): readonly P[] | null {
-    if (this.#first === null || !isOfSame(this.#first, piece)) {
-      this.#first = piece;
-      this.#pieces.clear();
+  add(fragment: P): readonly P[] | null {
+    if (this.#first === null || !isSameMessage(this.#first, fragment)) {
+      this.#first = fragment;
+      this.#fragments.clear();
     }
-    if (piece.index >= 0 && piece.index < piece.pieces) this.#pieces.set(piece.index, piece);
-    if (this.#pieces.size < piece.pieces) return null;
-    return [...this.#pieces.values()].sort((a, b) => a.index - b.index);
+    if (fragment.index >= 0 && fragment.index < fragment.fragmentCount) this.#fragments.set(fragment.index, fragment);
+    if (this.#fragments.size < fragment.fragmentCount) return null;
+    return [...this.#fragments.values()].sort((a, b) => a.index - b.index);
   }
 }
 
-function isOfSame(a: Piece, b: Piece): boolean {
-  return a.term === b.term && a.revision === b.revision && a.sequence === b.sequence && a.pieces === b.pieces;
+function isSameMessage(a: Fragment, b: Fragment): boolean {
+  return (
+    a.term === b.term && a.revision === b.revision && a.sequence === b.sequence && a.fragmentCount === b.fragmentCount
+  );
 }
 
 /** The runs of content that go into one message each: one at the least, so that nothing is told too. */
-export function contentsOf<T>(items: readonly T[], sizeOf: (item: T) => number, frameBytes: number): T[][] {
+export function fragmentContents<T>(items: readonly T[], sizeOf: (item: T) => number, frameBytes: number): T[][] {
   const runs = splitBySize(items, sizeOf, frameBytes * FRAME_SHARE);
   return runs.length === 0 ? [[]] : runs;
 }
 
 /** What several controllers send in pieces, of several partitions each. */
-export class SenderAssemblies<P extends Piece & { readonly partitionId: number }> {
+export class SenderReassemblers<P extends Fragment & { readonly partitionId: number }> {
   /** By sender and partition: a whole of which not all pieces have come yet. */
-  readonly #assemblies = new Map<string, PieceAssembly<P>>();
+  readonly #reassemblers = new Map<string, FragmentReassembler<P>>();
 
   /** Takes a piece; returns all pieces of the whole once they are there. */
-  add(from: string, piece: P): readonly P[] | null {
-    const key = `${from} ${piece.partitionId}`;
-    const assembly = this.#assemblies.get(key) ?? new PieceAssembly<P>();
-    this.#assemblies.set(key, assembly);
-    const all = assembly.add(piece);
-    if (all !== null) this.#assemblies.delete(key);
+  add(from: string, fragment: P): readonly P[] | null {
+    const key = `${from} ${fragment.partitionId}`;
+    const reassembler = this.#reassemblers.get(key) ?? new FragmentReassembler<P>();
+    this.#reassemblers.set(key, reassembler);
+    const all = reassembler.add(fragment);
+    if (all !== null) this.#reassemblers.delete(key);
     return all;
   }
 }
--- a/packages/daemon/src/group-reports.ts
+++ b/packages/daemon/src/group-reports.ts
@@ -2,7 +2,7 @@
 import type { GroupReport, PartitionGroupReport } from '@gingerlock/replica-groups';
 import type { PeerGroupReport, PeerMessage, PeerMessages } from '@gingerlock/peer';
 import { GROUP_REASONS } from '@gingerlock/wire';
-import { contentsOf, SenderAssemblies } from './pieces';
+import { fragmentContents, SenderReassemblers } from './fragments';
 
 /** Bytes of the numbers of one member, and of the lengths around one group, rounded up. */
 const MEMBER_BYTES = 24;
@@ -36,7 +36,7 @@
 
 export function groupReportMessages(report: PartitionGroupReport, sequence: number, frameBytes: number): PeerMessage[] {
   const { partitionId, term, revision } = report;
-  const contents = contentsOf(report.groups, groupBytes, frameBytes);
+  const contents = fragmentContents(report.groups, groupBytes, frameBytes);
   return contents.map((run, index) => ({
     kind: 'GroupReports',
     partitionId,
@@ -44,7 +44,7 @@
     revision,
     sequence,
     index,
-    pieces: contents.length,
+    fragmentCount: contents.length,
     groups: run.map(toPeer),
   }));
 }
@@ -52,13 +52,13 @@
 /** The newest report of each partition. */
 export class GroupReports {
   readonly #seen = new Map<number, PartitionGroupReport & { readonly byJob: ReadonlyMap<string, GroupReport> }>();
-  readonly #assemblies = new SenderAssemblies<PeerMessages['GroupReports']>();
+  readonly #reassemblers = new SenderReassemblers<PeerMessages['GroupReports']>();
 
   /** Takes a piece from another controller. */
-  onPiece(from: string, piece: PeerMessages['GroupReports']): void {
-    const all = this.#assemblies.add(from, piece);
+  onFragment(from: string, fragment: PeerMessages['GroupReports']): void {
+    const all = this.#reassemblers.add(from, fragment);
     if (all === null) return;
-    const { partitionId, term, revision } = piece;
+    const { partitionId, term, revision } = fragment;
     this.note({ partitionId, term, revision, groups: all.flatMap(({ groups }) => groups.map(fromPeer)) });
   }
 
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -3,7 +3,7 @@
 export { featuresOf } from './features';
 export { SILENT, type Log } from './log';
 export { type ControllerLimits, Shared } from './shared';
-export { SummaryAssembly, summaryMessages } from './summary-pieces';
+export { StatusReassembler, statusMessages } from './status-fragments';
 export { TransactionRoom } from './transaction-room';
 export { LeaderBorrowing } from './leader-borrowing';
 export { PartitionOwner } from './owner';
--- a/packages/daemon/src/leader-borrowing.ts
+++ b/packages/daemon/src/leader-borrowing.ts
@@ -18,7 +18,7 @@
   type Resources,
   type AssignmentResult,
   type Job,
-  type PartSummary,
+  type PartitionStatus,
   STOP_MS,
   type Tenure,
   type Unmet,
@@ -45,7 +45,7 @@
 
 export interface LeaderView {
   readonly result: AssignmentResult;
-  readonly summaries: readonly PartSummary[];
+  readonly statuses: readonly PartitionStatus[];
   /** Jobs that the transaction changes already. */
   readonly taken: ReadonlySet<string>;
   readonly most: number;
@@ -74,9 +74,9 @@
   }
 
   /** By team: GPUs of its guarantee that others leave free for it. */
-  heldBack(summaries: readonly PartSummary[]): Map<string, number> {
+  heldBack(statuses: readonly PartitionStatus[]): Map<string, number> {
     const { store, clusterConfig } = this.shared;
-    return heldBackGpus(clusterConfig, store.jobs.live, this.#claims(summaries));
+    return heldBackGpus(clusterConfig, store.jobs.live, this.#claims(statuses));
   }
 
   plan(view: LeaderView): readonly Decision[] {
@@ -86,9 +86,9 @@
       settings: this.settings,
       jobs: store.jobs.live,
       unmet: view.result.unmet.filter(({ job }) => !view.taken.has(job.id)),
-      summaries: view.summaries,
+      statuses: view.statuses,
       free: view.result.free,
-      claims: this.#claims(view.summaries),
+      claims: this.#claims(view.statuses),
       pending: this.#pending(),
       most: view.most,
       rentMs: view.rentMs,
@@ -105,9 +105,9 @@
   }
 
   /** What machines hold, of the partitions of which that is known as it stands after all reclaims that have ended. */
-  #claims(summaries: readonly PartSummary[]): PartitionClaims[] {
+  #claims(statuses: readonly PartitionStatus[]): PartitionClaims[] {
     const { clock, clusterConfig } = this.shared;
-    const terms = new Map(summaries.map(({ partitionId, term }) => [partitionId, term]));
+    const terms = new Map(statuses.map(({ partitionId, term }) => [partitionId, term]));
     return this.lists
       .since(clock.now() - clusterConfig.heartbeatIntervalMs * CLAIMS_INTERVALS)
       .filter(
--- a/packages/daemon/src/leader.ts
+++ b/packages/daemon/src/leader.ts
@@ -6,7 +6,7 @@
   assignTasks,
   isTried,
   type Job,
-  type PartSummary,
+  type PartitionStatus,
   roundsOf,
   strandedTasks,
   type Tenure,
@@ -19,7 +19,7 @@
 import { type LeaderBorrowing, unmetWithout } from './leader-borrowing';
 import type { LeaderGroups } from './leader-groups';
 import type { Shared } from './shared';
-import type { SeenSummary } from './summaries';
+import type { ReceivedStatus } from './partition-statuses';
 
 interface Meant {
   readonly revision: number;
@@ -55,7 +55,7 @@
   constructor(
     readonly shared: Shared,
     readonly tenure: Tenure,
-    readonly summaries: () => readonly SeenSummary[],
+    readonly statuses: () => readonly ReceivedStatus[],
     http: Http,
     /** Null: borrowing is off. */
     readonly borrowing: LeaderBorrowing | null,
@@ -64,7 +64,7 @@
   ) {
     this.#trials = new TrialSchedule(shared.clusterConfig);
     this.#fleet = new FleetManager(shared, tenure, http, {
-      summaries: (now) => this.#current(now),
+      statuses: (now) => this.#current(now),
       unmet: () => this.#unmet,
       pinned: () => groups?.pinnedMachines() ?? NOTHING_PINNED,
     });
@@ -96,15 +96,15 @@
     return this.#fleet.orders();
   }
 
-  #current(now: number): PartSummary[] {
+  #current(now: number): PartitionStatus[] {
     const { store, clusterConfig } = this.shared;
-    return this.summaries()
+    return this.statuses()
       .filter(
         (s) =>
           now - s.at < clusterConfig.heartbeatIntervalMs * 2 &&
-          store.owners.get(String(s.summary.partitionId))?.record.term === s.summary.term,
+          store.owners.get(String(s.status.partitionId))?.record.term === s.status.term,
       )
-      .map((s) => s.summary);
+      .map((s) => s.status);
   }
 
   tick(): void {
@@ -143,7 +143,7 @@
       now,
       trials: this.#trials,
       jobs: store.jobs.live.values(),
-      summaries: current,
+      statuses: current,
       recent: this.#recent,
       clusterConfig,
       types: store.types,
@@ -181,12 +181,12 @@
     return true;
   }
 
-  #strandedTasks(summaries: readonly PartSummary[]): Unmet[] {
+  #strandedTasks(statuses: readonly PartitionStatus[]): Unmet[] {
     const { store, clusterConfig } = this.shared;
     if (store.partitioner === null) return [];
     return strandedTasks({
       jobs: store.jobs.live.values(),
-      summaries,
+      statuses,
       types: store.types,
       partitioner: store.partitioner,
       zones: clusterConfig.zones,
@@ -204,7 +204,7 @@
     });
   }
 
-  #reviewTrials(current: readonly PartSummary[], now: number): void {
+  #reviewTrials(current: readonly PartitionStatus[], now: number): void {
     const { live } = this.shared.store.jobs;
     const failing = [...live.values()].filter((job) => job.failing && !job.cancelled).map((job) => job.id);
     const running = new Map<string, number>();
@@ -248,7 +248,7 @@
   #addAssignments(
     batch: JobBatch,
     assignments: readonly Assignment[],
-    current: readonly PartSummary[],
+    current: readonly PartitionStatus[],
   ): Omit<Meant, 'revision'>[] {
     const { log } = this.shared;
     const meant: Omit<Meant, 'revision'>[] = [];
@@ -271,12 +271,12 @@
   }
 
   /** Decides for which tasks without room others are stopped: the rounds of the one and the record of it go into one transaction. */
-  #addReclaims(batch: JobBatch, result: AssignmentResult, current: readonly PartSummary[]): AddedReclaim[] {
+  #addReclaims(batch: JobBatch, result: AssignmentResult, current: readonly PartitionStatus[]): AddedReclaim[] {
     if (this.borrowing === null) return [];
     const most = Math.floor((this.shared.settings.txnOps - batch.changes.length) / CHANGES_PER_RECLAIM);
     const decisions = this.borrowing.plan({
       result: { ...result, unmet: result.unmet.filter(({ job }) => !job.isGroup) },
-      summaries: current,
+      statuses: current,
       taken: batch.jobs,
       most,
       rentMs: (job) => this.#fleet.rentMs(job.spec),
--- a/packages/daemon/src/owner.ts
+++ b/packages/daemon/src/owner.ts
@@ -6,7 +6,7 @@
   type MachineRoom,
   NO_RESERVATIONS,
   pack,
-  type PartSummary,
+  type PartitionStatus,
   type Reservations,
   type Slot,
   type Tenure,
@@ -17,7 +17,7 @@
 import { OwnerGroups } from './owner-groups';
 import { OwnerReclaims } from './owner-reclaims';
 import { OwnerWrites } from './owner-writes';
-import { summaryOf } from './part-summary';
+import { partitionStatusOf } from './partition-status';
 import type { Shared } from './shared';
 import { WorkerMessages } from './worker-messages';
 
@@ -175,7 +175,7 @@
     this.#writes.membershipRemovals.add(name);
   }
 
-  summary(now: number): PartSummary {
-    return summaryOf(this.claimTable, this.#rooms, this.shared.replica.revision, now);
+  status(now: number): PartitionStatus {
+    return partitionStatusOf(this.claimTable, this.#rooms, this.shared.replica.revision, now);
   }
 }
--- a/packages/daemon/src/part-summary.ts
+++ b/packages/daemon/src/partition-status.ts
@@ -9,19 +9,19 @@
   addResources,
   toldRank,
 } from '@gingerlock/core';
-import type { PartSummary } from '@gingerlock/core';
+import type { PartitionStatus } from '@gingerlock/core';
 import { PRIORITIES } from '@gingerlock/wire';
 
 /** What a summary says of a machine that has no lease with its owner: longer than any time that is compared with it. */
 const NEVER_HEARD_MS = 1e9;
 
 /** `rooms`: what the last packing left of each machine that takes work. */
-export function summaryOf(
+export function partitionStatusOf(
   claimTable: ClaimTable,
   rooms: ReadonlyMap<Machine, Resources>,
   revision: number,
   now: number,
-): PartSummary {
+): PartitionStatus {
   const planned = plannedByRank(claimTable);
   const machines = [...claimTable.machines.values()].map((machine) =>
     roomOf(claimTable, machine, rooms.get(machine), planned.get(machine) ?? PRIORITIES.map(() => NO_RESOURCES), now),
--- a/packages/daemon/src/summary-pieces.ts
+++ b/packages/daemon/src/status-fragments.ts
@@ -1,7 +1,7 @@
 // Summaries of partitions of any size as messages that each fit a frame of the link, and back.
-import type { MachineRoom, PartSummary } from '@gingerlock/core';
-import type { PeerMachineRoom, PeerMessage, PeerMessages, PeerSummary } from '@gingerlock/peer';
-import { FRAME_SHARE, PieceAssembly, splitBySize } from './pieces';
+import type { MachineRoom, PartitionStatus } from '@gingerlock/core';
+import type { PeerMachineRoom, PeerMessage, PeerMessages, PeerPartitionStatus } from '@gingerlock/peer';
+import { FRAME_SHARE, FragmentReassembler, splitBySize } from './fragments';
 
 /** Bytes of the numbers and flags of one machine, rounded up: eight for each number, and lengths before texts and lists. */
 const MACHINE_BYTES = 80;
@@ -15,7 +15,7 @@
 /** Bytes of the length that stands before a text. */
 const LENGTH_BYTES = 2;
 
-type Running = PeerSummary['running'][number];
+type Running = PeerPartitionStatus['running'][number];
 
 function machineBytes(machine: MachineRoom): number {
   const texts = [machine.name, machine.type, machine.zone, ...machine.images];
@@ -28,41 +28,49 @@
 }
 
 /** One message with all of it where that fits a frame, as ever; otherwise several pieces. */
-export function summaryMessages(
-  summary: PartSummary,
+export function statusMessages(
+  status: PartitionStatus,
   owner: string,
   sequence: number,
   frameBytes: number,
 ): PeerMessage[] {
-  const { partitionId, term, revision, missing } = summary;
+  const { partitionId, term, revision, missing } = status;
   const head = { owner, partitionId, term, revision, missing };
-  const machines: PeerMachineRoom[] = summary.machines.map((machine) => ({
+  const machines: PeerMachineRoom[] = status.machines.map((machine) => ({
     ...machine,
     byRank: [...machine.byRank],
     images: [...machine.images],
   }));
-  const running = summary.running.map(([job, tasks]) => ({ job, tasks }));
+  const running = status.running.map(([job, tasks]) => ({ job, tasks }));
   const limit = frameBytes * FRAME_SHARE;
   const machineRuns = splitBySize(machines, machineBytes, limit);
   const runningRuns = splitBySize(running, runningBytes, limit);
-  if (machineRuns.length <= 1 && runningRuns.length <= 1) return [{ kind: 'Summary', ...head, machines, running }];
+  if (machineRuns.length <= 1 && runningRuns.length <= 1)
+    return [{ kind: 'PartitionStatus', ...head, machines, running }];
   const contents = [
     ...machineRuns.map((run) => ({ machines: run, running: [] })),
     ...runningRuns.map((run) => ({ machines: [], running: run })),
   ];
-  const pieces = contents.length;
-  return contents.map((content, index) => ({ kind: 'SummaryPiece', ...head, sequence, index, pieces, ...content }));
+  const fragmentCount = contents.length;
+  return contents.map((content, index) => ({
+    kind: 'PartitionStatusFragment',
+    ...head,
+    sequence,
+    index,
+    fragmentCount,
+    ...content,
+  }));
 }
 
 /** Puts the pieces of summaries together that one controller sends. */
-export class SummaryAssembly {
-  readonly #pieces = new PieceAssembly<PeerMessages['SummaryPiece']>();
+export class StatusReassembler {
+  readonly #fragments = new FragmentReassembler<PeerMessages['PartitionStatusFragment']>();
 
   /** Takes a piece; returns the summary once all of its pieces are there. */
-  add(piece: PeerMessages['SummaryPiece']): PeerSummary | null {
-    const all = this.#pieces.add(piece);
+  add(fragment: PeerMessages['PartitionStatusFragment']): PeerPartitionStatus | null {
+    const all = this.#fragments.add(fragment);
     if (all === null) return null;
-    const { owner, partitionId, term, revision, missing } = piece;
+    const { owner, partitionId, term, revision, missing } = fragment;
     const machines = all.flatMap((p) => p.machines);
     const running = all.flatMap((p) => p.running);
     return { owner, partitionId, term, revision, missing, machines, running };
--- a/packages/daemon/src/summary-publisher.ts
+++ b/packages/daemon/src/status-publisher.ts
@@ -5,7 +5,7 @@
 import type { PartitionOwner } from './owner';
 import type { PeerChannel } from './peer-channel';
 import { DISPLAY_LAG_MS, type Shared } from './shared';
-import type { Summaries } from './summaries';
+import type { PartitionStatuses } from './partition-statuses';
 
 /** Nothing is told more often than so many times in a report interval, and all of it so many times at the least. */
 const MOST_PER_REPORT = 6;
@@ -14,7 +14,7 @@
 /** How often in a report interval the leader is told what machines hold. */
 const CLAIM_LISTS_PER_REPORT = 3;
 
-export class SummaryPublisher {
+export class StatusPublisher {
   #sentAt = -Infinity;
   #sentToAllAt = -Infinity;
   /** What the claim tables had changed by then. */
@@ -28,7 +28,7 @@
   constructor(
     readonly shared: Shared,
     readonly peers: PeerChannel,
-    readonly summaries: Summaries,
+    readonly statuses: PartitionStatuses,
     readonly claimLists: ClaimLists,
     readonly groupReports: GroupReports,
   ) {}
@@ -43,14 +43,14 @@
     this.#sentAt = now;
     this.#sentChanges = changes;
     // Small and wanted soonest: before the summaries, which may fill the way.
-    this.peers.broadcast({ kind: 'Alive', contactAgeMs, revision: replica.revision });
+    this.peers.broadcast({ kind: 'PeerHeartbeat', contactAgeMs, revision: replica.revision });
     // The leader divides by them and needs every one; the others show users what runs, and know images should they take
     // the part over.
     const lead = store.owners.get(LEAD)?.record.node;
     const forAll = now - this.#sentToAllAt > Math.min(clusterConfig.heartbeatIntervalMs, DISPLAY_LAG_MS / 2);
     if (forAll) this.#sentToAllAt = now;
     const to = this.peers.link.nodes.filter((node) => forAll || node === lead);
-    for (const owner of owners) this.summaries.publish(owner, settings.node, now, this.peers, to);
+    for (const owner of owners) this.statuses.publish(owner, settings.node, now, this.peers, to);
     this.#tellClaims(owners, now);
     this.#tellGroups(owners, now);
     return true;
--- a/packages/daemon/test/summary-pieces.test.ts
+++ b/packages/daemon/test/status-fragments.test.ts
@@ -2,9 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { type MachineRoom, NO_RESOURCES, type PartSummary } from '@gingerlock/core';
-import { encodePeer, type PeerMessage, type PeerSummary } from '@gingerlock/peer';
-import { SummaryAssembly, summaryMessages } from '../src/summary-pieces';
+import { type MachineRoom, NO_RESOURCES, type PartitionStatus } from '@gingerlock/core';
+import { encodePeer, type PeerMessage, type PeerPartitionStatus } from '@gingerlock/peer';
+import { StatusReassembler, statusMessages } from '../src/status-fragments';
 
 const resources = { cpus: 1, gpus: 2, memoryGb: 3 };
 
@@ -33,7 +33,7 @@
   };
 }
 
-const summary: fc.Arbitrary<PartSummary> = fc
+const status: fc.Arbitrary<PartitionStatus> = fc
   .record({
     machines: fc.array(machine, { maxLength: 60 }),
     running: fc.array(fc.tuple(fc.string({ maxLength: 12 }), fc.nat(1000)), { maxLength: 200 }),
@@ -50,22 +50,22 @@
 /** Larger than any generated machine. */
 const FRAME_BYTES = 4096;
 
-function assemble(assembly: SummaryAssembly, message: PeerMessage): PeerSummary | null {
-  if (message.kind === 'Summary') return message;
-  assert.equal(message.kind, 'SummaryPiece');
-  return assembly.add(message as PeerMessage & { kind: 'SummaryPiece' });
+function assemble(reassembler: StatusReassembler, message: PeerMessage): PeerPartitionStatus | null {
+  if (message.kind === 'PartitionStatus') return message;
+  assert.equal(message.kind, 'PartitionStatusFragment');
+  return reassembler.add(message as PeerMessage & { kind: 'PartitionStatusFragment' });
 }
 
-function contentOf({ machines, running }: PeerSummary): unknown {
+function contentOf({ machines, running }: PeerPartitionStatus): unknown {
   return { machines, running: running.map(({ job, tasks }) => [job, tasks]) };
 }
 
 test('a summary of any size comes out of its messages, each of which fits a frame', () => {
   fc.assert(
-    fc.property(summary, (told) => {
-      const messages = summaryMessages(told, 'node-1', 1, FRAME_BYTES);
-      const assembly = new SummaryAssembly();
-      const whole = messages.map((message) => assemble(assembly, message));
+    fc.property(status, (told) => {
+      const messages = statusMessages(told, 'node-1', 1, FRAME_BYTES);
+      const reassembler = new StatusReassembler();
+      const whole = messages.map((message) => assemble(reassembler, message));
       for (const message of messages) assert.ok(encodePeer(message).length <= FRAME_BYTES);
       assert.ok(whole.slice(0, -1).every((none) => none === null));
       assert.deepEqual(contentOf(whole.at(-1)!), { machines: told.machines, running: told.running });
@@ -76,16 +76,16 @@
 
 test('with pieces lost and repeated a summary is taken whole or not at all, and the next one is taken', () => {
   fc.assert(
-    fc.property(summary, fc.array(fc.nat(5)), (told, copies) => {
-      const first = summaryMessages(told, 'node-1', 1, FRAME_BYTES);
-      const assembly = new SummaryAssembly();
+    fc.property(status, fc.array(fc.nat(5)), (told, copies) => {
+      const first = statusMessages(told, 'node-1', 1, FRAME_BYTES);
+      const reassembler = new StatusReassembler();
       first.forEach((message, i) => {
         for (let n = 0; n < (copies[i] ?? 1); n++) {
-          const whole = assemble(assembly, message);
+          const whole = assemble(reassembler, message);
           if (whole !== null) assert.deepEqual(contentOf(whole), { machines: told.machines, running: told.running });
         }
       });
-      const second = summaryMessages(told, 'node-1', 2, FRAME_BYTES).map((message) => assemble(assembly, message));
+      const second = statusMessages(told, 'node-1', 2, FRAME_BYTES).map((message) => assemble(reassembler, message));
       assert.deepEqual(contentOf(second.at(-1)!), { machines: told.machines, running: told.running });
     }),
     { seed: 391, numRuns: 200 },
--- a/packages/peer/src/messages.ts
+++ b/packages/peer/src/messages.ts
@@ -20,12 +20,12 @@
 const STAGES = ['granted', 'fetching', 'running', 'saving'] as const;
 
 /** What both a summary and a piece of one say; the named records are defined where they stand first. */
-const SUMMARY_HEAD = { owner: 'string', partitionId: 'int', term: 'long', revision: 'long' };
+const STATUS_HEAD = { owner: 'string', partitionId: 'int', term: 'long', revision: 'long' };
 
 const schema = [
   record('Hello', { version: 'int', node: 'string' }),
-  record('Summary', {
-    ...SUMMARY_HEAD,
+  record('PartitionStatus', {
+    ...STATUS_HEAD,
     machines: {
       type: 'array',
       items: record('MachineRoom', {
@@ -50,7 +50,7 @@
     running: { type: 'array', items: record('Running', { job: 'string', tasks: 'int' }) },
   }),
   /** The state service stands at this revision at least. */
-  record('Hint', { revision: 'long' }),
+  record('RevisionHint', { revision: 'long' }),
   /** The sender tells a user that this job is cancelled. A hint to stop its tasks, also without the state service. */
   record('JobCancelled', { job: 'string' }),
   /** From the leader: which machines get no more work, and which are surely gone. */
@@ -68,7 +68,7 @@
   /** A worker's report for the owner of a part, from a controller that the worker can reach. */
   record('Relay', { id: 'string', from: 'string', to: 'string', body: 'bytes' }),
   record('RelayAnswer', { id: 'string', to: 'string', status: 'int', body: 'bytes' }),
-  record('Alive', { contactAgeMs: 'double', revision: 'long' }),
+  record('PeerHeartbeat', { contactAgeMs: 'double', revision: 'long' }),
   /** So many changes wait at the sender for room in the state service's limit; a peer with room to spare lends some. */
   record('BudgetRequest', { id: 'string', writes: 'int' }),
   record('BudgetGrant', { id: 'string', writes: 'int' }),
@@ -76,11 +76,11 @@
    * One of the `pieces` messages that a summary takes which is too large for a frame. All of one summary have the same `sequence`. Older
    * versions end the connection over it, as they did over the frame that was too large.
    */
-  record('SummaryPiece', {
-    ...SUMMARY_HEAD,
+  record('PartitionStatusFragment', {
+    ...STATUS_HEAD,
     sequence: 'long',
     index: 'int',
-    pieces: 'int',
+    fragmentCount: 'int',
     machines: { type: 'array', items: 'MachineRoom' },
     missing: 'Amounts',
     running: { type: 'array', items: 'Running' },
@@ -92,7 +92,7 @@
     revision: 'long',
     sequence: 'long',
     index: 'int',
-    pieces: 'int',
+    fragmentCount: 'int',
     machines: {
       type: 'array',
       items: record('MachineClaims', {
@@ -117,7 +117,7 @@
     revision: 'long',
     sequence: 'long',
     index: 'int',
-    pieces: 'int',
+    fragmentCount: 'int',
     groups: {
       type: 'array',
       items: record('GroupReport', {
@@ -182,7 +182,7 @@
 }
 
 /** How a partition stands, or a part of that. */
-export interface PeerSummary {
+export interface PeerPartitionStatus {
   owner: string;
   partitionId: number;
   term: number;
@@ -194,8 +194,8 @@
 
 export interface PeerMessages {
   Hello: { version: number; node: string };
-  Summary: PeerSummary;
-  Hint: { revision: number };
+  PartitionStatus: PeerPartitionStatus;
+  RevisionHint: { revision: number };
   JobCancelled: { job: string };
   FleetOrders: { term: number; drain: string[]; gone: string[] };
   ConfirmationRequest: { id: string; revision: number };
@@ -204,17 +204,17 @@
   OwnershipAnswer: { id: string; owns: boolean };
   Relay: { id: string; from: string; to: string; body: Buffer };
   RelayAnswer: { id: string; to: string; status: number; body: Buffer };
-  Alive: { contactAgeMs: number; revision: number };
+  PeerHeartbeat: { contactAgeMs: number; revision: number };
   BudgetRequest: { id: string; writes: number };
   BudgetGrant: { id: string; writes: number };
-  SummaryPiece: PeerSummary & { sequence: number; index: number; pieces: number };
+  PartitionStatusFragment: PeerPartitionStatus & { sequence: number; index: number; fragmentCount: number };
   ClaimList: {
     partitionId: number;
     term: number;
     revision: number;
     sequence: number;
     index: number;
-    pieces: number;
+    fragmentCount: number;
     machines: PeerMachineClaims[];
   };
   GroupReports: {
@@ -223,7 +223,7 @@
     revision: number;
     sequence: number;
     index: number;
-    pieces: number;
+    fragmentCount: number;
     groups: PeerGroupReport[];
   };
 }
--- a/packages/peer/test/link.test.ts
+++ b/packages/peer/test/link.test.ts
@@ -19,7 +19,7 @@
 const resources = { cpus: 1.5, gpus: 2, memoryGb: 0 };
 const messages: PeerMessage[] = [
   { kind: 'Hello', version: 1, node: 'a' },
-  { kind: 'Hint', revision: 2 ** 40 },
+  { kind: 'RevisionHint', revision: 2 ** 40 },
   { kind: 'JobCancelled', job: 'j-000007' },
   { kind: 'FleetOrders', term: 3, drain: ['m-1'], gone: [] },
   { kind: 'ConfirmationRequest', id: 'p-1', revision: 9 },
@@ -28,11 +28,11 @@
   { kind: 'OwnershipAnswer', id: 'p-2', owns: false },
   { kind: 'Relay', id: 'p-4', from: 'a', to: 'b', body: Buffer.from([1, 2, 3]) },
   { kind: 'RelayAnswer', id: 'p-4', to: 'a', status: 200, body: Buffer.alloc(0) },
-  { kind: 'Alive', contactAgeMs: 1e9, revision: 0 },
+  { kind: 'PeerHeartbeat', contactAgeMs: 1e9, revision: 0 },
   { kind: 'BudgetRequest', id: 'p-5', writes: 12 },
   { kind: 'BudgetGrant', id: 'p-5', writes: 3 },
   {
-    kind: 'Summary',
+    kind: 'PartitionStatus',
     owner: 'node-1',
     partitionId: 1,
     term: 5,
@@ -60,14 +60,14 @@
     running: [{ job: 'j-1', tasks: 3 }],
   },
   {
-    kind: 'SummaryPiece',
+    kind: 'PartitionStatusFragment',
     owner: 'node-1',
     partitionId: 1,
     term: 5,
     revision: 6,
     sequence: 7,
     index: 1,
-    pieces: 2,
+    fragmentCount: 2,
     machines: [],
     missing: resources,
     running: [{ job: 'j-2', tasks: 1 }],
@@ -79,7 +79,7 @@
     revision: 6,
     sequence: 7,
     index: 0,
-    pieces: 1,
+    fragmentCount: 1,
     machines: [
       { machine: 'm', held: [{ task: 'j-1/0', attempt: 2 ** 40, stage: 'saving', runMs: 0.5, stopping: true }] },
     ],
@@ -109,7 +109,8 @@
 });
 
 test('what a controller that owns every part of 900 machines tells in one go fits a connection twice over', () => {
-  const machine = (messages.find((m) => m.kind === 'Summary') as PeerMessage & { kind: 'Summary' }).machines[0]!;
+  const machine = (messages.find((m) => m.kind === 'PartitionStatus') as PeerMessage & { kind: 'PartitionStatus' })
+    .machines[0]!;
   let bytes = 0;
   for (let partitionId = 0; partitionId < 5; partitionId++) {
     const machines = Array.from({ length: 180 }, (_, i) => ({
@@ -123,7 +124,16 @@
     const running = Array.from({ length: 300 }, (_, i) => ({ job: `j-${String(i).padStart(6, '0')}`, tasks: 3 }));
     const missing = resources;
     bytes += frame(
-      encodePeer({ kind: 'Summary', owner: 'node-1', partitionId, term: 9, revision: 1e6, machines, missing, running }),
+      encodePeer({
+        kind: 'PartitionStatus',
+        owner: 'node-1',
+        partitionId,
+        term: 9,
+        revision: 1e6,
+        machines,
+        missing,
+        running,
+      }),
     ).length;
   }
   assert.ok(bytes > 900 * 100, `${bytes} bytes`);
@@ -177,7 +187,7 @@
   const peers = [{ node: 'b', address: `127.0.0.1:${port}` }];
   const link = new TcpLink({ node: 'a', listen: '127.0.0.1:0', peers, silenceMs, log: () => undefined });
   await link.start();
-  const sending = setInterval(() => link.send('b', { kind: 'Hint', revision: 1 }), silenceMs / 10);
+  const sending = setInterval(() => link.send('b', { kind: 'RevisionHint', revision: 1 }), silenceMs / 10);
   try {
     for (let i = 0; i < 100 && sockets.length < 2; i++)
       await new Promise((resolve) => setTimeout(resolve, silenceMs / 4));
@@ -222,8 +232,8 @@
       body,
     }));
     assert.equal(sender.sendGroup('b', group), true);
-    assert.equal(sender.send('b', { kind: 'Hint', revision: 9 }), true);
-    while (got.at(-1)?.kind !== 'Hint') await new Promise((resolve) => setTimeout(resolve, 10));
+    assert.equal(sender.send('b', { kind: 'RevisionHint', revision: 9 }), true);
+    while (got.at(-1)?.kind !== 'RevisionHint') await new Promise((resolve) => setTimeout(resolve, 10));
     assert.deepEqual(
       got.flatMap((message) => (message.kind === 'Relay' ? [message.id] : [])),
       group.map((message) => (message.kind === 'Relay' ? message.id : '')),
--- a/packages/testkit/src/sim-link.ts
+++ b/packages/testkit/src/sim-link.ts
@@ -50,7 +50,7 @@
     if (message === null) return true;
     const bytes = encodePeer(message);
     if (bytes.length > this.frameBytes) this.world.breach('frame_too_large', `${message.kind}: ${bytes.length} bytes`);
-    if (message.kind === 'SummaryPiece') this.world.came('summary piece');
+    if (message.kind === 'PartitionStatusFragment') this.world.came('summary piece');
     const to = this.world.nodes.find((n) => n.name === node)!;
     const { link } = to;
     const { network } = this.world;
--- a/packages/testkit/test/borrowing-off.test.ts
+++ b/packages/testkit/test/borrowing-off.test.ts
@@ -40,7 +40,7 @@
   const off = await traceOf({ borrowing: { enabled: false } });
   assert.ok(absent.trace.length > 1000);
   assert.deepEqual(off.trace, absent.trace);
-  for (const kind of ['ClaimList', 'SummaryPiece']) assert.ok(!absent.kinds.has(kind), kind);
+  for (const kind of ['ClaimList', 'PartitionStatusFragment']) assert.ok(!absent.kinds.has(kind), kind);
   assert.deepEqual(absent.keys, ['g/f', 'g/hold', 'g/j', 'g/meta', 'g/own', 'g/r', 'g/term', 'g/timed', 'g/types']);
 });
 
--- a/packages/testkit/test/large-fleet.test.ts
+++ b/packages/testkit/test/large-fleet.test.ts
@@ -33,7 +33,7 @@
   let pieces = 0;
   const world = await play(52, [], {
     frameBytes: FRAME_BYTES,
-    falsify: (message) => (message.kind === 'SummaryPiece' && ++pieces % 10 === 0 ? null : message),
+    falsify: (message) => (message.kind === 'PartitionStatusFragment' && ++pieces % 10 === 0 ? null : message),
   });
   assert.ok(pieces > 100);
   assert.ok(world.users.finished() > 0);
--- a/packages/testkit/test/mutants.test.ts
+++ b/packages/testkit/test/mutants.test.ts
@@ -172,12 +172,12 @@
     apply: () =>
       patch(
         PartitionOwner.prototype,
-        'summary',
+        'status',
         (original) =>
           function (this: PartitionOwner, now) {
-            const summary = original.call(this, now);
+            const status = original.call(this, now);
             const images = ['i'.repeat(MAX_FRAME_BYTES)];
-            return { ...summary, machines: summary.machines.slice(0, 1).map((machine) => ({ ...machine, images })) };
+            return { ...status, machines: status.machines.slice(0, 1).map((machine) => ({ ...machine, images })) };
           },
       ),
   },
@@ -310,7 +310,7 @@
         (original) =>
           function (this: Fleet, input) {
             const plan = original.call(this, input);
-            const machines = input.summaries.flatMap((summary) => summary.machines);
+            const machines = input.statuses.flatMap((status) => status.machines);
             return { ...plan, giveBack: machines.filter(({ empty }) => empty).map(({ name }) => name) };
           },
       ),
