--- a/packages/borrowing/src/execution.ts
+++ b/packages/borrowing/src/execution.ts
@@ -100,9 +100,9 @@
 
   #proceed(table: ClaimTable, machine: Machine, waiting: readonly Slot[], victims: readonly Slot[]): readonly Slot[] {
     const need = sumOf(waiting);
-    const room = addResources(table.room(machine), sumOf(victims));
+    const available = addResources(table.freeResources(machine), sumOf(victims));
     // Nobody is stopped in vain.
-    if (!fitsIn(need, room)) {
+    if (!fitsIn(need, available)) {
       this.#withdraw('its room was taken');
       return [];
     }
@@ -205,14 +205,14 @@
   /** See `Reservations`; asked of the partition's own table. */
   table: ClaimTable | null = null;
 
-  keptOn(machine: string): Resources {
+  reservedOn(machine: string): Resources {
     const { table } = this;
     const reclaims = this.#byMachine.get(machine)?.filter((reclaim) => !reclaim.isOver) ?? [];
     if (table === null || reclaims.length === 0) return NO_RESOURCES;
     return sumOf(reclaims.flatMap(({ record }) => waitingTasks(table, record)));
   }
 
-  machineFor(task: string): string | null {
+  reservedMachineFor(task: string): string | null {
     const reclaim = this.#byTask.get(task);
     return reclaim === undefined || reclaim.isOver ? null : reclaim.record.machine;
   }
--- a/packages/borrowing/src/planner.ts
+++ b/packages/borrowing/src/planner.ts
@@ -4,7 +4,7 @@
   type ClusterConfig,
   type Job,
   countWithinLimit,
-  type MachineRoom,
+  type MachineStatus,
   NO_RESOURCES,
   type PartitionStatus,
   type Place,
@@ -86,7 +86,7 @@
 
 /** A machine on which tasks may be stopped. */
 interface Source {
-  readonly room: MachineRoom;
+  readonly machineStatus: MachineStatus;
   readonly partitionId: number;
   readonly term: number;
   readonly candidates: readonly Candidate[];
@@ -153,12 +153,17 @@
     let best: Source | null = null;
     let bestLoss: Loss | null = null;
     for (const source of this.#sources.values()) {
-      const { room } = source;
-      if (!zones.allows(room.zone) || !allowsMachine(job.spec, room.type, room.zone, room.spot)) continue;
+      const { machineStatus } = source;
+      if (
+        !zones.allows(machineStatus.zone) ||
+        !allowsMachine(job.spec, machineStatus.type, machineStatus.zone, machineStatus.spot)
+      )
+        continue;
       const choice = this.#choose(job, source);
       if (choice === null || choice.victims.length === 0) continue;
       const order = bestLoss === null ? -1 : compareLoss(choice.loss, bestLoss);
-      const isCachedHere = room.images.includes(job.spec.image) && best?.room.images.includes(job.spec.image) !== true;
+      const isCachedHere =
+        machineStatus.images.includes(job.spec.image) && best?.machineStatus.images.includes(job.spec.image) !== true;
       if (order < 0 || (order === 0 && isCachedHere)) {
         best = source;
         bestLoss = choice.loss;
@@ -169,16 +174,16 @@
 
   /** Decides on room for as many of the tasks as the machine can be made to hold. */
   #take(job: Job, source: Source, tasks: readonly number[], zones: ZoneChoice): { count: number; unused: number[] } {
-    const { room, partitionId, term } = source;
+    const { machineStatus, partitionId, term } = source;
     const places: Place[] = [];
     const victims: Candidate[] = [];
     let reason: ReclaimReason | null = null;
     let loss: Loss | null = null;
     let left = source;
     while (places.length < tasks.length) {
-      const choice = this.#mayTake(job, room.zone, zones) ? this.#choose(job, left) : null;
+      const choice = this.#mayTake(job, machineStatus.zone, zones) ? this.#choose(job, left) : null;
       if (choice === null || this.#isRentSooner(job, choice)) break;
-      places.push({ partitionId, zone: zones.take(room.zone), term });
+      places.push({ partitionId, zone: zones.take(machineStatus.zone), term });
       victims.push(...choice.victims);
       reason = choice.reason === 'guarantee' ? 'guarantee' : (reason ?? choice.reason);
       loss = loss === null ? choice.loss : addLoss(loss, choice.loss);
@@ -187,9 +192,9 @@
     }
     const count = places.length;
     if (count > 0) {
-      this.#sources.delete(room.name);
+      this.#sources.delete(machineStatus.name);
       const taken = victims.map(({ held: { task, attempt } }) => ({ task, attempt }));
-      const machine = room.name;
+      const machine = machineStatus.name;
       this.#decisions.push({
         job,
         tasks: tasks.slice(0, count),
@@ -221,8 +226,8 @@
     const { claims, statuses } = this.#input;
     if (claims.length < statuses.length) return 'what machines hold is not known';
     let hasCandidate = false;
-    for (const { candidates, room } of this.#sources.values()) {
-      if (!allowsMachine(job.spec, room.type, room.zone, room.spot)) continue;
+    for (const { candidates, machineStatus } of this.#sources.values()) {
+      if (!allowsMachine(job.spec, machineStatus.type, machineStatus.zone, machineStatus.spot)) continue;
       hasCandidate ||= candidates.some((c) => isStoppable(c) && reasonToStop(job, c.job, this.#accounts) !== null);
     }
     return hasCandidate ? 'others would fall below their guarantees' : 'no task may be stopped for it';
@@ -232,9 +237,13 @@
   #richestZone(job: Job): string | null {
     const byZone = new Map<string, number>();
     for (const source of this.#sources.values()) {
-      const { room } = source;
-      if (!allowsMachine(job.spec, room.type, room.zone, room.spot) || this.#choose(job, source) === null) continue;
-      byZone.set(room.zone, (byZone.get(room.zone) ?? 0) + 1);
+      const { machineStatus } = source;
+      if (
+        !allowsMachine(job.spec, machineStatus.type, machineStatus.zone, machineStatus.spot) ||
+        this.#choose(job, source) === null
+      )
+        continue;
+      byZone.set(machineStatus.zone, (byZone.get(machineStatus.zone) ?? 0) + 1);
     }
     const richest = [...byZone].sort((a, b) => b[1] - a[1])[0];
     return job.spec.zone ?? richest?.[0] ?? null;
@@ -256,13 +265,17 @@
     for (const status of input.statuses) {
       const claims = byPartition.get(status.partitionId);
       if (claims?.term !== status.term) continue;
-      const rooms = new Map(status.machines.map((room) => [room.name, room]));
-      for (const machine of claims.machines) this.#add(machine, rooms.get(machine.machine), status);
+      const machinesByName = new Map(status.machines.map((machineStatus) => [machineStatus.name, machineStatus]));
+      for (const machine of claims.machines) this.#add(machine, machinesByName.get(machine.machine), status);
     }
   }
 
-  #add({ machine, held }: MachineClaims, room: MachineRoom | undefined, { partitionId, term }: PartitionStatus): void {
-    if (room === undefined || !isWell(room, this.input.clusterConfig)) return;
+  #add(
+    { machine, held }: MachineClaims,
+    machineStatus: MachineStatus | undefined,
+    { partitionId, term }: PartitionStatus,
+  ): void {
+    if (machineStatus === undefined || !isWell(machineStatus, this.input.clusterConfig)) return;
     const candidates = held.flatMap((task): Candidate[] => {
       const name = parseTaskName(task.task);
       const job = this.input.jobs.get(name?.job ?? '');
@@ -277,14 +290,14 @@
     }
     const free = this.input.free.get(machine);
     if (free === undefined || this.#busy.has(machine)) return;
-    this.sources.set(machine, { room, partitionId, term, candidates, free });
+    this.sources.set(machine, { machineStatus, partitionId, term, candidates, free });
   }
 }
 
 /** A machine that goes on for all that is known: what others hold may not run. */
-function isWell(room: MachineRoom, clusterConfig: ClusterConfig): boolean {
-  const isHeard = room.silentMs <= clusterConfig.heartbeatIntervalMs * SUSPECT_INTERVALS;
-  return isHeard && !room.draining && !room.evictionNotice && !room.unhealthy;
+function isWell(machineStatus: MachineStatus, clusterConfig: ClusterConfig): boolean {
+  const isHeard = machineStatus.silentMs <= clusterConfig.heartbeatIntervalMs * SUSPECT_INTERVALS;
+  return isHeard && !machineStatus.draining && !machineStatus.evictionNotice && !machineStatus.unhealthy;
 }
 
 function keyOf({ task, attempt }: TaskAttempt): string {
--- a/packages/borrowing/src/victims.ts
+++ b/packages/borrowing/src/victims.ts
@@ -115,22 +115,22 @@
     .sort((a, b) => compareLoss(a.loss, b.loss) || b.candidate.job.rank - a.candidate.job.rank);
   const chosen: Candidate[] = [];
   const stopped = new Map<string, Resources>();
-  let room = free;
+  let available = free;
   for (const { candidate } of order) {
-    if (fitsIn(need, room)) break;
+    if (fitsIn(need, available)) break;
     if (!isSpared(job, candidate.job, stopped, accounts)) continue;
     const { spec } = candidate.job;
     chosen.push(candidate);
     stopped.set(spec.team, addResources(stopped.get(spec.team) ?? NO_RESOURCES, spec));
-    room = addResources(room, spec);
+    available = addResources(available, spec);
   }
-  if (!fitsIn(need, room)) return null;
-  return describe(job, withoutNeedless(chosen, need, room), accounts);
+  if (!fitsIn(need, available)) return null;
+  return describe(job, withoutNeedless(chosen, need, available), accounts);
 }
 
 /** Leaves out what was taken before a larger task made it needless, the costliest first. */
-function withoutNeedless(chosen: readonly Candidate[], need: Resources, room: Resources): Candidate[] {
-  let left = room;
+function withoutNeedless(chosen: readonly Candidate[], need: Resources, available: Resources): Candidate[] {
+  let left = available;
   const kept: Candidate[] = [];
   for (const candidate of [...chosen].reverse()) {
     const without = subtractResources(left, candidate.job.spec);
--- a/packages/borrowing/test/execution.test.ts
+++ b/packages/borrowing/test/execution.test.ts
@@ -165,7 +165,7 @@
   assert.deepEqual(other.step({ ...record, victims }), []);
   for (const scene of [few, other]) {
     assert.deepEqual(scene.moves, ['withdrawn: its room was taken']);
-    assert.equal(scene.table.reservations.keptOn('m').gpus, 0);
+    assert.equal(scene.table.reservations.reservedOn('m').gpus, 0);
   }
 });
 
--- a/packages/borrowing/test/fixtures.ts
+++ b/packages/borrowing/test/fixtures.ts
@@ -1,4 +1,4 @@
-import { type ClusterConfig, Job, type MachineRoom, NO_RESOURCES, type Team } from '@gingerlock/core';
+import { type ClusterConfig, Job, type MachineStatus, NO_RESOURCES, type Team } from '@gingerlock/core';
 import type { JobSpec } from '@gingerlock/wire';
 import { PRIORITIES } from '@gingerlock/wire';
 
@@ -51,7 +51,7 @@
   return job;
 }
 
-export function roomOf(name: string, over: Partial<MachineRoom> = {}): MachineRoom {
+export function machineStatusOf(name: string, over: Partial<MachineStatus> = {}): MachineStatus {
   return {
     name,
     type: 'box',
--- a/packages/borrowing/test/planner.test.ts
+++ b/packages/borrowing/test/planner.test.ts
@@ -5,7 +5,7 @@
 import { type Resources, fitsIn, type Job, NO_RESOURCES, addResources, subtractResources } from '@gingerlock/core';
 import { parseTaskName, PRIORITIES, taskName } from '@gingerlock/wire';
 import { type HeldTask, type Plan, type PlannerInput, planReclaims } from '../src/index';
-import { clusterConfigOf, jobOf, roomOf, teamOf } from './fixtures';
+import { clusterConfigOf, jobOf, machineStatusOf, teamOf } from './fixtures';
 
 interface Fleet {
   readonly input: PlannerInput;
@@ -44,8 +44,15 @@
   const free = new Map(
     machines.map((tasks, i) => [`m-${i}`, tasks.reduce((sum, { job }) => subtractResources(sum, job.spec), MACHINE)]),
   );
-  const rooms = machines.map((_, i) => roomOf(`m-${i}`));
-  const status = { partitionId: 0, term: 3, revision: 1, machines: rooms, missing: NO_RESOURCES, running: [] };
+  const machineStatuses = machines.map((_, i) => machineStatusOf(`m-${i}`));
+  const status = {
+    partitionId: 0,
+    term: 3,
+    revision: 1,
+    machines: machineStatuses,
+    missing: NO_RESOURCES,
+    running: [],
+  };
   const claims = [...held].map(([machine, tasks]) => ({ machine, held: tasks }));
   const input: PlannerInput = {
     clusterConfig: clusterConfigOf(teams),
@@ -238,11 +245,11 @@
           assert.ok(held.some((h) => h.task === task));
           return fleet.jobs.get(parseTaskName(task)!.job)!.spec;
         });
-        const room = specs.reduce((sum, spec) => addResources(sum, spec), fleet.input.free.get(machine)!);
-        assert.ok(fitsIn(addResources(NO_RESOURCES, job.spec, tasks.length), room));
+        const available = specs.reduce((sum, spec) => addResources(sum, spec), fleet.input.free.get(machine)!);
+        assert.ok(fitsIn(addResources(NO_RESOURCES, job.spec, tasks.length), available));
         for (const spec of specs)
           assert.ok(
-            !fitsIn(addResources(NO_RESOURCES, job.spec, tasks.length), subtractResources(room, spec)) ||
+            !fitsIn(addResources(NO_RESOURCES, job.spec, tasks.length), subtractResources(available, spec)) ||
               tasks.length > 1,
           );
         assert.equal(tasks.length, places.length);
--- a/packages/core/src/assignment.ts
+++ b/packages/core/src/assignment.ts
@@ -20,7 +20,7 @@
 import { fetchMs, SERVICE_VICTIM_MS, STOP_MS } from './start-time';
 
 /** What a part's owner says of one machine. */
-export interface MachineRoom {
+export interface MachineStatus {
   readonly name: string;
   readonly type: string;
   readonly zone: string;
@@ -49,7 +49,7 @@
   readonly term: number;
   /** The owner's replica stood at this revision: later assignments are not in it yet. */
   readonly revision: number;
-  readonly machines: readonly MachineRoom[];
+  readonly machines: readonly MachineStatus[];
   /** What the tasks add up to that a new owner has been waiting to hear of for longer than machines take to report. */
   readonly missing: Resources;
   readonly running: readonly (readonly [string, number])[];
@@ -112,13 +112,13 @@
   readonly unmet: readonly Unmet[];
   readonly groups: readonly GroupPlacement[];
   /** Machines with room for some members of a group that lacks room for others. */
-  readonly partialRoom: ReadonlySet<string>;
+  readonly partlyFittingMachines: ReadonlySet<string>;
   /** By machine that takes work: what it has left. */
   readonly free: ReadonlyMap<string, Resources>;
 }
 
 interface Bin {
-  readonly room: MachineRoom;
+  readonly machine: MachineStatus;
   readonly partitionId: number;
   readonly term: number;
   free: Resources;
@@ -154,7 +154,7 @@
     assignments: run.assignments,
     unmet: run.unmet,
     groups: run.groups,
-    partialRoom: run.partialRoom,
+    partlyFittingMachines: run.partlyFittingMachines,
     free: run.free(),
   };
 }
@@ -163,14 +163,14 @@
 function binsOf({ statuses, recent }: AssignmentInput): Bin[] {
   const bins: Bin[] = [];
   for (const { machines, partitionId, term, revision } of statuses) {
-    for (const room of machines) {
-      if (!room.takesWork) continue;
-      let { free } = room;
+    for (const machine of machines) {
+      if (!machine.takesWork) continue;
+      let { free } = machine;
       for (const r of recent) {
-        if (r.partitionId === partitionId && r.machine === room.name && r.revision > revision)
+        if (r.partitionId === partitionId && r.machine === machine.name && r.revision > revision)
           free = subtractResources(free, r.need);
       }
-      bins.push({ room, partitionId, term, free, byRank: [...room.byRank] });
+      bins.push({ machine, partitionId, term, free, byRank: [...machine.byRank] });
     }
   }
   return bins;
@@ -233,11 +233,11 @@
   readonly assignments: Assignment[] = [];
   readonly unmet: Unmet[] = [];
   readonly groups: GroupPlacement[] = [];
-  readonly partialRoom = new Set<string>();
+  readonly partlyFittingMachines = new Set<string>();
   /** Shapes of groups that found no room, with the zones in which room would be of use: rooms only shrink. */
   readonly #fullGroups = new Map<string, readonly string[]>();
   /** Whether a group keeps room already that is not enough for it: at most one does. */
-  #isRoomHeld = false;
+  #isCapacityHeld = false;
   readonly #bins: Bin[];
   readonly #use: Map<string, Resources>;
   /** Shapes of tasks for which there is no room left: rooms only shrink, so nobody looks for them again. */
@@ -257,7 +257,7 @@
   }
 
   free(): ReadonlyMap<string, Resources> {
-    return new Map(this.#bins.map((bin) => [bin.room.name, bin.free]));
+    return new Map(this.#bins.map((bin) => [bin.machine.name, bin.free]));
   }
 
   assign(job: Job): void {
@@ -347,9 +347,9 @@
     }
     this.unmet.push({ job, count: free.missing, zones: free.zones });
     if (isFree) this.#fullGroups.set(shape, free.zones);
-    for (const { machine } of free.chosen) this.partialRoom.add(machine);
-    if (this.#isRoomHeld || !groups.holdsPartialRoom(job)) return;
-    this.#isRoomHeld = true;
+    for (const { machine } of free.chosen) this.partlyFittingMachines.add(machine);
+    if (this.#isCapacityHeld || !groups.holdsPartialCapacity(job)) return;
+    this.#isCapacityHeld = true;
     for (const { machine } of free.chosen) this.#take(this.#binOf(machine), job);
   }
 
@@ -358,7 +358,12 @@
       const bin = this.#binOf(machine);
       this.#take(bin, job);
       const { spread, oneZone, zone: asked } = job.spec;
-      return { partitionId: bin.partitionId, zone: spread || oneZone ? bin.room.zone : asked, term: bin.term, machine };
+      return {
+        partitionId: bin.partitionId,
+        zone: spread || oneZone ? bin.machine.zone : asked,
+        term: bin.term,
+        machine,
+      };
     });
     // Members are alike: ranks follow the places, so that the record needs one round for each place.
     members.sort((a, b) => a.partitionId - b.partitionId || (a.zone ?? '').localeCompare(b.zone ?? ''));
@@ -367,7 +372,7 @@
   }
 
   #binOf(machine: string): Bin {
-    return this.#bins.find((bin) => bin.room.name === machine)!;
+    return this.#bins.find((bin) => bin.machine.name === machine)!;
   }
 
   /** The machines on which members of the group could run; with `preempting`, in place of less urgent work too. */
@@ -375,10 +380,10 @@
     return this.#bins
       .filter((bin) => suits(job, bin))
       .map((bin) => {
-        const capacity = countFitting(job.spec, preempting ? roomWithout(bin, job.ownRank) : bin.free);
+        const capacity = countFitting(job.spec, preempting ? freeWithout(bin, job.ownRank) : bin.free);
         const stopMs = preempting && !fitsIn(job.spec, bin.free) ? STOP_MS : 0;
         const ms = cost(job, bin, this.input, undefined) + stopMs;
-        return { machine: bin.room.name, zone: bin.room.zone, capacity, cost: ms };
+        return { machine: bin.machine.name, zone: bin.machine.zone, capacity, cost: ms };
       })
       .filter(({ capacity }) => capacity > 0);
   }
@@ -402,8 +407,8 @@
     const bin = pick(job, elsewhere, input, allows, undefined) ?? pick(job, free, input, allows, undefined);
     if (bin === undefined) return;
     this.#take(bin, job);
-    const place = { partitionId: bin.partitionId, zone: zones.take(bin.room.zone), term: bin.term };
-    const meant = [{ machine: bin.room.name, need: job.spec }];
+    const place = { partitionId: bin.partitionId, zone: zones.take(bin.machine.zone), term: bin.term };
+    const meant = [{ machine: bin.machine.name, need: job.spec }];
     this.#use.set(job.spec.team, addResources(this.#use.get(job.spec.team) ?? NO_RESOURCES, job.spec));
     this.assignments.push({ job, added: roundsOf([ranges[0]![0]], [place]), meant });
   }
@@ -428,8 +433,8 @@
         }
         this.#take(bin, job);
         found.indices.push(index);
-        found.places.push({ partitionId: bin.partitionId, zone: zones.take(bin.room.zone), term: bin.term });
-        found.meant.push({ machine: bin.room.name, need: job.spec });
+        found.places.push({ partitionId: bin.partitionId, zone: zones.take(bin.machine.zone), term: bin.term });
+        found.meant.push({ machine: bin.machine.name, need: job.spec });
       }
     }
     return found;
@@ -478,7 +483,7 @@
 }
 
 function suits(job: Job, bin: Bin): boolean {
-  return allowsMachine(job.spec, bin.room.type, bin.room.zone, bin.room.spot);
+  return allowsMachine(job.spec, bin.machine.type, bin.machine.zone, bin.machine.spot);
 }
 
 /** The zone in which most tasks of the job fit now. */
@@ -486,10 +491,10 @@
   const byZone = new Map<string, number>();
   for (const bin of bins) {
     if (!suits(job, bin) || !fitsIn(job.spec, bin.free)) continue;
-    byZone.set(bin.room.zone, (byZone.get(bin.room.zone) ?? 0) + bin.free.gpus + bin.free.cpus / 1000);
+    byZone.set(bin.machine.zone, (byZone.get(bin.machine.zone) ?? 0) + bin.free.gpus + bin.free.cpus / 1000);
   }
   let best: string | null = job.spec.zone;
-  for (const [zone, room] of byZone) if (best === null || room > (byZone.get(best) ?? 0)) best = zone;
+  for (const [zone, free] of byZone) if (best === null || free > (byZone.get(best) ?? 0)) best = zone;
   return best;
 }
 
@@ -501,10 +506,10 @@
 
 /** How soon the task would run there, in milliseconds, with ties broken towards what is fuller already. */
 function cost(job: Job, bin: Bin, input: AssignmentInput, lastPartitionId: number | undefined): number {
-  const type = input.types.get(bin.room.type);
-  const fetch = fetchMs(job.spec.imageGb, bin.room.images.includes(job.spec.image), type);
+  const type = input.types.get(bin.machine.type);
+  const fetch = fetchMs(job.spec.imageGb, bin.machine.images.includes(job.spec.image), type);
   // Ordinary machines are dear: work that may run on spot goes there unless it would wait for longer than this.
-  const kind = job.spec.spot && !bin.room.spot ? input.clusterConfig.heartbeatIntervalMs * 2 : 0;
+  const kind = job.spec.spot && !bin.machine.spot ? input.clusterConfig.heartbeatIntervalMs * 2 : 0;
   const tight = type === undefined || type.gpus <= 0 ? 0 : bin.free.gpus / type.gpus;
   const apart =
     job.spec.kind === 'array' && lastPartitionId !== undefined && lastPartitionId !== bin.partitionId
@@ -526,15 +531,16 @@
   let best: Bin | undefined;
   let bestCost = Infinity;
   for (const bin of bins) {
-    if (!zoneAllowed(bin.room.zone) || !suits(job, bin)) continue;
+    if (!zoneAllowed(bin.machine.zone) || !suits(job, bin)) continue;
     let c = cost(job, bin, input, lastPartitionId);
     if (c >= bestCost) continue;
     if (!fitsIn(job.spec, bin.free)) {
       if (!input.preempts) continue;
-      let room = bin.free;
+      let available = bin.free;
       let rank = bin.byRank.length - 1;
-      for (; rank > job.ownRank && !fitsIn(job.spec, room); rank--) room = addResources(room, bin.byRank[rank]!);
-      if (!fitsIn(job.spec, room)) continue;
+      for (; rank > job.ownRank && !fitsIn(job.spec, available); rank--)
+        available = addResources(available, bin.byRank[rank]!);
+      if (!fitsIn(job.spec, available)) continue;
       // By preemption: as an owner reckons it.
       c += STOP_MS + input.clusterConfig.heartbeatIntervalMs / 2;
       // Work that is urgent itself goes only when there is no other room.
@@ -549,7 +555,7 @@
 }
 
 /** What the bin has without all work that is less urgent. */
-function roomWithout(bin: Bin, ownRank: number): Resources {
+function freeWithout(bin: Bin, ownRank: number): Resources {
   return bin.byRank.slice(ownRank + 1).reduce((sum, resources) => addResources(sum, resources), bin.free);
 }
 
--- a/packages/core/src/claim-view.ts
+++ b/packages/core/src/claim-view.ts
@@ -30,7 +30,7 @@
   waitingSlots(job: Job): Iterable<Slot> & Iterator<Slot>;
   typeOf(machine: Machine): MachineType | undefined;
   /** What a machine has left, by its claims and by strays that it reports. */
-  room(machine: Machine): Resources;
+  freeResources(machine: Machine): Resources;
   takesWork(machine: Machine, now: number): boolean;
   isSuspect(machine: Machine, now: number): boolean;
   isFailing(job: Job): boolean;
--- a/packages/core/src/claims.ts
+++ b/packages/core/src/claims.ts
@@ -17,7 +17,7 @@
 import { type JobEvidence, FailureAttribution } from './failure-attribution';
 import { evidenceOn } from './job-evidence';
 import { Fence } from './fence';
-import { GrantRoom } from './grant-room';
+import { GrantCapacity } from './grant-capacity';
 import { bindable } from './granting';
 import { ImageCache } from './image-cache';
 import { assignedUnfinished } from './job-use';
@@ -271,20 +271,20 @@
   }
 
   /** What a machine has left, by its claims and by strays that it reports. */
-  room(machine: Machine): Resources {
+  freeResources(machine: Machine): Resources {
     const type = this.typeOf(machine);
     if (type === undefined) return NO_RESOURCES;
-    let room: Resources = { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb };
-    for (const slot of machine.claims.values()) room = subtractResources(room, slot.job.spec);
+    let available: Resources = { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb };
+    for (const slot of machine.claims.values()) available = subtractResources(available, slot.job.spec);
     for (const task of machine.reported) {
       if (task.state === 'exited' || machine.claims.has(task.task)) continue;
       const parsed = parseTaskName(task.task);
       const spec = parsed === null ? undefined : this.#jobs.live.get(parsed.job)?.spec;
       // A stray of unknown size: nothing is known to be free until it is gone.
       if (spec === undefined) return NO_RESOURCES;
-      room = subtractResources(room, spec);
+      available = subtractResources(available, spec);
     }
-    return room;
+    return available;
   }
 
   /** Whether new work may be bound to the machine at all. */
@@ -402,12 +402,12 @@
   /** Binds waiting tasks to the machine that reports now. */
   #grant(m: Machine, now: number, commands: WorkerCommand[]): void {
     if (!m.isMember || !this.takesWork(m, now)) return;
-    const room = new GrantRoom(this.room(m), this.reservations, m.name);
-    for (const slot of bindable(this, m, room, now)) {
+    const capacity = new GrantCapacity(this.freeResources(m), this.reservations, m.name);
+    for (const slot of bindable(this, m, capacity, now)) {
       // A number that was given out is never given out again: it would be taken for the task of the next term.
       if (this.#counter >= this.#attemptsPerTerm - 1) return;
       commands.push(this.#bind(m, slot, now));
-      room.take(slot);
+      capacity.take(slot);
     }
   }
 
--- a/packages/core/src/facts.ts
+++ b/packages/core/src/facts.ts
@@ -68,9 +68,11 @@
 /** Sums of decimal amounts are compared with this much slack. */
 const EPSILON = 1e-6;
 
-export function fitsIn(need: Resources, room: Resources): boolean {
+export function fitsIn(need: Resources, available: Resources): boolean {
   return (
-    need.cpus <= room.cpus + EPSILON && need.gpus <= room.gpus + EPSILON && need.memoryGb <= room.memoryGb + EPSILON
+    need.cpus <= available.cpus + EPSILON &&
+    need.gpus <= available.gpus + EPSILON &&
+    need.memoryGb <= available.memoryGb + EPSILON
   );
 }
 
@@ -89,11 +91,15 @@
 }
 
 /** How many times `need` goes into `room`. */
-export function countFitting(need: Resources, room: Resources): number {
+export function countFitting(need: Resources, available: Resources): number {
   const ratio = (n: number, r: number): number => (n <= 0 ? Infinity : Math.floor((r + EPSILON) / n));
   return Math.max(
     0,
-    Math.min(ratio(need.cpus, room.cpus), ratio(need.gpus, room.gpus), ratio(need.memoryGb, room.memoryGb)),
+    Math.min(
+      ratio(need.cpus, available.cpus),
+      ratio(need.gpus, available.gpus),
+      ratio(need.memoryGb, available.memoryGb),
+    ),
   );
 }
 
--- a/packages/core/src/fleet-inventory.ts
+++ b/packages/core/src/fleet-inventory.ts
@@ -1,6 +1,6 @@
 // The machines that the leader knows of: from what it rented, from the cloud's lists and from what owners tell.
 import type { CloudMachine, RentRequest } from '@gingerlock/wire';
-import type { MachineRoom, PartitionStatus } from './assignment';
+import type { MachineStatus, PartitionStatus } from './assignment';
 import type { ClusterConfig } from './facts';
 
 /** What is known of one machine. */
@@ -49,8 +49,8 @@
   }
 
   /** Takes what the owners tell of their machines. */
-  heard(rooms: Iterable<MachineRoom>, now: number): void {
-    for (const m of rooms) {
+  heard(machines: Iterable<MachineStatus>, now: number): void {
+    for (const m of machines) {
       if (this.#returned.has(m.name)) continue;
       let k = this.known.get(m.name);
       if (k === undefined) {
--- a/packages/core/src/fleet.ts
+++ b/packages/core/src/fleet.ts
@@ -1,6 +1,6 @@
 // What the leader rents, drains and returns. It only plans; the controller talks to the cloud and to the owners.
 import { type CloudMachine, isRentable, type JobSpec, type MachineType, type RentRequest } from '@gingerlock/wire';
-import type { MachineRoom, PartitionStatus, Unmet } from './assignment';
+import type { MachineStatus, PartitionStatus, Unmet } from './assignment';
 import { FleetInventory, type KnownMachine } from './fleet-inventory';
 import { machineUse } from './machine-use';
 import { BATCH_RANK, isSuspect, VacatingPlan } from './vacating';
@@ -138,9 +138,9 @@
   figures(statuses: readonly PartitionStatus[], types: ReadonlyMap<string, MachineType>): Record<string, number> {
     const f = { ordinary: 0, spot: 0, notHeard: 0, idle: 0, used: 0, batch: 0, free: 0 };
     for (const k of this.known.values()) f[k.spot ? 'spot' : 'ordinary']++;
-    const rooms = statuses.flatMap((s) => s.machines);
-    f.notHeard = f.ordinary + f.spot - rooms.length;
-    for (const m of rooms) {
+    const machines = statuses.flatMap((s) => s.machines);
+    f.notHeard = f.ordinary + f.spot - machines.length;
+    for (const m of machines) {
       if (machineUse(m) === 'idle') f.idle++;
       if (m.spot) continue;
       const batch = m.byRank.reduce((sum, a, rank) => sum + (rank >= BATCH_RANK ? a.gpus : 0), 0);
@@ -168,9 +168,9 @@
 
   plan(input: FleetInput): FleetPlan {
     const { now, types } = input;
-    const rooms = new Map<string, MachineRoom>();
-    for (const s of input.statuses) for (const m of s.machines) rooms.set(m.name, m);
-    this.#inventory.heard(rooms.values(), now);
+    const machinesByName = new Map<string, MachineStatus>();
+    for (const s of input.statuses) for (const m of s.machines) machinesByName.set(m.name, m);
+    this.#inventory.heard(machinesByName.values(), now);
 
     for (const s of input.statuses) {
       if (this.#partitionSince.get(s.partitionId)?.term !== s.term)
@@ -180,24 +180,24 @@
     for (const partitionId of this.#partitionSince.keys())
       if (!heard.has(partitionId)) this.#partitionSince.delete(partitionId);
 
-    this.#watchZones(input, rooms);
+    this.#watchZones(input, machinesByName);
     const giveBack: string[] = [];
     const drain = new Set<string>();
     const booting: KnownMachine[] = [];
     for (const k of this.known.values()) {
       const bootMs = bootMsOf(types.get(k.type));
-      const room = rooms.get(k.name);
+      const machine = machinesByName.get(k.name);
       if (k.state === 'failed' || k.state === 'vanished') giveBack.push(k.name);
-      else if (k.state === 'booting' && room === undefined) {
+      else if (k.state === 'booting' && machine === undefined) {
         if (now - k.bornAt > bootMs * STUCK_BOOTS) giveBack.push(k.name);
         else if (now - k.bornAt < bootMs * LATE_BOOTS) booting.push(k);
       } else if (now - this.#quietSince(k, input) > 2 * workerLeaseBoundMs(this.clusterConfig)) {
         // Up, and silent for longer than any lease. The answer proves it gone, sooner than the time that clears its part.
         giveBack.push(k.name);
-      } else if (room?.unhealthy === true) drain.add(k.name);
+      } else if (machine?.unhealthy === true) drain.add(k.name);
     }
-    const { rent, kept } = this.#rent(input, booting, rooms);
-    this.#idle(input, rooms, booting, drain, giveBack, rent.length > 0, kept);
+    const { rent, kept } = this.#rent(input, booting, machinesByName);
+    this.#idle(input, machinesByName, booting, drain, giveBack, rent.length > 0, kept);
     this.#draining = drain;
     return { rent, giveBack, drain: [...drain] };
   }
@@ -218,13 +218,13 @@
    * Their silent machines are returned in time, so the note stands until one of the zone is heard, or a new one should
    * have been.
    */
-  #watchZones(input: FleetInput, rooms: ReadonlyMap<string, MachineRoom>): void {
+  #watchZones(input: FleetInput, machinesByName: ReadonlyMap<string, MachineStatus>): void {
     const { now } = input;
     const zones = new Map<string, { heard: number; silent: number }>();
     for (const k of this.known.values()) {
       if (k.state !== 'running') continue;
-      const room = rooms.get(k.name);
-      const heard = room !== undefined && !isSuspect(room, this.clusterConfig);
+      const machine = machinesByName.get(k.name);
+      const heard = machine !== undefined && !isSuspect(machine, this.clusterConfig);
       const silent =
         !heard && now - this.#quietSince(k, input) > this.clusterConfig.heartbeatIntervalMs * SUSPECT_INTERVALS;
       const zone = zones.get(k.zone) ?? { heard: 0, silent: 0 };
@@ -243,8 +243,8 @@
   }
 
   /** Idle machines that get no more work, and are to be given back for that alone. */
-  #leaving(rooms: ReadonlyMap<string, MachineRoom>): MachineRoom[] {
-    return [...rooms.values()].filter(
+  #leaving(machinesByName: ReadonlyMap<string, MachineStatus>): MachineStatus[] {
+    return [...machinesByName.values()].filter(
       (m) =>
         this.#draining.has(m.name) &&
         machineUse(m) === 'idle' &&
@@ -258,7 +258,7 @@
   #rent(
     input: FleetInput,
     booting: readonly KnownMachine[],
-    rooms: ReadonlyMap<string, MachineRoom>,
+    machinesByName: ReadonlyMap<string, MachineStatus>,
   ): { rent: PlannedRental[]; kept: ReadonlySet<string> } {
     const { now, types } = input;
     const isSilent = (zone: string): boolean => (this.#silentZones.get(zone) ?? 0) > now;
@@ -266,7 +266,7 @@
       clusterConfig: this.clusterConfig,
       types,
       booting,
-      leaving: this.#leaving(rooms),
+      leaving: this.#leaving(machinesByName),
       known: this.known.values(),
       maxOrdinaryMachines: this.limits.maxOrdinaryMachines,
       maxSpotMachines: this.limits.maxSpotMachines,
@@ -277,15 +277,15 @@
     });
     // What runs on a machine that has fallen silent will most likely be wanted elsewhere once its lease is over: a boot
     // begins now. More than half of them silent is no trouble of theirs.
-    const suspects = [...rooms.values()].filter(
+    const suspects = [...machinesByName.values()].filter(
       (m) => isSuspect(m, this.clusterConfig) && m.silentMs < this.clusterConfig.workerLeaseMs * 2,
     );
-    if (suspects.length * 2 < rooms.size) for (const m of suspects) plan.replace(m);
+    if (suspects.length * 2 < machinesByName.size) for (const m of suspects) plan.replace(m);
     // Room for what comes next, on top of what is asked for now, and for what new owners are still waiting to hear of: a
     // boot takes longer than most aims allow.
     let free = 0;
-    for (const m of rooms.values()) if (!m.spot && m.takesWork) free += roomForServices(m);
-    const headroom = this.#headroom(input, rooms);
+    for (const m of machinesByName.values()) if (!m.spot && m.takesWork) free += gpusForServices(m);
+    const headroom = this.#headroom(input, machinesByName);
     plan.serve(input.unmet, headroom - free);
     plan.keepSpare(free, headroom);
     // Names are never reused: they carry the leader's term.
@@ -296,11 +296,11 @@
    * How much room, in accelerators, ordinary machines should have: for new services, and for those that new owners are
    * still waiting to hear of.
    */
-  #headroom(input: FleetInput, rooms: ReadonlyMap<string, MachineRoom>): number {
+  #headroom(input: FleetInput, machinesByName: ReadonlyMap<string, MachineStatus>): number {
     let used = 0;
-    for (const m of rooms.values()) {
+    for (const m of machinesByName.values()) {
       const type = input.types.get(m.type);
-      if (type !== undefined && !m.spot) used += type.gpus - roomForServices(m);
+      if (type !== undefined && !m.spot) used += type.gpus - gpusForServices(m);
     }
     const missing = input.statuses.reduce((sum, s) => sum + s.missing.gpus, 0);
     return used * this.limits.headroom + missing;
@@ -309,7 +309,7 @@
   /** Machines that have been empty for about a boot time go, the dearest first, if enough room is left without them. */
   #idle(
     input: FleetInput,
-    rooms: ReadonlyMap<string, MachineRoom>,
+    machinesByName: ReadonlyMap<string, MachineStatus>,
     booting: readonly KnownMachine[],
     drain: Set<string>,
     giveBack: string[],
@@ -317,15 +317,15 @@
     kept: ReadonlySet<string>,
   ): void {
     let ordinary = 0;
-    const empties: MachineRoom[] = [];
-    for (const m of rooms.values()) {
+    const empties: MachineStatus[] = [];
+    for (const m of machinesByName.values()) {
       const type = input.types.get(m.type);
       if (type === undefined || m.evictionNotice || this.#inventory.isReturned(m.name)) continue;
-      if (!m.spot && m.takesWork) ordinary += roomForServices(m);
+      if (!m.spot && m.takesWork) ordinary += gpusForServices(m);
       if (machineUse(m) === 'idle') empties.push(m);
     }
-    const headroom = this.#headroom(input, rooms);
-    const priceOf = (m: MachineRoom): number => unitPrice(input.types.get(m.type)!, m.spot);
+    const headroom = this.#headroom(input, machinesByName);
+    const priceOf = (m: MachineStatus): number => unitPrice(input.types.get(m.type)!, m.spot);
     for (const m of empties.sort((a, b) => priceOf(b) - priceOf(a) || b.emptyMs - a.emptyMs)) {
       if (giveBack.includes(m.name) || kept.has(m.name) || input.pinned?.has(m.name) === true) continue;
       const type = input.types.get(m.type)!;
@@ -340,7 +340,7 @@
       if (m.draining) giveBack.push(m.name);
     }
     const isShort = input.unmet.some(({ job }) => !this.#waitsForSpot(job.spec));
-    if (!renting && !isShort) this.#vacating.add(input, rooms, drain, this.#draining, ordinary - headroom);
+    if (!renting && !isShort) this.#vacating.add(input, machinesByName, drain, this.#draining, ordinary - headroom);
   }
 
   /**
@@ -360,6 +360,6 @@
 const IDLE_BOOTS = 0.5;
 
 /** What a machine has for new services: batch work makes way for them. */
-function roomForServices(m: MachineRoom): number {
+function gpusForServices(m: MachineStatus): number {
   return m.byRank.reduce((sum, a, rank) => sum + (rank >= BATCH_RANK ? a.gpus : 0), m.free.gpus);
 }
--- a/packages/core/src/grant-room.ts
+++ b/packages/core/src/grant-capacity.ts
@@ -4,9 +4,9 @@
 import type { Slot } from './slots';
 
 /** What a machine that reports has for tasks: for most of them without the room that is kept there for others. */
-export class GrantRoom {
+export class GrantCapacity {
   /** Whether room is kept here for any task. */
-  readonly keepsAny: boolean;
+  readonly hasReservations: boolean;
   #free: Resources;
   #open: Resources;
 
@@ -15,23 +15,23 @@
     readonly reservations: Reservations,
     readonly machine: string,
   ) {
-    const kept = reservations.keptOn(machine);
-    this.keepsAny = kept !== NO_RESOURCES;
+    const reserved = reservations.reservedOn(machine);
+    this.hasReservations = reserved !== NO_RESOURCES;
     this.#free = free;
-    this.#open = this.keepsAny ? subtractResources(free, kept) : free;
+    this.#open = this.hasReservations ? subtractResources(free, reserved) : free;
   }
 
-  hasFor(slot: Slot): boolean {
-    return fitsIn(slot.job.spec, this.#isKeptFor(slot) ? this.#free : this.#open);
+  fits(slot: Slot): boolean {
+    return fitsIn(slot.job.spec, this.#isReservedFor(slot) ? this.#free : this.#open);
   }
 
   /** Counts a task in that is claimed here now; what was kept for it is kept no more. */
   take(slot: Slot): void {
     this.#free = subtractResources(this.#free, slot.job.spec);
-    if (!this.#isKeptFor(slot)) this.#open = subtractResources(this.#open, slot.job.spec);
+    if (!this.#isReservedFor(slot)) this.#open = subtractResources(this.#open, slot.job.spec);
   }
 
-  #isKeptFor(slot: Slot): boolean {
-    return this.keepsAny && this.reservations.machineFor(slot.name) === this.machine;
+  #isReservedFor(slot: Slot): boolean {
+    return this.hasReservations && this.reservations.reservedMachineFor(slot.name) === this.machine;
   }
 }
--- a/packages/core/src/group-planner.ts
+++ b/packages/core/src/group-planner.ts
@@ -28,5 +28,5 @@
   mayPlace(job: Job): boolean;
   choose(job: Job, candidates: readonly GroupCandidate[]): GroupChoice;
   /** Whether room that is not enough for the whole group is kept from the jobs after it. */
-  holdsPartialRoom(job: Job): boolean;
+  holdsPartialCapacity(job: Job): boolean;
 }
--- a/packages/core/src/machine-use.ts
+++ b/packages/core/src/machine-use.ts
@@ -1,5 +1,5 @@
 // What a machine is for at the moment, as the leader reads it out of its owner's summary.
-import type { MachineRoom } from './assignment';
+import type { MachineStatus } from './assignment';
 
 /**
  * in use:  it holds tasks, or may.
@@ -12,7 +12,7 @@
  * Summaries have no field for it: one that is `empty` holds nothing, so what it tells by rank is what is planned. Owners of earlier versions
  * do not tell what is planned; their machines are either in use or idle.
  */
-export function machineUse({ empty, byRank }: Pick<MachineRoom, 'empty' | 'byRank'>): MachineUse {
+export function machineUse({ empty, byRank }: Pick<MachineStatus, 'empty' | 'byRank'>): MachineUse {
   if (!empty) return 'in use';
   const isPlanned = byRank.some(({ cpus, gpus, memoryGb }) => cpus > 0 || gpus > 0 || memoryGb > 0);
   return isPlanned ? 'planned' : 'idle';
--- a/packages/core/src/packing.ts
+++ b/packages/core/src/packing.ts
@@ -19,14 +19,15 @@
 export function pack(
   claimTable: ClaimView,
   now: number,
-): { rooms: Map<Machine, Resources>; stuck: Slot[]; stopped: Slot[] } {
-  const rooms = new Map<Machine, Resources>();
+): { freeByMachine: Map<Machine, Resources>; stuck: Slot[]; stopped: Slot[] } {
+  const freeByMachine = new Map<Machine, Resources>();
   for (const m of claimTable.machines.values()) {
     if (!claimTable.takesWork(m, now)) continue;
-    let room = claimTable.room(m);
+    let available = claimTable.freeResources(m);
     // What is stopping is free soon: counted now, so that nothing more is stopped for the same task.
-    for (const slot of m.claims.values()) if (slot.claim!.stopGraceS !== null) room = addResources(room, slot.job.spec);
-    rooms.set(m, subtractResources(room, claimTable.reservations.keptOn(m.name)));
+    for (const slot of m.claims.values())
+      if (slot.claim!.stopGraceS !== null) available = addResources(available, slot.job.spec);
+    freeByMachine.set(m, subtractResources(available, claimTable.reservations.reservedOn(m.name)));
   }
   const stuck: Slot[] = [];
   const doomed = new Set<Slot>();
@@ -34,57 +35,62 @@
     for (const slot of claimTable.waitingSlots(job)) {
       slot.plan = null;
       if (job.isGroup) {
-        packMember(claimTable, slot, rooms, doomed);
+        packMember(claimTable, slot, freeByMachine, doomed);
         continue;
       }
       // Held back, and given back in time: no machine is kept for it, none is asked for.
       if (!claimTable.mayStart(slot)) continue;
-      slot.plan = keptPlan(claimTable, slot, rooms);
+      slot.plan = keptPlan(claimTable, slot, freeByMachine);
       if (slot.plan !== null) continue;
-      slot.plan = bestPlan(claimTable, slot, rooms, doomed, now);
+      slot.plan = bestPlan(claimTable, slot, freeByMachine, doomed, now);
       if (slot.plan === null) {
         stuck.push(slot);
         continue;
       }
-      let room = rooms.get(slot.plan.machine)!;
+      let available = freeByMachine.get(slot.plan.machine)!;
       for (const victim of slot.plan.victims) {
         doomed.add(victim);
-        room = addResources(room, victim.job.spec);
+        available = addResources(available, victim.job.spec);
       }
-      rooms.set(slot.plan.machine, subtractResources(room, job.spec));
+      freeByMachine.set(slot.plan.machine, subtractResources(available, job.spec));
       if (slot.notBefore <= now) for (const victim of slot.plan.victims) preempt(claimTable, victim, slot);
     }
   }
-  return { rooms, stuck, stopped: [...doomed].filter((s) => s.claim?.stopGraceS !== null) };
+  return { freeByMachine, stuck, stopped: [...doomed].filter((s) => s.claim?.stopGraceS !== null) };
 }
 
 /**
  * A member of a replica group waits for the machine on which its room is kept, and for no other. Where that is not free yet, work of lower
  * priority makes way, if enough of it does.
  */
-function packMember(claimTable: ClaimView, slot: Slot, rooms: Map<Machine, Resources>, doomed: Set<Slot>): void {
-  slot.plan = keptPlan(claimTable, slot, rooms);
+function packMember(
+  claimTable: ClaimView,
+  slot: Slot,
+  freeByMachine: Map<Machine, Resources>,
+  doomed: Set<Slot>,
+): void {
+  slot.plan = keptPlan(claimTable, slot, freeByMachine);
   if (slot.plan === null || !claimTable.preempts) return;
   const { machine } = slot.plan;
   // What is kept there is counted in already: nothing may be lacking.
-  const room = rooms.get(machine)!;
-  const victims = fitsIn(NO_RESOURCES, room) ? [] : leastVictims(machine, slot, room, doomed, NO_RESOURCES);
+  const available = freeByMachine.get(machine)!;
+  const victims = fitsIn(NO_RESOURCES, available) ? [] : leastVictims(machine, slot, available, doomed, NO_RESOURCES);
   if (victims === null || victims.length === 0) return;
   for (const victim of victims) {
     doomed.add(victim);
     preempt(claimTable, victim, slot);
   }
-  rooms.set(
+  freeByMachine.set(
     machine,
-    victims.reduce((sum, victim) => addResources(sum, victim.job.spec), room),
+    victims.reduce((sum, victim) => addResources(sum, victim.job.spec), available),
   );
 }
 
 /** The machine on which room is kept for the task, which is counted in already; null: it has none, or it takes no work now. */
-function keptPlan(claimTable: ClaimView, slot: Slot, rooms: ReadonlyMap<Machine, Resources>): Plan | null {
-  const kept = claimTable.reservations.machineFor(slot.name);
+function keptPlan(claimTable: ClaimView, slot: Slot, freeByMachine: ReadonlyMap<Machine, Resources>): Plan | null {
+  const kept = claimTable.reservations.reservedMachineFor(slot.name);
   const machine = kept === null ? undefined : claimTable.machines.get(kept);
-  return machine === undefined || !rooms.has(machine) ? null : { machine, ms: 0, victims: [] };
+  return machine === undefined || !freeByMachine.has(machine) ? null : { machine, ms: 0, victims: [] };
 }
 
 /** The machines that waiting tasks are planned for and that would report later than need be. */
@@ -96,8 +102,8 @@
       const { machine } = slot.plan;
       if (job.isGroup && !claimTable.members.mayStart(slot, machine)) continue;
       // What is kept for it may have yet to be freed.
-      const isKept = claimTable.reservations.machineFor(slot.name) !== null;
-      if (isKept && !fitsIn(job.spec, claimTable.room(machine))) continue;
+      const isKept = claimTable.reservations.reservedMachineFor(slot.name) !== null;
+      if (isKept && !fitsIn(job.spec, claimTable.freeResources(machine))) continue;
       if (machine.isMember && claimTable.takesWork(machine, now) && claimTable.mayCall(machine, now))
         machines.add(machine);
     }
@@ -112,7 +118,7 @@
  */
 export function vacate(
   claimTable: ClaimView,
-  rooms: ReadonlyMap<Machine, Resources>,
+  freeByMachine: ReadonlyMap<Machine, Resources>,
   others: () => readonly SpareCapacity[],
   now: number,
 ): Slot[] {
@@ -128,7 +134,7 @@
     if (replicas.length === 0 || replicas.some((s) => s.job.isGroup)) continue;
     if (replicas.some((s) => s.claim!.stopGraceS !== null || s.claim!.stage !== 'running')) continue;
     if (replicas.some((s) => now - s.claim!.grantedAt < MOVED_AFTER_MS)) continue;
-    spareCapacity ??= [...spareCapacityIn(claimTable, rooms, now), ...others()];
+    spareCapacity ??= [...spareCapacityIn(claimTable, freeByMachine, now), ...others()];
     const left = new Map<SpareCapacity, Resources>();
     const moves = replicas.every(({ job: { spec }, zone }) => {
       for (const r of spareCapacity!) {
@@ -153,10 +159,10 @@
 
 function* spareCapacityIn(
   claimTable: ClaimView,
-  rooms: ReadonlyMap<Machine, Resources>,
+  freeByMachine: ReadonlyMap<Machine, Resources>,
   now: number,
 ): Generator<SpareCapacity> {
-  for (const [m, free] of rooms) {
+  for (const [m, free] of freeByMachine) {
     if (m.spot || claimTable.reportsInMs(m, now) > 0) continue;
     yield { type: m.type, zone: m.zone, spot: m.spot, free, images: m.cache.images() };
   }
--- a/packages/core/src/placement.ts
+++ b/packages/core/src/placement.ts
@@ -19,15 +19,15 @@
 }
 
 /** Breaks ties: a fuller machine leaves the larger gaps to others. */
-function tightness(room: Resources, type: MachineType | undefined): number {
-  return type === undefined || type.gpus <= 0 ? 0 : room.gpus / type.gpus;
+function tightness(available: Resources, type: MachineType | undefined): number {
+  return type === undefined || type.gpus <= 0 ? 0 : available.gpus / type.gpus;
 }
 
 /** The machine of the part that would run the task soonest, given what is left of each room; null: none could. */
 export function bestPlan(
   claimTable: ClaimView,
   slot: Slot,
-  rooms: ReadonlyMap<Machine, Resources>,
+  freeByMachine: ReadonlyMap<Machine, Resources>,
   doomed: ReadonlySet<Slot>,
   now: number,
 ): Plan | null {
@@ -36,16 +36,16 @@
   const mayPreempt = claimTable.preempts && !claimTable.isFailing(slot.job);
   let best: Plan | null = null;
   let bestCost = Infinity;
-  for (const [machine, room] of rooms) {
+  for (const [machine, available] of freeByMachine) {
     if (!suits(claimTable, slot, machine, now)) continue;
     const type = claimTable.typeOf(machine);
     const fetch = fetchMs(spec.imageGb, machine.cache.has(spec.image), type);
     let ms = fetch + claimTable.reportsInMs(machine, now);
     if (ms >= bestCost) continue;
     let victims: readonly Slot[] = [];
-    if (!fitsIn(spec, room)) {
+    if (!fitsIn(spec, available)) {
       if (!mayPreempt) continue;
-      const found = leastVictims(machine, slot, room, doomed);
+      const found = leastVictims(machine, slot, available, doomed);
       if (found === null) continue;
       victims = found;
       // Until they have stopped, and their lost work. A replica that is stopped is missed at once, so that is for when
@@ -53,7 +53,7 @@
       ms += STOP_MS + heartbeatIntervalMs * (victims.length / 2);
       for (const v of victims) if (v.job.spec.kind === 'service') ms += SERVICE_VICTIM_MS;
     }
-    const cost = ms + (heartbeatIntervalMs / 10) * tightness(room, type);
+    const cost = ms + (heartbeatIntervalMs / 10) * tightness(available, type);
     if (cost < bestCost) {
       best = { machine, ms, victims };
       bestCost = cost;
@@ -79,13 +79,13 @@
     .filter((s) => s.job.rank > slot.job.ownRank && !s.job.isGroup && s.claim!.stopGraceS === null && !doomed.has(s))
     .sort((a, b) => b.job.rank - a.job.rank || b.claim!.grantedAt - a.claim!.grantedAt);
   const victims: Slot[] = [];
-  let room = free;
+  let available = free;
   for (const candidate of candidates) {
-    if (fitsIn(need, room)) break;
+    if (fitsIn(need, available)) break;
     victims.push(candidate);
-    room = addResources(room, candidate.job.spec);
+    available = addResources(available, candidate.job.spec);
   }
-  return fitsIn(need, room) ? victims : null;
+  return fitsIn(need, available) ? victims : null;
 }
 
 /** Whether the reporting machine passes on a task that would run sooner on the machine it is planned for. */
--- a/packages/core/src/rental-plan.ts
+++ b/packages/core/src/rental-plan.ts
@@ -1,6 +1,6 @@
 // What one review of the fleet rents: for what runs on suspect machines, for waiting tasks, and for spare room.
 import { isRentable, type JobSpec, type MachineType, type RentRequest } from '@gingerlock/wire';
-import type { MachineRoom, Unmet } from './assignment';
+import type { MachineStatus, Unmet } from './assignment';
 import {
   type Resources,
   type ClusterConfig,
@@ -43,7 +43,7 @@
   /** Machines that are on their way. */
   readonly booting: readonly { readonly type: string; readonly zone: string; readonly spot: boolean }[];
   /** Idle machines that were to be given back: their room takes no boot, so they are kept before others are rented. */
-  readonly leaving: readonly MachineRoom[];
+  readonly leaving: readonly MachineStatus[];
   /** All machines that are rented. */
   readonly known: Iterable<{ readonly zone: string; readonly spot: boolean }>;
   readonly maxOrdinaryMachines: number;
@@ -75,7 +75,7 @@
   readonly #machinesIn = new Map<string, number>();
   readonly #count = { ordinary: 0, spot: 0 };
   readonly #options: readonly RentalOption[];
-  readonly #leaving: Set<MachineRoom>;
+  readonly #leaving: Set<MachineStatus>;
   readonly #kept = new Set<string>();
 
   constructor(readonly input: RentalPlanInput) {
@@ -99,7 +99,7 @@
   }
 
   /** Room for all that runs on a machine that will most likely be gone. */
-  replace(machine: MachineRoom): void {
+  replace(machine: MachineStatus): void {
     const need = machine.byRank.reduce((sum, a) => addResources(sum, a), NO_RESOURCES);
     if (need.cpus <= 0 && need.gpus <= 0) return;
     const { isSilent } = this.input;
--- a/packages/core/src/stranded-tasks.ts
+++ b/packages/core/src/stranded-tasks.ts
@@ -1,6 +1,6 @@
 // Tasks that are assigned to a partition which has no machine for them, and that their owner can't give back.
 import type { MachineType } from '@gingerlock/wire';
-import type { MachineRoom, PartitionStatus, Unmet } from './assignment';
+import type { MachineStatus, PartitionStatus, Unmet } from './assignment';
 import { fitsIn, type Partitioner, allowsMachine } from './facts';
 import { unfinishedIn } from './job-use';
 import type { Job } from './jobs';
@@ -42,7 +42,7 @@
 }
 
 /** Whether tasks of the job could run on the machine, now or once it has room. */
-function couldTake(machine: MachineRoom, { spec }: Job, types: ReadonlyMap<string, MachineType>): boolean {
+function couldTake(machine: MachineStatus, { spec }: Job, types: ReadonlyMap<string, MachineType>): boolean {
   const type = types.get(machine.type);
   return (
     machine.takesWork &&
--- a/packages/core/src/vacating.ts
+++ b/packages/core/src/vacating.ts
@@ -1,6 +1,6 @@
 // Which machines are emptied because their room can be spared.
 import { type MachineType, PRIORITIES } from '@gingerlock/wire';
-import type { MachineRoom } from './assignment';
+import type { MachineStatus } from './assignment';
 import { machineUse } from './machine-use';
 import { unitPrice } from './rental-choice';
 import { bootMsOf, type ClusterConfig, type Partitioner, SUSPECT_INTERVALS } from './facts';
@@ -15,7 +15,7 @@
 const SPOT_SPARE = 0.25;
 
 /** Whether the machine has been silent for so long that what it holds will most likely be wanted elsewhere. */
-export function isSuspect(m: MachineRoom, clusterConfig: ClusterConfig): boolean {
+export function isSuspect(m: MachineStatus, clusterConfig: ClusterConfig): boolean {
   return m.silentMs > clusterConfig.heartbeatIntervalMs * SUSPECT_INTERVALS;
 }
 
@@ -38,16 +38,16 @@
    */
   add(
     input: VacatingInput,
-    rooms: ReadonlyMap<string, MachineRoom>,
+    machinesByName: ReadonlyMap<string, MachineStatus>,
     drain: Set<string>,
     draining: ReadonlySet<string>,
     spareOrdinary: number,
   ): void {
     const { now, types } = input;
-    const candidates: { m: MachineRoom; used: number; size: number; price: number }[] = [];
+    const candidates: { m: MachineStatus; used: number; size: number; price: number }[] = [];
     const freeIn = new Map<string, number>();
     const spot = { free: 0, used: 0 };
-    for (const m of rooms.values()) {
+    for (const m of machinesByName.values()) {
       const type = types.get(m.type);
       const size = type?.gpus ?? 0;
       if (m.evictionNotice || m.unhealthy || isSuspect(m, this.clusterConfig)) continue;
--- a/packages/core/test/assignment.test.ts
+++ b/packages/core/test/assignment.test.ts
@@ -4,12 +4,12 @@
 import {
   assignTasks,
   JobTable,
-  type MachineRoom,
+  type MachineStatus,
   NO_RESOURCES,
   type PartitionStatus,
   TrialSchedule,
 } from '../src/index';
-import { CLUSTER_CONFIG, roomOf, specOf } from './fixtures';
+import { CLUSTER_CONFIG, machineStatusOf, specOf } from './fixtures';
 
 const ZONES = ['a', 'b', 'c'];
 const team = { name: 'red', cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 0 };
@@ -27,16 +27,16 @@
   zones: ZONES,
 };
 
-function roomIn(name: string, zone: string, freeGpus: number): MachineRoom {
-  return roomOf(name, { zone, free: { cpus: 48, gpus: freeGpus, memoryGb: 192 } });
+function machineStatusIn(name: string, zone: string, freeGpus: number): MachineStatus {
+  return machineStatusOf(name, { zone, free: { cpus: 48, gpus: freeGpus, memoryGb: 192 } });
 }
 
 /** An assignment of so many waiting jobs among so many machines; how often a machine was looked at. */
 function looks(machines: number, jobs: number, freeGpus: number): { looks: number; assigned: number; unmet: number } {
   let n = 0;
-  const rooms = Array.from({ length: machines }, (_, i): MachineRoom => {
-    const room = roomIn(`m-${i}`, ZONES[i % 3]!, freeGpus);
-    return new Proxy(room, {
+  const machineStatuses = Array.from({ length: machines }, (_, i): MachineStatus => {
+    const machine = machineStatusIn(`m-${i}`, ZONES[i % 3]!, freeGpus);
+    return new Proxy(machine, {
       get(target, property) {
         if (property === 'zone') n++;
         return Reflect.get(target, property) as unknown;
@@ -53,7 +53,7 @@
     partitionId: 0,
     term: 1,
     revision: 0,
-    machines: rooms,
+    machines: machineStatuses,
     missing: NO_RESOURCES,
     running: [],
   };
@@ -106,7 +106,14 @@
       trials: new TrialSchedule(clusterConfig),
       jobs: table.live.values(),
       statuses: [
-        { partitionId: 1, term: 1, revision: 0, machines: [roomIn('m-1', 'b', 8)], missing: NO_RESOURCES, running: [] },
+        {
+          partitionId: 1,
+          term: 1,
+          revision: 0,
+          machines: [machineStatusIn('m-1', 'b', 8)],
+          missing: NO_RESOURCES,
+          running: [],
+        },
       ],
       recent: [],
       clusterConfig,
--- a/packages/core/test/claims.test.ts
+++ b/packages/core/test/claims.test.ts
@@ -387,12 +387,12 @@
   claimTable.syncJob(spec.id, 200);
   const machine = claimTable.machines.get('m-1')!;
   assert.deepEqual([...plannedByRank(claimTable)], []);
-  const { rooms } = pack(claimTable, 300);
+  const { freeByMachine } = pack(claimTable, 300);
   const rank = PRIORITIES.indexOf('high');
   const planned = plannedByRank(claimTable).get(machine)!;
   assert.deepEqual(
     planned.map(({ gpus }) => gpus),
     PRIORITIES.map((_, i) => (i === rank ? 4 : 0)),
   );
-  assert.equal(rooms.get(machine)!.gpus + planned[rank]!.gpus, type.gpus);
+  assert.equal(freeByMachine.get(machine)!.gpus + planned[rank]!.gpus, type.gpus);
 });
--- a/packages/core/test/fixtures.ts
+++ b/packages/core/test/fixtures.ts
@@ -1,5 +1,5 @@
 import type { JobSpec } from '@gingerlock/wire';
-import { type ClusterConfig, type MachineRoom, NO_RESOURCES } from '../src/index';
+import { type ClusterConfig, type MachineStatus, NO_RESOURCES } from '../src/index';
 
 /** Settings of a small deployment; a test says what it needs otherwise. */
 export const CLUSTER_CONFIG: ClusterConfig = {
@@ -14,7 +14,7 @@
 };
 
 /** A machine that is free, as its owner tells of it. */
-export function roomOf(name: string, over: Partial<MachineRoom> = {}): MachineRoom {
+export function machineStatusOf(name: string, over: Partial<MachineStatus> = {}): MachineStatus {
   return {
     name,
     type: 'box',
--- a/packages/core/test/fleet.test.ts
+++ b/packages/core/test/fleet.test.ts
@@ -5,13 +5,13 @@
   Fleet,
   type FleetPlan,
   Job,
-  type MachineRoom,
+  type MachineStatus,
   machineUse,
   NO_RESOURCES,
   Partitioner,
   type PartitionStatus,
 } from '../src/index';
-import { CLUSTER_CONFIG, roomOf, specOf } from './fixtures';
+import { CLUSTER_CONFIG, machineStatusOf, specOf } from './fixtures';
 
 const clusterConfig = { ...CLUSTER_CONFIG, controllers: 2, zones: ['a', 'b'] };
 const type: MachineType = {
@@ -34,9 +34,9 @@
 }
 
 /** A machine on which replicas hold so many accelerators. */
-function used(name: string, gpus: number, over: Partial<MachineRoom> = {}): MachineRoom {
+function used(name: string, gpus: number, over: Partial<MachineStatus> = {}): MachineStatus {
   const taken = { cpus: gpus * 2, gpus, memoryGb: gpus * 8 };
-  return roomOf(name, {
+  return machineStatusOf(name, {
     free: { cpus: 8 - taken.cpus, gpus: 4 - gpus, memoryGb: 32 - taken.memoryGb },
     byRank: [taken, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES],
     ...over,
@@ -45,7 +45,7 @@
 
 const PARTITIONER = new Partitioner(2);
 
-function statuses(term: number, machines: readonly MachineRoom[]): PartitionStatus[] {
+function statuses(term: number, machines: readonly MachineStatus[]): PartitionStatus[] {
   return [0, 1].map((partitionId) => ({
     partitionId,
     term,
@@ -59,20 +59,20 @@
 test('a new leader gives machines time to be heard before it returns silent ones', () => {
   const fleet = new Fleet(clusterConfig, 1, limits);
   fleet.listed([listed('m-1', 500), listed('m-2', 500)], 0);
-  const plan = (now: number, machines: readonly MachineRoom[], term: number): readonly string[] =>
+  const plan = (now: number, machines: readonly MachineStatus[], term: number): readonly string[] =>
     fleet.plan({ now, types, statuses: statuses(term, machines), unmet: [], partitioner: PARTITIONER }).giveBack;
   assert.deepEqual(plan(100, [], 1), []);
-  assert.deepEqual(plan(10_000, [roomOf('m-1')], 1), []);
+  assert.deepEqual(plan(10_000, [machineStatusOf('m-1')], 1), []);
   // Its part has a new owner: that one, too, is given the time.
-  assert.deepEqual(plan(13_000, [roomOf('m-1')], 2), []);
-  assert.deepEqual(plan(20_000, [roomOf('m-1')], 2), []);
-  assert.deepEqual(plan(26_000, [roomOf('m-1')], 2), ['m-2']);
+  assert.deepEqual(plan(13_000, [machineStatusOf('m-1')], 2), []);
+  assert.deepEqual(plan(20_000, [machineStatusOf('m-1')], 2), []);
+  assert.deepEqual(plan(26_000, [machineStatusOf('m-1')], 2), ['m-2']);
 });
 
 test('machines that boot at once are kept until work can be assigned to them', () => {
   const fleet = new Fleet(clusterConfig, 1, limits);
   const quick = new Map([['box', { ...type, bootS: 0.1 }]]);
-  const empty = [roomOf('m-1', { empty: true, emptyMs: 1500 }), used('m-2', 3), used('m-3', 3)];
+  const empty = [machineStatusOf('m-1', { empty: true, emptyMs: 1500 }), used('m-2', 3), used('m-3', 3)];
   fleet.listed([listed('m-1', 5), listed('m-2', 5), listed('m-3', 5)], 0);
   const plan = fleet.plan({
     now: 100,
@@ -91,7 +91,7 @@
     ['m-1', 'm-2', 'm-3'].map((n) => listed(n, 100)),
     0,
   );
-  const idle = roomOf('m-1', { empty: true, emptyMs: 60_000 });
+  const idle = machineStatusOf('m-1', { empty: true, emptyMs: 60_000 });
   const first = fleet.plan({
     now: 100,
     types,
@@ -113,7 +113,7 @@
 });
 
 /** A machine that holds nothing and for which waiting batch work is planned. */
-function planned(name: string, over: Partial<MachineRoom> = {}): MachineRoom {
+function planned(name: string, over: Partial<MachineStatus> = {}): MachineStatus {
   const taken = { cpus: 2, gpus: 1, memoryGb: 8 };
   return used(name, 1, {
     byRank: [NO_RESOURCES, NO_RESOURCES, taken, NO_RESOURCES],
@@ -127,14 +127,14 @@
 test('a machine for which waiting tasks are planned is neither given back nor emptied', () => {
   assert.equal(machineUse(planned('m-1')), 'planned');
   assert.equal(machineUse(planned('m-1', { empty: false })), 'in use');
-  assert.equal(machineUse(roomOf('m-1', { empty: true })), 'idle');
+  assert.equal(machineUse(machineStatusOf('m-1', { empty: true })), 'idle');
   const fleet = new Fleet(clusterConfig, 1, limits);
-  const rooms = [planned('m-1'), planned('m-2', { spot: true }), roomOf('m-3'), roomOf('m-4')];
+  const machines = [planned('m-1'), planned('m-2', { spot: true }), machineStatusOf('m-3'), machineStatusOf('m-4')];
   fleet.listed(
-    rooms.map((m) => listed(m.name, 100)),
+    machines.map((m) => listed(m.name, 100)),
     0,
   );
-  const plan = fleet.plan({ now: 100, types, statuses: statuses(1, rooms), unmet: [], partitioner: PARTITIONER });
+  const plan = fleet.plan({ now: 100, types, statuses: statuses(1, machines), unmet: [], partitioner: PARTITIONER });
   assert.deepEqual(
     plan.drain.filter((name) => name === 'm-1' || name === 'm-2'),
     [],
@@ -149,11 +149,11 @@
     ['m-1', 'm-2', 'm-3'].map((n) => listed(n, 100)),
     0,
   );
-  const idle = roomOf('m-1', { empty: true, emptyMs: 60_000 });
+  const idle = machineStatusOf('m-1', { empty: true, emptyMs: 60_000 });
   const drained = { ...idle, draining: true, takesWork: false };
   const job = new Job('j-1');
   job.spec = specOf('j-1');
-  const planWith = (now: number, machine: MachineRoom, count: number): FleetPlan =>
+  const planWith = (now: number, machine: MachineStatus, count: number): FleetPlan =>
     fleet.plan({
       now,
       types,
@@ -194,9 +194,9 @@
     ...['m-3', 'm-4'].map((n) => ({ ...listed(n, 500), zone: 'b' })),
   ];
   const wanted = { headroom: 1, maxOrdinaryMachines: Infinity, maxSpotMachines: Infinity };
-  const zones = (fleet: Fleet, now: number, rooms: readonly MachineRoom[]): string[] =>
+  const zones = (fleet: Fleet, now: number, machines: readonly MachineStatus[]): string[] =>
     fleet
-      .plan({ now, types, statuses: statuses(1, rooms), unmet: [], partitioner: PARTITIONER })
+      .plan({ now, types, statuses: statuses(1, machines), unmet: [], partitioner: PARTITIONER })
       .rent.map((r) => r.zone);
 
   const old = new Fleet(clusterConfig, 1, wanted);
@@ -234,13 +234,13 @@
 });
 
 test('a machine that fell silent, or is not heard by a new owner, has its room rented before its lease is over', () => {
-  const plan = (rooms: readonly MachineRoom[], missing = NO_RESOURCES): number => {
+  const plan = (machines: readonly MachineStatus[], missing = NO_RESOURCES): number => {
     const fleet = new Fleet(clusterConfig, 1, limits);
     fleet.listed(
-      rooms.map((m) => listed(m.name, 500)),
+      machines.map((m) => listed(m.name, 500)),
       0,
     );
-    const heard = statuses(1, rooms).map((s, i) => (i === 0 ? { ...s, missing } : s));
+    const heard = statuses(1, machines).map((s, i) => (i === 0 ? { ...s, missing } : s));
     return fleet
       .plan({ now: 100, types, statuses: heard, unmet: [], partitioner: PARTITIONER })
       .rent.reduce((n, r) => n + r.count, 0);
@@ -249,18 +249,18 @@
   assert.equal(plan(well), 0);
   assert.equal(plan([...well, used('m-4', 4, { silentMs: 4000 })]), 1);
   // An empty one is not missed, and silence from most machines is trouble of ours.
-  assert.equal(plan([...well, roomOf('m-4', { silentMs: 4000, empty: true })]), 0);
+  assert.equal(plan([...well, machineStatusOf('m-4', { silentMs: 4000, empty: true })]), 0);
   assert.equal(plan([well[0]!, ...['m-2', 'm-3', 'm-4'].map((n) => used(n, 4, { silentMs: 4000 }))]), 0);
   const missing = { cpus: 12, gpus: 6, memoryGb: 48 };
   assert.equal(plan(well, missing), 2);
   // What is free already need not be rented.
-  assert.equal(plan([...well, roomOf('m-4')], missing), 1);
+  assert.equal(plan([...well, machineStatusOf('m-4')], missing), 1);
 });
 
 test('a nearly empty machine is emptied only while what is there fits elsewhere and room enough is left', () => {
-  const plan = (rooms: readonly MachineRoom[]): readonly string[] => {
+  const plan = (machines: readonly MachineStatus[]): readonly string[] => {
     const fleet = new Fleet(clusterConfig, 1, { ...limits, headroom: 0.1 });
-    return fleet.plan({ now: 100, types, statuses: statuses(1, rooms), unmet: [], partitioner: PARTITIONER }).drain;
+    return fleet.plan({ now: 100, types, statuses: statuses(1, machines), unmet: [], partitioner: PARTITIONER }).drain;
   };
   assert.deepEqual(plan([used('m-1', 1), used('m-2', 2), used('m-3', 2), used('m-4', 3)]), ['m-1']);
   assert.deepEqual(plan([used('m-1', 1), used('m-2', 4), used('m-3', 3)]), [], 'no room to spare');
@@ -306,14 +306,14 @@
     ['red', { name: 'red', cpus: 0, gpus: 4, cpusMax: 0, gpusMax: 0 }],
     ['guests', { name: 'guests', cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 0 }],
   ]);
-  const rooms = [used('m-1', 1), used('m-2', 2), used('m-3', 2), used('m-4', 3)];
+  const machines = [used('m-1', 1), used('m-2', 2), used('m-3', 2), used('m-4', 3)];
   const plan = (team: string, spot: boolean): FleetPlan => {
     const fleet = new Fleet({ ...clusterConfig, teams }, 1, { ...limits, headroom: 0.1 });
     for (const zone of type.zones) fleet.refused({ request: 'r', type: 'box', zone, spot: true, count: 1 }, 0);
     const job = new Job('j-1');
     job.spec = specOf('j-1', { team, spot, gpus: 4 });
     const unmet = [{ job, count: 2, zones: null }];
-    return fleet.plan({ now: 100, types, statuses: statuses(1, rooms), unmet, partitioner: PARTITIONER });
+    return fleet.plan({ now: 100, types, statuses: statuses(1, machines), unmet, partitioner: PARTITIONER });
   };
   const rented = ({ rent }: FleetPlan): number => rent.reduce((n, r) => n + r.count, 0);
   assert.equal(rented(plan('red', true)), 2);
@@ -327,19 +327,20 @@
 test('of machines whose room can be spared the dearest for each GPU go first, empty or nearly so', () => {
   const dear = { ...type, name: 'dear', gpus: 2, cpus: 4, memoryGb: 16, price: 3, spotPrice: 0.8 };
   const two = new Map([type, dear].map((t) => [t.name, t]));
-  const drained = (rooms: readonly MachineRoom[], headroom: number): readonly string[] => {
+  const drained = (machines: readonly MachineStatus[], headroom: number): readonly string[] => {
     const fleet = new Fleet(clusterConfig, 1, { ...limits, headroom });
-    return fleet.plan({ now: 100, types: two, statuses: statuses(1, rooms), unmet: [], partitioner: PARTITIONER })
+    return fleet.plan({ now: 100, types: two, statuses: statuses(1, machines), unmet: [], partitioner: PARTITIONER })
       .drain;
   };
   const half = { cpus: 4, gpus: 2, memoryGb: 16 };
-  const empty = (name: string, over: Partial<MachineRoom>): MachineRoom => roomOf(name, { empty: true, ...over });
+  const empty = (name: string, over: Partial<MachineStatus>): MachineStatus =>
+    machineStatusOf(name, { empty: true, ...over });
   const busy = used('m-1', 4);
   const box = empty('m-2', { emptyMs: 90_000 });
   const dearBox = empty('m-3', { type: 'dear', free: half, emptyMs: 60_000 });
   assert.deepEqual(drained([busy, box, dearBox], 0.5), ['m-3']);
   const one = { cpus: 2, gpus: 1, memoryGb: 8 };
-  const nearlyEmpty = roomOf('m-6', {
+  const nearlyEmpty = machineStatusOf('m-6', {
     type: 'dear',
     free: one,
     byRank: [one, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES],
--- a/packages/core/test/rental-choice.test.ts
+++ b/packages/core/test/rental-choice.test.ts
@@ -305,12 +305,12 @@
             ),
             ...r,
           }));
-        const room = places.reduce((sum, { fit, count }) => sum + fit * count, 0);
+        const remaining = places.reduce((sum, { fit, count }) => sum + fit * count, 0);
         const couldServe = open.some((o) => !o.spot && countFitting(entry.job.spec, o.type) > 0);
-        assert.ok(couldServe ? room >= tasks : room === 0);
+        assert.ok(couldServe ? remaining >= tasks : remaining === 0);
         for (const { fit, spot } of places) {
           assert.equal(spot, false);
-          assert.ok(room - fit < tasks, 'a machine that nobody needs');
+          assert.ok(remaining - fit < tasks, 'a machine that nobody needs');
         }
       },
     ),
--- a/packages/core/test/stranded-tasks.test.ts
+++ b/packages/core/test/stranded-tasks.test.ts
@@ -3,14 +3,14 @@
 import type { MachineType, Round } from '@gingerlock/wire';
 import {
   Job,
-  type MachineRoom,
+  type MachineStatus,
   NO_RESOURCES,
   Partitioner,
   type PartitionStatus,
   strandedTasks,
   type Unmet,
 } from '../src/index';
-import { roomOf, specOf } from './fixtures';
+import { machineStatusOf, specOf } from './fixtures';
 
 const HOMES = ['north', 'south'];
 const box: MachineType = {
@@ -40,7 +40,7 @@
 
 function partitionStatusOf(
   partitionId: number,
-  machines: readonly MachineRoom[],
+  machines: readonly MachineStatus[],
   over: Partial<PartitionStatus> = {},
 ): PartitionStatus {
   return { partitionId, term: 1, revision: 9, machines, missing: NO_RESOURCES, running: [], ...over };
@@ -71,7 +71,7 @@
 
 test('no machine is asked for where one can take the tasks in time, or where nothing waits', () => {
   const job = jobWith([round(0, 0)]);
-  const full = roomOf('m-1', { zone: 'north', free: NO_RESOURCES });
+  const full = machineStatusOf('m-1', { zone: 'north', free: NO_RESOURCES });
   assert.deepEqual(stranded(job, [partitionStatusOf(0, [full])]), []);
   assert.deepEqual(stranded(job, [partitionStatusOf(0, [{ ...full, takesWork: false }])]), [
     { count: 2, zones: ['north', 'west'] },
--- a/packages/core/test/trials.test.ts
+++ b/packages/core/test/trials.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { jobRecord } from '@gingerlock/wire';
 import { assignTasks, isTried, JobTable, NO_RESOURCES, type PartitionStatus, TrialSchedule } from '../src/index';
-import { CLUSTER_CONFIG, roomOf, specOf } from './fixtures';
+import { CLUSTER_CONFIG, machineStatusOf, specOf } from './fixtures';
 
 const team = { name: 'red', cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 0 };
 const clusterConfig = { ...CLUSTER_CONFIG, teams: new Map([[team.name, team]]) };
@@ -28,7 +28,9 @@
     partitionId,
     term: 1,
     revision: 0,
-    machines: [roomOf(`m-${partitionId}`, { free, byRank: [NO_RESOURCES, NO_RESOURCES, NO_RESOURCES, byRank] })],
+    machines: [
+      machineStatusOf(`m-${partitionId}`, { free, byRank: [NO_RESOURCES, NO_RESOURCES, NO_RESOURCES, byRank] }),
+    ],
     missing: NO_RESOURCES,
     running: [],
   }));
@@ -73,8 +75,8 @@
 });
 
 test('a trial waits for free room: it stops nobody, and nothing is asked for it', () => {
-  const room = { cpus: 8, gpus: 4, memoryGb: 32 };
-  const { assign } = failingJob(room, NO_RESOURCES);
+  const available = { cpus: 8, gpus: 4, memoryGb: 32 };
+  const { assign } = failingJob(available, NO_RESOURCES);
   assert.deepEqual([assign(0).assignments.length, assign(0).unmet.length], [0, 0]);
 });
 
--- a/packages/daemon/src/combined-reservations.ts
+++ b/packages/daemon/src/combined-reservations.ts
@@ -4,17 +4,17 @@
 export class CombinedReservations implements Reservations {
   constructor(readonly all: readonly Reservations[]) {}
 
-  keptOn(machine: string): Resources {
+  reservedOn(machine: string): Resources {
     // Where nothing is kept, granting does not look at tasks one by one.
-    const kept = this.all
-      .map((reservations) => reservations.keptOn(machine))
+    const reserved = this.all
+      .map((reservations) => reservations.reservedOn(machine))
       .filter((resources) => resources !== NO_RESOURCES);
-    return kept.length === 0 ? NO_RESOURCES : kept.reduce((sum, resources) => addResources(sum, resources));
+    return reserved.length === 0 ? NO_RESOURCES : reserved.reduce((sum, resources) => addResources(sum, resources));
   }
 
-  machineFor(task: string): string | null {
+  reservedMachineFor(task: string): string | null {
     for (const reservations of this.all) {
-      const machine = reservations.machineFor(task);
+      const machine = reservations.reservedMachineFor(task);
       if (machine !== null) return machine;
     }
     return null;
--- a/packages/daemon/src/controller.ts
+++ b/packages/daemon/src/controller.ts
@@ -356,12 +356,12 @@
 
   #missedByOwner(partitionId: number, machine: string): boolean {
     const seen = this.#statuses.of(partitionId);
-    const room = seen?.status.machines.find((m) => m.name === machine);
-    if (room === undefined) return false;
+    const machineStatus = seen?.status.machines.find((m) => m.name === machine);
+    if (machineStatus === undefined) return false;
     const { heartbeatIntervalMs, workerLeaseMs } = this.settings.clusterConfig;
     return (
-      room.silentMs > heartbeatIntervalMs * 2 &&
-      room.silentMs < workerLeaseMs &&
+      machineStatus.silentMs > heartbeatIntervalMs * 2 &&
+      machineStatus.silentMs < workerLeaseMs &&
       this.clock.now() - seen!.at < heartbeatIntervalMs
     );
   }
--- a/packages/daemon/src/fragments.ts
+++ b/packages/daemon/src/fragments.ts
@@ -6,15 +6,15 @@
 /** Splits a list into runs whose estimated sizes stay within the limit; an item that is larger stands alone. */
 export function splitBySize<T>(items: readonly T[], sizeOf: (item: T) => number, limit: number): T[][] {
   const runs: T[][] = [];
-  let room = 0;
+  let remaining = 0;
   for (const item of items) {
     const size = sizeOf(item);
-    if (runs.length === 0 || size > room) {
+    if (runs.length === 0 || size > remaining) {
       runs.push([]);
-      room = limit;
+      remaining = limit;
     }
     runs.at(-1)!.push(item);
-    room -= size;
+    remaining -= size;
   }
   return runs;
 }
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -4,7 +4,7 @@
 export { SILENT, type Log } from './log';
 export { type ControllerLimits, Shared } from './shared';
 export { StatusReassembler, statusMessages } from './status-fragments';
-export { TransactionRoom } from './transaction-room';
+export { TransactionSizeLimit } from './transaction-size-limit';
 export { LeaderBorrowing } from './leader-borrowing';
 export { PartitionOwner } from './owner';
 export { OwnerReclaims } from './owner-reclaims';
--- a/packages/daemon/src/job-batch.ts
+++ b/packages/daemon/src/job-batch.ts
@@ -1,7 +1,7 @@
 // Changes of job records that the leader writes together.
 import { assignedUnfinished, type Job, joinRounds } from '@gingerlock/core';
 import { type Change, type Condition, jobRecord, KEYS, type Round } from '@gingerlock/wire';
-import type { TransactionRoom } from './transaction-room';
+import type { TransactionSizeLimit } from './transaction-size-limit';
 
 /** The record of a job with rounds added to it. */
 export function recordWith(job: Job, failing: boolean, added: readonly Round[]): unknown {
@@ -35,13 +35,13 @@
 
   constructor(
     entitlement: Condition,
-    readonly room: TransactionRoom,
+    readonly sizeLimit: TransactionSizeLimit,
   ) {
     this.#add([entitlement], []);
   }
 
   #add(conditions: readonly Condition[], changes: readonly Change[]): boolean {
-    if (!this.room.add(conditions, changes)) return false;
+    if (!this.sizeLimit.add(conditions, changes)) return false;
     this.conditions.push(...conditions);
     this.changes.push(...changes);
     return true;
--- a/packages/daemon/src/leader-groups.ts
+++ b/packages/daemon/src/leader-groups.ts
@@ -13,7 +13,7 @@
 import {
   chooseMachines,
   type GroupContext,
-  holdsPartialRoom,
+  holdsPartialCapacity,
   mayPlace,
   nextRecord,
   type ReplicaGroupSettings,
@@ -56,7 +56,7 @@
   /** The longest that any task may take to save. */
   #longestSaveS = 0;
   #lines: PendingLine[] = [];
-  #partialRoom: ReadonlySet<string> = new Set();
+  #partlyFittingMachines: ReadonlySet<string> = new Set();
 
   constructor(
     readonly shared: Shared,
@@ -88,16 +88,16 @@
     if (asked !== null) return asked;
     if (known !== undefined && !this.fleet.isFullFor(job.spec, known)) return known;
     const { zones } = this.shared.clusterConfig;
-    const withRoom = zones.filter((zone) => !this.fleet.isFullFor(job.spec, zone));
-    const among = withRoom.length > 0 ? withRoom : zones;
+    const withCapacity = zones.filter((zone) => !this.fleet.isFullFor(job.spec, zone));
+    const among = withCapacity.length > 0 ? withCapacity : zones;
     const best = among.reduce((a, b) => (chooseIn([b]).missing < chooseIn([a]).missing ? b : a));
     this.#wantedZones.set(job.id, best);
     return best;
   }
 
-  holdsPartialRoom(job: Job): boolean {
+  holdsPartialCapacity(job: Job): boolean {
     const since = this.#waiting.get(job.id)?.since;
-    return since !== undefined && holdsPartialRoom(this.shared.clock.now() - since, this.shared.store.types);
+    return since !== undefined && holdsPartialCapacity(this.shared.clock.now() - since, this.shared.store.types);
   }
 
   #stored(job: Job): Versioned<GroupRecord> | null {
@@ -135,7 +135,7 @@
    * more: they are not emptied, nor given back while idle.
    */
   pinnedMachines(): Set<string> {
-    const pinned = new Set([...this.#partialRoom, ...this.#inFlight]);
+    const pinned = new Set([...this.#partlyFittingMachines, ...this.#inFlight]);
     for (const { record } of this.shared.store.groups.values()) {
       for (const { machine } of record.members) if (machine !== record.avoid) pinned.add(machine);
     }
@@ -256,8 +256,8 @@
   }
 
   /** Notes since when groups wait, and says from time to time of each what it lacks. */
-  noteUnplaced({ unmet, partialRoom }: AssignmentResult, now: number): void {
-    this.#partialRoom = partialRoom;
+  noteUnplaced({ unmet, partlyFittingMachines }: AssignmentResult, now: number): void {
+    this.#partlyFittingMachines = partlyFittingMachines;
     const before = this.#waiting;
     this.#waiting = new Map();
     for (const entry of unmet) {
--- a/packages/daemon/src/leader.ts
+++ b/packages/daemon/src/leader.ts
@@ -132,7 +132,7 @@
     const now = shared.clock.now();
     const current = this.#current(now);
     this.#reviewTrials(current, now);
-    const batch = new JobBatch(this.tenure.condition, shared.transactionRoom());
+    const batch = new JobBatch(this.tenure.condition, shared.transactionSizeLimit());
     this.groups?.begin();
     this.#close(batch);
     this.groups?.addChanges(batch);
--- a/packages/daemon/src/owner-writes.ts
+++ b/packages/daemon/src/owner-writes.ts
@@ -194,11 +194,11 @@
 
   /** As many of the writes, from the first on, as one transaction may hold. */
   #fittingWrites(writes: readonly Write[]): Write[] {
-    const room = this.shared.transactionRoom();
-    room.add([this.tenure.condition], []);
+    const sizeLimit = this.shared.transactionSizeLimit();
+    sizeLimit.add([this.tenure.condition], []);
     const fitting: Write[] = [];
     for (const write of writes) {
-      if (!room.add(write.conditions, [write.change])) break;
+      if (!sizeLimit.add(write.conditions, [write.change])) break;
       fitting.push(write);
     }
     return fitting;
--- a/packages/daemon/src/owner.ts
+++ b/packages/daemon/src/owner.ts
@@ -3,7 +3,7 @@
   ClaimTable,
   maxGrantContactAgeMs,
   type Machine,
-  type MachineRoom,
+  type MachineStatus,
   NO_RESERVATIONS,
   pack,
   type PartitionStatus,
@@ -37,7 +37,7 @@
   readonly #messages: WorkerMessages;
   readonly #writes: OwnerWrites;
   #scannedAt = 0;
-  #rooms: ReadonlyMap<Machine, Resources> = new Map();
+  #freeByMachine: ReadonlyMap<Machine, Resources> = new Map();
   #packedAt = -Infinity;
   #packedChange = -1;
   /** Machines of the membership that are to be shown our term, how many at each tick, and when the last round of that began. */
@@ -45,14 +45,14 @@
   #callsPerTick = LEAST_CALLS_PER_TICK;
   #calledAt = -Infinity;
   /** By machine: what an earlier owner told of it. Good for the first call only. */
-  #before: ReadonlyMap<string, MachineRoom>;
+  #before: ReadonlyMap<string, MachineStatus>;
 
   constructor(
     readonly shared: Shared,
     readonly partitionId: number,
     /** Fixed for the life of this object: all that it writes and sends rests on the term and version of this one tenure. */
     readonly tenure: Tenure,
-    before: ReadonlyMap<string, MachineRoom>,
+    before: ReadonlyMap<string, MachineStatus>,
   ) {
     const { store, clusterConfig, clock, log } = shared;
     this.#before = before;
@@ -128,11 +128,11 @@
     ) {
       this.#packedChange = this.claimTable.changes;
       this.#packedAt = now;
-      const { rooms, stuck, stopped } = pack(this.claimTable, now);
-      this.#rooms = rooms;
+      const { freeByMachine, stuck, stopped } = pack(this.claimTable, now);
+      this.#freeByMachine = freeByMachine;
       this.#writes.stuck = stuck;
       if (this.mayGrant(now))
-        stopped.push(...vacate(this.claimTable, rooms, () => this.shared.spareCapacity(this.partitionId), now));
+        stopped.push(...vacate(this.claimTable, freeByMachine, () => this.shared.spareCapacity(this.partitionId), now));
       this.#pushAll(stopped);
       if (this.mayGrant(now))
         for (const machine of toCall(this.claimTable, now)) this.#messages.callForReport(machine, now);
@@ -176,6 +176,6 @@
   }
 
   status(now: number): PartitionStatus {
-    return partitionStatusOf(this.claimTable, this.#rooms, this.shared.replica.revision, now);
+    return partitionStatusOf(this.claimTable, this.#freeByMachine, this.shared.replica.revision, now);
   }
 }
--- a/packages/daemon/src/partition-status.ts
+++ b/packages/daemon/src/partition-status.ts
@@ -3,7 +3,7 @@
   type Resources,
   type ClaimTable,
   type Machine,
-  type MachineRoom,
+  type MachineStatus,
   NO_RESOURCES,
   plannedByRank,
   addResources,
@@ -18,13 +18,19 @@
 /** `rooms`: what the last packing left of each machine that takes work. */
 export function partitionStatusOf(
   claimTable: ClaimTable,
-  rooms: ReadonlyMap<Machine, Resources>,
+  freeByMachine: ReadonlyMap<Machine, Resources>,
   revision: number,
   now: number,
 ): PartitionStatus {
   const planned = plannedByRank(claimTable);
   const machines = [...claimTable.machines.values()].map((machine) =>
-    roomOf(claimTable, machine, rooms.get(machine), planned.get(machine) ?? PRIORITIES.map(() => NO_RESOURCES), now),
+    machineStatusOf(
+      claimTable,
+      machine,
+      freeByMachine.get(machine),
+      planned.get(machine) ?? PRIORITIES.map(() => NO_RESOURCES),
+      now,
+    ),
   );
   return {
     partitionId: claimTable.partitionId,
@@ -36,13 +42,13 @@
   };
 }
 
-function roomOf(
+function machineStatusOf(
   claimTable: ClaimTable,
   m: Machine,
-  room: Resources | undefined,
+  available: Resources | undefined,
   planned: readonly Resources[],
   now: number,
-): MachineRoom {
+): MachineStatus {
   const byRank = [...planned];
   for (const slot of m.claims.values()) {
     const rank = toldRank(slot.job);
@@ -54,10 +60,10 @@
     zone: m.zone,
     spot: m.spot,
     session: m.session,
-    free: room ?? NO_RESOURCES,
+    free: available ?? NO_RESOURCES,
     byRank,
     images: m.cache.images(),
-    takesWork: claimTable.takesWork(m, now) && room !== undefined,
+    takesWork: claimTable.takesWork(m, now) && available !== undefined,
     draining: m.draining,
     evictionNotice: m.evictionNotice,
     unhealthy: claimTable.isUnhealthy(m),
--- a/packages/daemon/src/shared.ts
+++ b/packages/daemon/src/shared.ts
@@ -4,7 +4,7 @@
 import type { Log } from './log';
 import type { Settings } from './settings';
 import type { Store } from './store';
-import { TransactionRoom } from './transaction-room';
+import { TransactionSizeLimit } from './transaction-size-limit';
 
 /** DESIGN's recovery scan: every 5 seconds. */
 const SCAN_MS = 5000;
@@ -76,8 +76,8 @@
   }
 
   /** Counts what a transaction holds against what the state service takes at once. */
-  transactionRoom(): TransactionRoom {
-    return new TransactionRoom(this.settings.txnOps);
+  transactionSizeLimit(): TransactionSizeLimit {
+    return new TransactionSizeLimit(this.settings.txnOps);
   }
 
   /** The replica is complete and was read lately. */
--- a/packages/daemon/src/status-fragments.ts
+++ b/packages/daemon/src/status-fragments.ts
@@ -1,6 +1,6 @@
 // Summaries of partitions of any size as messages that each fit a frame of the link, and back.
-import type { MachineRoom, PartitionStatus } from '@gingerlock/core';
-import type { PeerMachineRoom, PeerMessage, PeerMessages, PeerPartitionStatus } from '@gingerlock/peer';
+import type { MachineStatus, PartitionStatus } from '@gingerlock/core';
+import type { PeerMachineStatus, PeerMessage, PeerMessages, PeerPartitionStatus } from '@gingerlock/peer';
 import { FRAME_SHARE, FragmentReassembler, splitBySize } from './fragments';
 
 /** Bytes of the numbers and flags of one machine, rounded up: eight for each number, and lengths before texts and lists. */
@@ -17,7 +17,7 @@
 
 type Running = PeerPartitionStatus['running'][number];
 
-function machineBytes(machine: MachineRoom): number {
+function machineBytes(machine: MachineStatus): number {
   const texts = [machine.name, machine.type, machine.zone, ...machine.images];
   const textBytes = texts.reduce((sum, text) => sum + Buffer.byteLength(text) + LENGTH_BYTES, 0);
   return MACHINE_BYTES + textBytes + RESOURCES_BYTES * (machine.byRank.length + 1);
@@ -36,7 +36,7 @@
 ): PeerMessage[] {
   const { partitionId, term, revision, missing } = status;
   const head = { owner, partitionId, term, revision, missing };
-  const machines: PeerMachineRoom[] = status.machines.map((machine) => ({
+  const machines: PeerMachineStatus[] = status.machines.map((machine) => ({
     ...machine,
     byRank: [...machine.byRank],
     images: [...machine.images],
--- a/packages/daemon/src/transaction-room.ts
+++ b/packages/daemon/src/transaction-size-limit.ts
@@ -24,7 +24,7 @@
  * Twelve records that each are as large as a value may be do not fit one transaction: it was refused for good, and tried again
  * for ever.
  */
-export class TransactionRoom {
+export class TransactionSizeLimit {
   #changes = 0;
   #bytes = FRAME_BYTES;
 
--- a/packages/daemon/src/users.ts
+++ b/packages/daemon/src/users.ts
@@ -96,8 +96,8 @@
     if (wait > 2000) return refusal(429, 'too many requests', Math.ceil(wait / 1000));
     const key = KEYS.job(id);
     const value = jobRecord.write(this.#newRecord(spec));
-    const room = this.shared.settings.valueBytes * (1 - ROUNDS_SHARE);
-    if (Buffer.byteLength(JSON.stringify(value)) > room) {
+    const remaining = this.shared.settings.valueBytes * (1 - ROUNDS_SHARE);
+    if (Buffer.byteLength(JSON.stringify(value)) > remaining) {
       const known = await this.poll(id);
       return known.status === 404 ? refusal(422, 'the description is too long, or too many jobs to wait for') : known;
     }
--- a/packages/daemon/test/status-fragments.test.ts
+++ b/packages/daemon/test/status-fragments.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { type MachineRoom, NO_RESOURCES, type PartitionStatus } from '@gingerlock/core';
+import { type MachineStatus, NO_RESOURCES, type PartitionStatus } from '@gingerlock/core';
 import { encodePeer, type PeerMessage, type PeerPartitionStatus } from '@gingerlock/peer';
 import { StatusReassembler, statusMessages } from '../src/status-fragments';
 
@@ -13,7 +13,7 @@
   images: fc.array(fc.string({ maxLength: 30 }), { maxLength: 9 }),
 });
 
-function roomOf({ name, images }: { name: string; images: string[] }): MachineRoom {
+function machineStatusOf({ name, images }: { name: string; images: string[] }): MachineStatus {
   return {
     name,
     type: 'box',
@@ -42,7 +42,7 @@
     partitionId: 3,
     term: 9,
     revision: 11,
-    machines: machines.map(roomOf),
+    machines: machines.map(machineStatusOf),
     missing: resources,
     running,
   }));
--- a/packages/daemon/test/transaction-room.test.ts
+++ b/packages/daemon/test/transaction-size-limit.test.ts
@@ -2,19 +2,19 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { encode, MAX_BODY_BYTES, txnMap } from '@gingerlock/wire';
-import { TransactionRoom } from '../src/transaction-room';
+import { TransactionSizeLimit } from '../src/transaction-size-limit';
 
 test('what a transaction has room for fits a request, however large its values are', () => {
   const entry = fc.record({ key: fc.stringMatching(/^[a-z0-9/]{1,100}$/), length: fc.nat(16_000) });
   fc.assert(
     fc.property(fc.array(entry, { maxLength: 20 }), fc.integer({ min: 3, max: 12 }), (entries, most) => {
-      const room = new TransactionRoom(most);
+      const sizeLimit = new TransactionSizeLimit(most);
       const taken = entries
         .map(({ key, length }) => ({
           condition: { key, version: 4_000_000_000 },
           change: { put: key, value: { b: 'x'.repeat(length) } },
         }))
-        .filter(({ condition, change }) => room.add([condition], [change]));
+        .filter(({ condition, change }) => sizeLimit.add([condition], [change]));
       assert.ok(taken.length <= most);
       const request = txnMap(
         taken.map((t) => t.condition),
--- a/packages/peer/src/messages.ts
+++ b/packages/peer/src/messages.ts
@@ -11,7 +11,7 @@
   fields: Object.entries(fields).map(([field, type]) => ({ name: field, type })),
 });
 
-const resources = record('Amounts', { cpus: 'double', gpus: 'double', memoryGb: 'double' });
+const resources = record('Resources', { cpus: 'double', gpus: 'double', memoryGb: 'double' });
 
 /** How a member of a replica group is. */
 const MEMBER_PHASES = ['pending', 'held', 'starting', 'running', 'lost'] as const;
@@ -28,14 +28,14 @@
     ...STATUS_HEAD,
     machines: {
       type: 'array',
-      items: record('MachineRoom', {
+      items: record('MachineStatus', {
         name: 'string',
         type: 'string',
         zone: 'string',
         spot: 'boolean',
         session: 'long',
         free: resources,
-        byRank: { type: 'array', items: 'Amounts' },
+        byRank: { type: 'array', items: 'Resources' },
         images: { type: 'array', items: 'string' },
         takesWork: 'boolean',
         draining: 'boolean',
@@ -46,7 +46,7 @@
         silentMs: 'double',
       }),
     },
-    missing: 'Amounts',
+    missing: 'Resources',
     running: { type: 'array', items: record('Running', { job: 'string', tasks: 'int' }) },
   }),
   /** The state service stands at this revision at least. */
@@ -81,8 +81,8 @@
     sequence: 'long',
     index: 'int',
     fragmentCount: 'int',
-    machines: { type: 'array', items: 'MachineRoom' },
-    missing: 'Amounts',
+    machines: { type: 'array', items: 'MachineStatus' },
+    missing: 'Resources',
     running: { type: 'array', items: 'Running' },
   }),
   /** What the machines of a partition hold, for a leader that takes such lists; a piece of it, as above. */
@@ -144,7 +144,7 @@
   memoryGb: number;
 }
 
-export interface PeerMachineRoom {
+export interface PeerMachineStatus {
   name: string;
   type: string;
   zone: string;
@@ -187,7 +187,7 @@
   partitionId: number;
   term: number;
   revision: number;
-  machines: PeerMachineRoom[];
+  machines: PeerMachineStatus[];
   missing: PeerResources;
   running: { job: string; tasks: number }[];
 }
--- a/packages/replica-groups/src/partition-groups.ts
+++ b/packages/replica-groups/src/partition-groups.ts
@@ -25,36 +25,36 @@
   /** By machine: what is kept for members that it does not hold yet. */
   #kept = new Map<string, Resources>();
   /** By task: the machine on which room is kept for it. */
-  #machineFor = new Map<string, string>();
+  #reservedMachineFor = new Map<string, string>();
 
   constructor(readonly groups: StoredGroups) {}
 
   // --- reservations ------------------------------------------------------------------------------------------------
 
-  keptOn(machine: string): Resources {
+  reservedOn(machine: string): Resources {
     return this.#kept.get(machine) ?? NO_RESOURCES;
   }
 
   /** By task: the machine on which room is kept for it. */
   get keptTasks(): ReadonlyMap<string, string> {
-    return this.#machineFor;
+    return this.#reservedMachineFor;
   }
 
-  machineFor(task: string): string | null {
-    return this.#machineFor.get(task) ?? null;
+  reservedMachineFor(task: string): string | null {
+    return this.#reservedMachineFor.get(task) ?? null;
   }
 
   /** Brings what is kept in line with the records and with what has been started. */
   sync(): void {
     this.#kept = new Map();
-    this.#machineFor = new Map();
+    this.#reservedMachineFor = new Map();
     for (const [, { record }, slots] of this.#groupsHere()) {
       if (record.state !== 'reserved' && record.state !== 'admitted') continue;
       for (const slot of slots) {
         const member = record.members[slot.index];
         if (member === undefined || slot.state !== 'waiting' || this.#isSpent(slot, record)) continue;
-        this.#machineFor.set(slot.name, member.machine);
-        this.#kept.set(member.machine, addResources(this.keptOn(member.machine), slot.job.spec));
+        this.#reservedMachineFor.set(slot.name, member.machine);
+        this.#kept.set(member.machine, addResources(this.reservedOn(member.machine), slot.job.spec));
       }
     }
   }
@@ -141,7 +141,9 @@
     const name = record.members[slot.index]?.machine;
     const machine = name === undefined ? undefined : this.table!.machines.get(name);
     if (slot.state !== 'waiting' || machine === undefined || !machine.isMember) return false;
-    return this.table!.takesWork(machine, now) && fitsIn(this.keptOn(machine.name), this.table!.room(machine));
+    return (
+      this.table!.takesWork(machine, now) && fitsIn(this.reservedOn(machine.name), this.table!.freeResources(machine))
+    );
   }
 
   /** Why the member has ended, will not start or is about to end; null: none of that is known. */
--- a/packages/replica-groups/src/settings.ts
+++ b/packages/replica-groups/src/settings.ts
@@ -106,7 +106,7 @@
 }
 
 /** Whether a group that has waited for so long keeps what it finds from the jobs after it. */
-export function holdsPartialRoom(waitedMs: number, types: ReadonlyMap<string, MachineType>): boolean {
+export function holdsPartialCapacity(waitedMs: number, types: ReadonlyMap<string, MachineType>): boolean {
   const windowMs = HOLD_WINDOW_BOOTS * Math.max(0, ...[...types.values()].map(bootMsOf));
   return windowMs > 0 && Math.floor(waitedMs / windowMs) % 2 === 1;
 }
--- a/packages/testkit/src/group-audit.ts
+++ b/packages/testkit/src/group-audit.ts
@@ -63,7 +63,8 @@
       const owner = this.#ownerOf(partitionId);
       const slot = owner?.claimTable.slots.get(job)?.get(rank);
       if (owner === undefined || slot === undefined || slot.job.cancelled) continue;
-      const isHeld = owner.claimTable.reservations.machineFor(slot.name) === machine && slot.startedIn !== generation;
+      const isHeld =
+        owner.claimTable.reservations.reservedMachineFor(slot.name) === machine && slot.startedIn !== generation;
       if (!isHeld) this.world.breach('member_unheld', `${slot.name} is admitted and not kept on ${machine}`);
     }
   }
--- a/packages/testkit/src/liveness.ts
+++ b/packages/testkit/src/liveness.ts
@@ -145,7 +145,7 @@
     const byZone = new Map<string, number>();
     for (const worker of this.world.workers.values()) {
       if (!allowsMachine(spec, worker.type, worker.zone, worker.spot)) continue;
-      const members = countFitting(spec, this.#roomOn(worker));
+      const members = countFitting(spec, this.#freeOn(worker));
       byZone.set(worker.zone, (byZone.get(worker.zone) ?? 0) + members);
     }
     const counts = [...byZone.values()];
@@ -164,15 +164,16 @@
     if (spec.oneZone && zones.some((zone) => zone !== worker.zone)) return false;
     const inZone = zones.filter((zone) => zone === worker.zone).length;
     if (spec.spread && inZone >= Math.ceil(spec.tasks / 2)) return false;
-    return fitsIn(spec, this.#roomOn(worker));
+    return fitsIn(spec, this.#freeOn(worker));
   }
 
-  #roomOn(worker: SimWorker): Resources {
+  #freeOn(worker: SimWorker): Resources {
     const { world } = this;
-    let room = world.roomOf(worker.type);
+    let available = world.capacityOfType(worker.type);
     for (const { state, task } of worker.tasks.values()) {
-      if (state !== 'exited') room = subtractResources(room, world.job(parseTaskName(task)!.job) ?? NO_RESOURCES);
+      if (state !== 'exited')
+        available = subtractResources(available, world.job(parseTaskName(task)!.job) ?? NO_RESOURCES);
     }
-    return room;
+    return available;
   }
 }
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -208,7 +208,7 @@
     return (imageGb / this.machineType(type)!.fetchGbPerS) * 1000;
   }
 
-  roomOf(type: string): Resources {
+  capacityOfType(type: string): Resources {
     return this.machineType(type) ?? NO_RESOURCES;
   }
 
@@ -387,7 +387,7 @@
     this.peakGpus = Math.max(this.peakGpus, gpus);
     if (gpus > this.gpusMax + 1e-9) this.breach('quota', `team ${spec.team} uses ${gpus}`);
     const used = this.#gpusOn.get(machine)!;
-    if (used > this.roomOf(worker.type).gpus + 1e-9) this.breach('overcommitted', `${machine}: ${used} GPUs`);
+    if (used > this.capacityOfType(worker.type).gpus + 1e-9) this.breach('overcommitted', `${machine}: ${used} GPUs`);
     const told = this.users.told.get(job)!;
     if (!this.users.isReady(told)) this.breach('too_early', `${task} before one of ${spec.awaits.join()}`);
     this.#checkCancelled(task);
--- a/packages/testkit/test/mutants.test.ts
+++ b/packages/testkit/test/mutants.test.ts
@@ -159,11 +159,11 @@
     apply: () =>
       patch(
         ClaimTable.prototype,
-        'room',
+        'freeResources',
         (original) =>
           function (this: ClaimTable, machine) {
-            const room = original.call(this, machine);
-            return { cpus: room.cpus + 32, gpus: room.gpus + 8, memoryGb: room.memoryGb + 128 };
+            const available = original.call(this, machine);
+            return { cpus: available.cpus + 32, gpus: available.gpus + 8, memoryGb: available.memoryGb + 128 };
           },
       ),
   },
