--- a/packages/borrowing/src/accounts.ts
+++ b/packages/borrowing/src/accounts.ts
@@ -70,8 +70,8 @@
 ): Map<string, number> {
   const used = new Map<string, number>();
   for (const { held } of claims.flatMap(({ machines }) => machines)) {
-    for (const { task, stopping } of held) {
-      const name = parseTaskName(task);
+    for (const { task: taskName, stopping } of held) {
+      const name = parseTaskName(taskName);
       const job = jobs.get(name?.job ?? '');
       if (name === null || job === undefined || stopping || job.cancelled || job.isFinished(name.index)) continue;
       used.set(job.spec.team, (used.get(job.spec.team) ?? 0) + job.spec.gpus);
--- a/packages/borrowing/src/execution.ts
+++ b/packages/borrowing/src/execution.ts
@@ -134,8 +134,8 @@
 
 /** The victims that the machine still holds, under the very attempts that the record names. */
 function heldVictims(table: ClaimTable, { machine, victims }: ReclaimRecord): Slot[] {
-  return victims.flatMap(({ task, attempt }) => {
-    const slot = table.slotOf(task);
+  return victims.flatMap(({ task: taskName, attempt }) => {
+    const slot = table.slotOf(taskName);
     return slot?.claim?.machine.name === machine && slot.claim.attempt === attempt ? slot : [];
   });
 }
@@ -212,8 +212,8 @@
     return sumOf(reclaims.flatMap(({ record }) => waitingTasks(table, record)));
   }
 
-  reservedMachineFor(task: string): string | null {
-    const reclaim = this.#byTask.get(task);
+  reservedMachineFor(taskName: string): string | null {
+    const reclaim = this.#byTask.get(taskName);
     return reclaim === undefined || reclaim.isOver ? null : reclaim.record.machine;
   }
 }
--- a/packages/borrowing/src/planner.ts
+++ b/packages/borrowing/src/planner.ts
@@ -193,7 +193,7 @@
     const count = places.length;
     if (count > 0) {
       this.#sources.delete(machineStatus.name);
-      const taken = victims.map(({ held: { task, attempt } }) => ({ task, attempt }));
+      const taken = victims.map(({ held: { task: taskName, attempt } }) => ({ task: taskName, attempt }));
       const machine = machineStatus.name;
       this.#decisions.push({
         job,
@@ -300,8 +300,8 @@
   return isHeard && !machineStatus.draining && !machineStatus.evictionNotice && !machineStatus.unhealthy;
 }
 
-function keyOf({ task, attempt }: TaskAttempt): string {
-  return `${task} ${attempt}`;
+function keyOf({ task: taskName, attempt }: TaskAttempt): string {
+  return `${taskName} ${attempt}`;
 }
 
 function withoutVictims(source: Source, { victims }: VictimChoice, job: Job): Source {
@@ -317,8 +317,8 @@
 function waitingTasks(job: Job, count: number): number[] {
   const tasks: number[] = [];
   for (const [from, length] of job.unassigned()) {
-    for (let task = from; task < from + length && tasks.length < count; task++) {
-      if (!job.isFinished(task)) tasks.push(task);
+    for (let taskIndex = from; taskIndex < from + length && tasks.length < count; taskIndex++) {
+      if (!job.isFinished(taskIndex)) tasks.push(taskIndex);
     }
   }
   return tasks;
--- a/packages/core/src/claims.ts
+++ b/packages/core/src/claims.ts
@@ -191,8 +191,8 @@
     return this.#tasks.sync(id, now);
   }
 
-  slotOf(task: string): Slot | undefined {
-    return this.#tasks.slotOf(task);
+  slotOf(taskName: string): Slot | undefined {
+    return this.#tasks.slotOf(taskName);
   }
 
   // --- machines ----------------------------------------------------------------------------------------------------
@@ -276,9 +276,9 @@
     if (type === undefined) return NO_RESOURCES;
     let available: Resources = { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb };
     for (const slot of machine.claims.values()) available = subtractResources(available, slot.job.spec);
-    for (const task of machine.reported) {
-      if (task.state === 'exited' || machine.claims.has(task.task)) continue;
-      const parsed = parseTaskName(task.task);
+    for (const reported of machine.reported) {
+      if (reported.state === 'exited' || machine.claims.has(reported.task)) continue;
+      const parsed = parseTaskName(reported.task);
       const spec = parsed === null ? undefined : this.#jobs.live.get(parsed.job)?.spec;
       // A stray of unknown size: nothing is known to be free until it is gone.
       if (spec === undefined) return NO_RESOURCES;
--- a/packages/core/src/job-use.ts
+++ b/packages/core/src/job-use.ts
@@ -43,8 +43,8 @@
   const assigned = new Map<number, AssignedTask>();
   for (const round of job.rounds) {
     if (round.partitionId !== partitionId || round.term > term) continue;
-    for (let task = round.from; task < round.from + round.count; task++) {
-      if (!job.isFinished(task)) assigned.set(task, { zone: round.zone, term: round.term });
+    for (let taskIndex = round.from; taskIndex < round.from + round.count; taskIndex++) {
+      if (!job.isFinished(taskIndex)) assigned.set(taskIndex, { zone: round.zone, term: round.term });
     }
   }
   return assigned;
--- a/packages/core/src/jobs.ts
+++ b/packages/core/src/jobs.ts
@@ -75,8 +75,8 @@
     return this.markedFailing && this.finishedCount === 0 && !this.isGroup;
   }
 
-  isFinished(task: number): boolean {
-    return this.#finished.has(task);
+  isFinished(taskIndex: number): boolean {
+    return this.#finished.has(taskIndex);
   }
 
   get finishedCount(): number {
@@ -221,16 +221,16 @@
 export function finishedPageFor(
   job: Job,
   partitionId: number,
-  task: number,
+  taskIndex: number,
   limits: { readonly pageTasks: number; readonly valueBytes: number },
 ): { readonly key: string; readonly first: number; readonly bits: Bits } {
   const capacity = pageCapacity(limits.valueBytes);
-  const page = Math.floor(task / limits.pageTasks);
+  const page = Math.floor(taskIndex / limits.pageTasks);
   const key = KEYS.finished(job.id, partitionId, page);
   const stored = job.pages.get(key)?.bits ?? new Bits();
   const first = page * limits.pageTasks;
-  if (task - first < capacity && stored.bytes.length * 8 <= capacity) return { key, first, bits: stored };
-  const start = task - (task % capacity);
+  if (taskIndex - first < capacity && stored.bytes.length * 8 <= capacity) return { key, first, bits: stored };
+  const start = taskIndex - (taskIndex % capacity);
   const overflowKey = KEYS.finishedFrom(job.id, partitionId, start);
   return { key: overflowKey, first: start, bits: job.pages.get(overflowKey)?.bits ?? new Bits() };
 }
--- a/packages/core/src/report-intake.ts
+++ b/packages/core/src/report-intake.ts
@@ -29,14 +29,14 @@
   take(m: Machine, r: WorkerReport, now: number): WorkerCommand[] {
     this.#endUnlisted(m, r, now);
     const forget: WorkerCommand[] = [];
-    for (const task of r.tasks) {
-      if (task.state !== 'exited' || this.#exited(m, task, now)) continue;
-      forget.push({ op: 'forget', task: task.task, attempt: task.attempt });
+    for (const reported of r.tasks) {
+      if (reported.state !== 'exited' || this.#exited(m, reported, now)) continue;
+      forget.push({ op: 'forget', task: reported.task, attempt: reported.attempt });
     }
     const stop: WorkerCommand[] = [];
-    for (const task of r.tasks) {
-      const graceS = task.state === 'exited' ? null : this.#takeHeld(m, task, task.state, now);
-      if (graceS !== null) stop.push({ op: 'stop', task: task.task, attempt: task.attempt, graceS });
+    for (const reported of r.tasks) {
+      const graceS = reported.state === 'exited' ? null : this.#takeHeld(m, reported, reported.state, now);
+      if (graceS !== null) stop.push({ op: 'stop', task: reported.task, attempt: reported.attempt, graceS });
     }
     return [...forget, ...stop];
   }
@@ -46,7 +46,7 @@
    * started and this later report lacks has not started and will not.
    */
   #endUnlisted(m: Machine, r: WorkerReport, now: number): void {
-    const listed = new Set(r.tasks.map((task) => `${task.task} ${task.attempt}`));
+    const listed = new Set(r.tasks.map((reported) => `${reported.task} ${reported.attempt}`));
     let hasLostStarts = false;
     for (const slot of [...m.claims.values()]) {
       if (listed.has(`${slot.name} ${slot.claim!.attempt}`)) continue;
@@ -58,10 +58,11 @@
   }
 
   /** Takes a task that the machine holds; returns the time that it gets for saving if it is to be stopped, null if it goes on. */
-  #takeHeld(m: Machine, task: ReportedTask, state: HeldState, now: number): number | null {
-    const slot = this.tasks.slotOf(task.task);
-    if (slot !== undefined && slot.claim === null && slot.state !== 'finishing') this.#adopt(m, slot, task, state, now);
-    if (slot?.claim?.machine !== m || slot.claim.attempt !== task.attempt) return 0;
+  #takeHeld(m: Machine, reported: ReportedTask, state: HeldState, now: number): number | null {
+    const slot = this.tasks.slotOf(reported.task);
+    if (slot !== undefined && slot.claim === null && slot.state !== 'finishing')
+      this.#adopt(m, slot, reported, state, now);
+    if (slot?.claim?.machine !== m || slot.claim.attempt !== reported.attempt) return 0;
     const { claim } = slot;
     if (claim.stage === 'granted') m.lostAnswers = 0;
     if (claim.stage !== state) {
@@ -74,11 +75,11 @@
   }
 
   /** A task that the machine has held since an earlier owner's time. */
-  #adopt(m: Machine, slot: Slot, task: ReportedTask, state: HeldState, now: number): void {
+  #adopt(m: Machine, slot: Slot, reported: ReportedTask, state: HeldState, now: number): void {
     if (slot.state !== 'uncertain') this.alarm('a task that was free to start runs', { task: slot.name, on: m.name });
     this.tasks.move(slot, 'claimed', now, {
       machine: m,
-      attempt: task.attempt,
+      attempt: reported.attempt,
       session: m.session,
       grantedAt: now,
       stage: state,
@@ -89,11 +90,11 @@
   }
 
   /** Takes an exited task; true if it must not be forgotten yet. */
-  #exited(m: Machine, task: ReportedTask, now: number): boolean {
-    const slot = this.tasks.slotOf(task.task);
+  #exited(m: Machine, reported: ReportedTask, now: number): boolean {
+    const slot = this.tasks.slotOf(reported.task);
     if (slot === undefined) return false;
-    const ours = slot.claim?.machine === m && slot.claim.attempt === task.attempt;
-    if (task.cause === 'done' && slot.job.spec.kind === 'array') {
+    const ours = slot.claim?.machine === m && slot.claim.attempt === reported.attempt;
+    if (reported.cause === 'done' && slot.job.spec.kind === 'array') {
       if (slot.state === 'finishing') return true;
       if (slot.claim !== null && !ours) return false;
       this.failures.completed(slot.job.id, m.name, now);
@@ -101,8 +102,8 @@
       return true;
     }
     if (!ours) return false;
-    this.#blame(m, slot, task.cause ?? 'unrecognised', now);
-    this.tasks.claimEnded(slot, `exited: ${task.cause}`, now);
+    this.#blame(m, slot, reported.cause ?? 'unrecognised', now);
+    this.tasks.claimEnded(slot, `exited: ${reported.cause}`, now);
     return false;
   }
 
--- a/packages/core/src/rounds.ts
+++ b/packages/core/src/rounds.ts
@@ -11,10 +11,10 @@
     }
     const end = round.from + round.count;
     let from = round.from;
-    for (let task = round.from; task <= end; task++) {
-      if (task < end && !removed.has(task)) continue;
-      if (task > from) left.push({ ...round, from, count: task - from });
-      from = task + 1;
+    for (let taskIndex = round.from; taskIndex <= end; taskIndex++) {
+      if (taskIndex < end && !removed.has(taskIndex)) continue;
+      if (taskIndex > from) left.push({ ...round, from, count: taskIndex - from });
+      from = taskIndex + 1;
     }
   }
   return left;
@@ -28,9 +28,12 @@
  * Joins neighbours that are assigned alike, so that a record stays small. Finished tasks need no assignment: rounds are
  * joined across them, and a round of finished tasks alone is dropped.
  */
-export function joinRounds(rounds: readonly Round[], isFinished: (task: number) => boolean = () => false): Round[] {
+export function joinRounds(
+  rounds: readonly Round[],
+  isFinished: (taskIndex: number) => boolean = () => false,
+): Round[] {
   const allFinished = (from: number, end: number): boolean => {
-    for (let task = from; task < end; task++) if (!isFinished(task)) return false;
+    for (let taskIndex = from; taskIndex < end; taskIndex++) if (!isFinished(taskIndex)) return false;
     return true;
   };
   const joined: Round[] = [];
--- a/packages/core/src/slot-table.ts
+++ b/packages/core/src/slot-table.ts
@@ -75,10 +75,10 @@
       if (!this.#mustKeep(slot, job)) this.#remove(slot, slots);
       else if (this.#withdraw(slot)) stopped.push(slot);
     }
-    for (const [index, task] of assigned) {
+    for (const [index, assignment] of assigned) {
       const slot = slots.get(index);
-      if (slot === undefined) this.#add(job!, index, task, slots, now);
-      else if (this.#reassign(slot, task, now)) stopped.push(slot);
+      if (slot === undefined) this.#add(job!, index, assignment, slots, now);
+      else if (this.#reassign(slot, assignment, now)) stopped.push(slot);
     }
     if (slots.size === 0) this.slots.delete(id);
     else this.slots.set(id, slots);
@@ -170,8 +170,8 @@
     return [...(this.slots.get(job.id)?.values() ?? [])].filter((slot) => this.#stop(slot));
   }
 
-  slotOf(task: string): Slot | undefined {
-    const parsed = parseTaskName(task);
+  slotOf(taskName: string): Slot | undefined {
+    const parsed = parseTaskName(taskName);
     return parsed === null ? undefined : this.slots.get(parsed.job)?.get(parsed.index);
   }
 }
--- a/packages/daemon/src/claim-lists.ts
+++ b/packages/daemon/src/claim-lists.ts
@@ -26,7 +26,7 @@
 }
 
 function machineBytes({ machine, held }: MachineClaims): number {
-  const taskBytes = held.reduce((sum, { task }) => sum + TASK_BYTES + Buffer.byteLength(task), 0);
+  const taskBytes = held.reduce((sum, { task: taskName }) => sum + TASK_BYTES + Buffer.byteLength(taskName), 0);
   return MACHINE_BYTES + Buffer.byteLength(machine) + taskBytes;
 }
 
--- a/packages/daemon/src/combined-reservations.ts
+++ b/packages/daemon/src/combined-reservations.ts
@@ -12,9 +12,9 @@
     return reserved.length === 0 ? NO_RESOURCES : reserved.reduce((sum, resources) => addResources(sum, resources));
   }
 
-  reservedMachineFor(task: string): string | null {
+  reservedMachineFor(taskName: string): string | null {
     for (const reservations of this.all) {
-      const machine = reservations.reservedMachineFor(task);
+      const machine = reservations.reservedMachineFor(taskName);
       if (machine !== null) return machine;
     }
     return null;
--- a/packages/daemon/src/job-batch.ts
+++ b/packages/daemon/src/job-batch.ts
@@ -16,7 +16,7 @@
     acceptedAt: job.acceptedAt,
     cancelled: false,
     failing,
-    rounds: joinRounds(rounds, (task) => job.isFinished(task)),
+    rounds: joinRounds(rounds, (taskIndex) => job.isFinished(taskIndex)),
   });
 }
 
--- a/packages/daemon/src/leader-borrowing.ts
+++ b/packages/daemon/src/leader-borrowing.ts
@@ -149,8 +149,8 @@
 
   #boundMs({ victims }: ReclaimRecord): number {
     const { store, clusterConfig } = this.shared;
-    const graces = victims.map(({ task }) => {
-      const job = store.jobs.live.get(parseTaskName(task)?.job ?? '');
+    const graces = victims.map(({ task: taskName }) => {
+      const job = store.jobs.live.get(parseTaskName(taskName)?.job ?? '');
       return job === undefined ? 0 : saveGraceS(job.spec);
     });
     return reclaimBoundMs(clusterConfig, Math.max(0, ...graces));
--- a/packages/daemon/src/owner-writes.ts
+++ b/packages/daemon/src/owner-writes.ts
@@ -140,7 +140,7 @@
     const { spec, acceptedAt, cancelled } = job;
     const left = withoutTasks(job.rounds, this.partitionId, new Set(slots.map((s) => s.index)));
     // Finished tasks are off their machines: of a cancelled job nothing is left to wait for when only they remain.
-    const rounds = joinRounds(left, (task) => job.isFinished(task));
+    const rounds = joinRounds(left, (taskIndex) => job.isFinished(taskIndex));
     if (cancelled && rounds.length === 0) return jobRecord.write({ final: 'cancelled' });
     const failing = this.claimTable.isMarkedOnReturn(job, slots, this.shared.clock.now());
     return jobRecord.write({ final: null, spec, acceptedAt, cancelled, failing, rounds });
--- a/packages/replica-groups/src/partition-groups.ts
+++ b/packages/replica-groups/src/partition-groups.ts
@@ -40,8 +40,8 @@
     return this.#reservedMachineFor;
   }
 
-  reservedMachineFor(task: string): string | null {
-    return this.#reservedMachineFor.get(task) ?? null;
+  reservedMachineFor(taskName: string): string | null {
+    return this.#reservedMachineFor.get(taskName) ?? null;
   }
 
   /** Brings what is kept in line with the records and with what has been started. */
--- a/packages/testkit/src/borrowing-audit.ts
+++ b/packages/testkit/src/borrowing-audit.ts
@@ -57,8 +57,8 @@
     const use = new Map<string, number>();
     const { users, workers } = this.world;
     for (const { tasks } of workers.values()) {
-      for (const { task, state } of tasks.values()) {
-        const told = users.told.get(parseTaskName(task)!.job);
+      for (const { task: taskName, state } of tasks.values()) {
+        const told = users.told.get(parseTaskName(taskName)!.job);
         if (state === 'exited' || told === undefined || users.isCancelled(told)) continue;
         use.set(told.spec.team, (use.get(told.spec.team) ?? 0) + told.spec.gpus);
       }
@@ -91,7 +91,7 @@
     this.decided++;
     this.world.came('reclaim');
     this.world.came(`reclaim by ${record.reason}`);
-    for (const { task } of record.victims) this.stops.set(task, (this.stops.get(task) ?? 0) + 1);
+    for (const { task: taskName } of record.victims) this.stops.set(taskName, (this.stops.get(taskName) ?? 0) + 1);
     this.#checkPromisedOnce(key, record);
     this.#checkPriorities(key, record);
     this.#checkGuarantees(key, record);
@@ -101,7 +101,7 @@
   #checkPromisedOnce(key: string, { machine, job, tasks }: ReclaimRecord): void {
     for (const [other, { record }] of this.stored) {
       if (other === key) continue;
-      const isSameTask = record.job === job && record.tasks.some((task) => tasks.includes(task));
+      const isSameTask = record.job === job && record.tasks.some((taskIndex) => tasks.includes(taskIndex));
       if (record.machine === machine || isSameTask) this.world.breach('promised_twice', `${key} and ${other}`);
     }
   }
@@ -109,15 +109,15 @@
   #checkPriorities(key: string, record: ReclaimRecord): void {
     const beneficiary = this.world.job(record.job)!;
     const rank = PRIORITIES.indexOf(beneficiary.priority);
-    for (const { task } of record.victims) {
-      const victim = this.world.job(parseTaskName(task)!.job)!;
+    for (const { task: taskName } of record.victims) {
+      const victim = this.world.job(parseTaskName(taskName)!.job)!;
       const victimRank = PRIORITIES.indexOf(victim.priority);
       const isReplica = victim.kind === 'service';
       const isHigher = beneficiary.kind === 'service' && victimRank < rank;
       if (isReplica && (victim.priority === 'production' || isHigher))
-        this.world.breach('replica_reclaimed', `${key}: ${task}`);
+        this.world.breach('replica_reclaimed', `${key}: ${taskName}`);
       if (victimRank <= rank && victim.team === beneficiary.team)
-        this.world.breach('replica_reclaimed', `${key}: ${task} is as urgent and of the same team`);
+        this.world.breach('replica_reclaimed', `${key}: ${taskName} is as urgent and of the same team`);
     }
   }
 
@@ -128,7 +128,9 @@
   #checkGuarantees(key: string, added: ReclaimRecord): void {
     const guarantee = this.world.guaranteedGpus;
     const beneficiary = this.world.job(added.job)!.team;
-    const teams = new Set(added.victims.map(({ task }) => this.world.job(parseTaskName(task)!.job)!.team));
+    const teams = new Set(
+      added.victims.map(({ task: taskName }) => this.world.job(parseTaskName(taskName)!.job)!.team),
+    );
     for (const team of teams) {
       if (team === beneficiary || team === this.world.guestTeam) continue;
       const most = Math.max(...this.#samples.map(({ use }) => use.get(team) ?? 0));
@@ -143,9 +145,9 @@
     let gpus = 0;
     for (const { record } of this.stored.values()) {
       const held = this.world.workers.get(record.machine)?.tasks;
-      for (const { task, attempt } of record.victims) {
-        const spec = this.world.job(parseTaskName(task)!.job)!;
-        const state = held?.get(`${task} ${attempt}`)?.state;
+      for (const { task: taskName, attempt } of record.victims) {
+        const spec = this.world.job(parseTaskName(taskName)!.job)!;
+        const state = held?.get(`${taskName} ${attempt}`)?.state;
         if (spec.team === team && state !== undefined && state !== 'exited') gpus += spec.gpus;
       }
     }
--- a/packages/testkit/src/borrowing-faults.ts
+++ b/packages/testkit/src/borrowing-faults.ts
@@ -156,7 +156,9 @@
 function isAtStep(world: World, step: ReclaimStep): boolean {
   for (const { record } of world.borrowing.stored.values()) {
     const worker = world.workers.get(record.machine);
-    const held = record.victims.map(({ task, attempt }) => worker?.tasks.get(`${task} ${attempt}`)?.state);
+    const held = record.victims.map(
+      ({ task: taskName, attempt }) => worker?.tasks.get(`${taskName} ${attempt}`)?.state,
+    );
     const isGone = (state: string | undefined): boolean => state === undefined || state === 'exited';
     if (step === 'decided' && held.every((state) => state === 'running' || state === 'fetching')) return true;
     if (step === 'stopping' && held.some((state) => state === 'saving' || state === 'exited')) return true;
--- a/packages/testkit/src/group-audit.ts
+++ b/packages/testkit/src/group-audit.ts
@@ -80,21 +80,24 @@
   }
 
   /** A start command that was not known yet has come to a worker. */
-  started(task: string, attempt: number, machine: string): void {
-    const { job, index } = parseTaskName(task)!;
+  started(taskName: string, attempt: number, machine: string): void {
+    const { job, index } = parseTaskName(taskName)!;
     const { world } = this;
     if (!world.isGroup(job)) return;
     const record = this.seen.get(job)?.record;
     const isAdmitted = record !== undefined && record.state !== 'waiting' && record.state !== 'reserved';
     if (!isAdmitted || record.members[index]?.machine !== machine) {
-      world.breach('member_unheld', `${task} starts on ${machine} while its group is ${record?.state ?? 'not placed'}`);
+      world.breach(
+        'member_unheld',
+        `${taskName} starts on ${machine} while its group is ${record?.state ?? 'not placed'}`,
+      );
       return;
     }
     const { generation } = record;
-    if (this.#startedIn.get(task) === generation)
-      world.breach('member_restarted', `${task} twice in generation ${generation}`);
-    this.#startedIn.set(task, generation);
-    this.#generationOf.set(`${task} ${attempt}`, generation);
+    if (this.#startedIn.get(taskName) === generation)
+      world.breach('member_restarted', `${taskName} twice in generation ${generation}`);
+    this.#startedIn.set(taskName, generation);
+    this.#generationOf.set(`${taskName} ${attempt}`, generation);
   }
 
   /** Looks at everything once more: to be called again and again. */
@@ -112,9 +115,9 @@
   #checkRuns(sinceMs: number): void {
     const generations = new Map<string, Set<number>>();
     for (const { tasks } of this.world.workers.values()) {
-      for (const { task, attempt, state } of tasks.values()) {
-        const { job } = parseTaskName(task)!;
-        const generation = this.#generationOf.get(`${task} ${attempt}`);
+      for (const { task: taskName, attempt, state } of tasks.values()) {
+        const { job } = parseTaskName(taskName)!;
+        const generation = this.#generationOf.get(`${taskName} ${attempt}`);
         if (state === 'exited' || generation === undefined) continue;
         generations.set(job, (generations.get(job) ?? new Set()).add(generation));
       }
@@ -144,14 +147,14 @@
     const { now } = this.world.sim;
     const isFresh = replica.contactAt !== null && clock.now() - replica.contactAt < this.world.heartbeatIntervalMs;
     if (groups === null || !isFresh) return;
-    for (const [task, machine] of groups.members.keptTasks) {
-      const { job, index } = parseTaskName(task)!;
+    for (const [taskName, machine] of groups.members.keptTasks) {
+      const { job, index } = parseTaskName(taskName)!;
       const stored = this.seen.get(job);
       const isKept = stored?.record.state === 'reserved' || stored?.record.state === 'admitted';
       if (isKept && stored.record.members[index]?.machine === machine) continue;
       if (now - (stored?.at ?? 0) < this.world.heartbeatIntervalMs * READ_INTERVALS) continue;
       if (claimTable.slots.get(job)?.get(index)?.job.cancelled === true) continue;
-      this.world.breach('kept_in_vain', `partition ${partitionId} keeps ${machine} for ${task}`);
+      this.world.breach('kept_in_vain', `partition ${partitionId} keeps ${machine} for ${taskName}`);
     }
   }
 
--- a/packages/testkit/src/liveness.ts
+++ b/packages/testkit/src/liveness.ts
@@ -100,7 +100,9 @@
 
   /** The machines on which tasks of the job are. */
   #on(id: string): string[] {
-    return [...this.world.runningTasks()].filter(([task]) => task.startsWith(`${id}/`)).map(([, machine]) => machine);
+    return [...this.world.runningTasks()]
+      .filter(([taskName]) => taskName.startsWith(`${id}/`))
+      .map(([, machine]) => machine);
   }
 
   /**
@@ -130,8 +132,8 @@
   #couldStart(spec: JobSpec): boolean {
     const { world } = this;
     let gpus = 0;
-    for (const task of world.runningTasks().keys()) {
-      const s = world.job(parseTaskName(task)!.job)!;
+    for (const taskName of world.runningTasks().keys()) {
+      const s = world.job(parseTaskName(taskName)!.job)!;
       if (s.team === spec.team) gpus += s.gpus;
     }
     // All members of a replica group start together or not at all.
@@ -170,9 +172,9 @@
   #freeOn(worker: SimWorker): Resources {
     const { world } = this;
     let available = world.capacityOfType(worker.type);
-    for (const { state, task } of worker.tasks.values()) {
+    for (const { state, task: taskName } of worker.tasks.values()) {
       if (state !== 'exited')
-        available = subtractResources(available, world.job(parseTaskName(task)!.job) ?? NO_RESOURCES);
+        available = subtractResources(available, world.job(parseTaskName(taskName)!.job) ?? NO_RESOURCES);
     }
     return available;
   }
--- a/packages/testkit/src/loopback-groups.ts
+++ b/packages/testkit/src/loopback-groups.ts
@@ -43,10 +43,10 @@
 
   // --- members -----------------------------------------------------------------------------------------------------
 
-  override onTask(task: string, machine: string, attempt: number): void {
-    super.onTask(task, machine, attempt);
+  override onTask(taskName: string, machine: string, attempt: number): void {
+    super.onTask(taskName, machine, attempt);
     const options: MemberOptions = {
-      task,
+      task: taskName,
       attempt,
       host: this.hostOf(machine),
       port: MEMBER_PORT,
@@ -60,18 +60,18 @@
     const child = spawn(globalThis.process.execPath, [script, '--member', JSON.stringify(options)], {
       stdio: ['pipe', 'ignore', 'inherit'],
     });
-    const key = `${task} ${machine}`;
-    this.#members.set(key, { task, attempt, machine, process: child });
+    const key = `${taskName} ${machine}`;
+    this.#members.set(key, { task: taskName, attempt, machine, process: child });
     child.on('exit', () => {
       if (this.#members.get(key)?.process !== child) return;
       this.#members.delete(key);
-      this.workers.get(machine)?.fail(task, attempt);
+      this.workers.get(machine)?.fail(taskName, attempt);
     });
   }
 
-  override offTask(task: string, machine: string): void {
-    super.offTask(task, machine);
-    const key = `${task} ${machine}`;
+  override offTask(taskName: string, machine: string): void {
+    super.offTask(taskName, machine);
+    const key = `${taskName} ${machine}`;
     // A machine that hangs can't stop anything.
     if (this.network.hangs(machine)) return;
     this.#members.get(key)?.process.kill('SIGKILL');
@@ -83,12 +83,12 @@
     return [...this.#members.values()];
   }
 
-  memberOf(task: string): RunningMember | undefined {
-    return this.members.find((member) => member.task === task);
+  memberOf(taskName: string): RunningMember | undefined {
+    return this.members.find((member) => member.task === taskName);
   }
 
-  killMember(task: string): void {
-    this.memberOf(task)?.process.kill('SIGKILL');
+  killMember(taskName: string): void {
+    this.memberOf(taskName)?.process.kill('SIGKILL');
   }
 
   /** The machine stands still with all that is on it. Returns what lets it go on. */
--- a/packages/testkit/src/loopback.ts
+++ b/packages/testkit/src/loopback.ts
@@ -196,7 +196,7 @@
       capacity: Math.ceil(options.machines / ZONES.length),
       onUp: ({ name, type, zone, spot }) => {
         const worker = new SimWorker(this, name, type, zone, spot);
-        worker.done = (task) => this.running.delete(task);
+        worker.done = (taskName) => this.running.delete(taskName);
         this.workers.set(name, worker);
       },
       onReturned: (name) => {
@@ -359,8 +359,8 @@
 
   /** How many tasks of the team's jobs of that kind run. */
   runningOf(team: string, kind: JobSpec['kind']): number {
-    const isIt = (task: string): boolean => {
-      const spec = this.job(task.split('/')[0]!);
+    const isIt = (taskName: string): boolean => {
+      const spec = this.job(taskName.split('/')[0]!);
       return spec?.team === team && spec.kind === kind;
     };
     return [...this.running.keys()].filter(isIt).length;
@@ -377,14 +377,14 @@
   }
 
   // eslint-disable-next-line @typescript-eslint/no-unused-vars
-  onTask(task: string, machine: string, _attempt: number): void {
-    const other = this.running.get(task);
-    if (other !== undefined && other !== machine) this.breach('ran_twice', `${task} on ${machine} and ${other}`);
-    this.running.set(task, machine);
+  onTask(taskName: string, machine: string, _attempt: number): void {
+    const other = this.running.get(taskName);
+    if (other !== undefined && other !== machine) this.breach('ran_twice', `${taskName} on ${machine} and ${other}`);
+    this.running.set(taskName, machine);
   }
 
-  offTask(task: string, machine: string): void {
-    if (this.running.get(task) === machine) this.running.delete(task);
+  offTask(taskName: string, machine: string): void {
+    if (this.running.get(taskName) === machine) this.running.delete(taskName);
   }
 
   onCommanded(): void {
--- a/packages/testkit/src/member-process.ts
+++ b/packages/testkit/src/member-process.ts
@@ -76,11 +76,11 @@
 
   /** The lease counts from the sending of the question: an answer that comes late gives so much less. */
   async #meet(): Promise<void> {
-    const { task, attempt, controllers } = this.options;
+    const { task: taskName, attempt, controllers } = this.options;
     const sentAt = performance.now();
     const controller = controllers[this.#asked++ % controllers.length]!;
     try {
-      const question = encodeRendezvousQuestion({ task, attempt });
+      const question = encodeRendezvousQuestion({ task: taskName, attempt });
       const { status, body } = await this.#http(controller, 'POST', RENDEZVOUS_PATH, question, REQUEST_MS);
       if (status === 200) {
         this.#group = decodeRendezvousAnswer(body);
--- a/packages/testkit/src/ownership-audit.ts
+++ b/packages/testkit/src/ownership-audit.ts
@@ -4,8 +4,8 @@
 import { jobRecord, type JobRecord, KEYS, parseTaskName, type Round } from '@gingerlock/wire';
 import type { World } from './world';
 
-function isIn({ from, count }: Round, task: number): boolean {
-  return task >= from && task < from + count;
+function isIn({ from, count }: Round, taskIndex: number): boolean {
+  return taskIndex >= from && taskIndex < from + count;
 }
 
 export class OwnershipAudit {
@@ -18,7 +18,7 @@
     for (const { controller } of this.world.nodes) {
       for (const owner of controller?.owned() ?? []) this.#checkClaims(owner);
     }
-    for (const [task, machine] of this.world.runningTasks()) this.#checkAssigned(task, machine);
+    for (const [taskName, machine] of this.world.runningTasks()) this.#checkAssigned(taskName, machine);
   }
 
   /** A worker is being answered with 200 by a controller that takes itself for the owner of the worker's partition. */
@@ -64,12 +64,12 @@
   }
 
   /** What is assigned to no partition runs nowhere: the leader may assign it to any. */
-  #checkAssigned(task: string, machine: string): void {
-    const { job, index } = parseTaskName(task)!;
+  #checkAssigned(taskName: string, machine: string): void {
+    const { job, index } = parseTaskName(taskName)!;
     const record = this.#recordOf(job);
-    if (record === null || this.world.isDone(task)) return;
+    if (record === null || this.world.isDone(taskName)) return;
     const isAssigned = record.final === null && record.rounds.some((r) => isIn(r, index));
-    if (!isAssigned) this.world.breach('free_but_running', `${task} is assigned nowhere and on ${machine}`);
+    if (!isAssigned) this.world.breach('free_but_running', `${taskName} is assigned nowhere and on ${machine}`);
   }
 
   #recordOf(job: string): JobRecord | null {
--- a/packages/testkit/src/user-faults.ts
+++ b/packages/testkit/src/user-faults.ts
@@ -44,7 +44,9 @@
     case 'cancel now': {
       const jobs = cancelSome(world, fault.count, 200);
       world.came('cancelled', jobs.size);
-      const on = [...world.runningTasks()].filter(([task]) => jobs.has(parseTaskName(task)!.job)).map(([, m]) => m);
+      const on = [...world.runningTasks()]
+        .filter(([taskName]) => jobs.has(parseTaskName(taskName)!.job))
+        .map(([, m]) => m);
       if (fault.hangMs > 0) for (const name of [...new Set(on)].slice(0, 8)) network.freeze(name, fault.hangMs);
       return;
     }
@@ -99,7 +101,7 @@
 
 /** Users call off some jobs that run, within so many milliseconds; returns which. */
 function cancelSome(world: World, count: number, withinMs: number): Set<string> {
-  const running = new Set([...world.runningTasks().keys()].map((task) => parseTaskName(task)!.job));
+  const running = new Set([...world.runningTasks().keys()].map((taskName) => parseTaskName(taskName)!.job));
   const jobs = world.users
     .open()
     .map((t) => t.spec.id)
--- a/packages/testkit/src/worker.ts
+++ b/packages/testkit/src/worker.ts
@@ -45,14 +45,14 @@
   /** Whether the job was submitted with a mistake: its tasks end with an error wherever they run. */
   isBroken(id: string): boolean;
   /** A task now is on this machine, or no longer is. */
-  onTask(task: string, machine: string, attempt: number): void;
-  offTask(task: string, machine: string): void;
+  onTask(taskName: string, machine: string, attempt: number): void;
+  offTask(taskName: string, machine: string): void;
   /** By task: for how long it had run when it was last saved. */
   readonly savedMs: ReadonlyMap<string, number>;
   /** A task that had run for so long was stopped, with what it did saved or lost. */
-  stoppedTask(task: string, runMs: number, isSaved: boolean): void;
+  stoppedTask(taskName: string, runMs: number, isSaved: boolean): void;
   /** A start command that was not known yet has come. */
-  onCommanded(task: string, attempt: number, machine: string): void;
+  onCommanded(taskName: string, attempt: number, machine: string): void;
 }
 
 /** A stand-in of one worker, by the protocol's page. */
@@ -273,13 +273,13 @@
     });
   }
 
-  #start(task: string, attempt: number): void {
+  #start(taskName: string, attempt: number): void {
     const { world } = this;
     const { sim } = world;
-    const parsed = parseTaskName(task);
+    const parsed = parseTaskName(taskName);
     const job = parsed === null ? undefined : world.job(parsed.job);
     const t: RunningTask = {
-      task,
+      task: taskName,
       attempt,
       state: 'fetching',
       cause: null,
@@ -287,8 +287,8 @@
       runsSince: null,
       cancelTimer: () => undefined,
     };
-    const busy = [...this.tasks.values()].some((o) => o.task === task && o.state !== 'exited');
-    this.tasks.set(`${task} ${attempt}`, t);
+    const busy = [...this.tasks.values()].some((o) => o.task === taskName && o.state !== 'exited');
+    this.tasks.set(`${taskName} ${attempt}`, t);
     if (job === undefined || busy) {
       t.state = 'exited';
       t.cause = job === undefined ? 'unknown' : 'busy';
@@ -298,11 +298,11 @@
       this.#images.add(job.image);
       t.state = 'running';
       t.runsSince = sim.now;
-      world.onTask(task, this.name, attempt);
+      world.onTask(taskName, this.name, attempt);
       this.#changed();
       if (this.unhealthy || world.isBroken(job.id)) t.cancelTimer = this.#after(300, () => this.#exit(t, 'error'));
       else if (job.kind === 'array') {
-        const leftMs = job.estimateS * 1000 * (0.5 + sim.random()) - (world.savedMs.get(task) ?? 0);
+        const leftMs = job.estimateS * 1000 * (0.5 + sim.random()) - (world.savedMs.get(taskName) ?? 0);
         t.cancelTimer = this.#after(Math.max(0, leftMs) * this.slowness, () => this.#exit(t, 'done'));
       }
     });
@@ -317,13 +317,13 @@
   }
 
   /** A task has ended by itself, with an error. */
-  fail(task: string, attempt: number): void {
-    const running = this.tasks.get(`${task} ${attempt}`);
+  fail(taskName: string, attempt: number): void {
+    const running = this.tasks.get(`${taskName} ${attempt}`);
     if (running?.state === 'running') this.#exit(running, 'error');
   }
 
   /** Told of every completed task. */
-  done: (task: string) => void = () => undefined;
+  done: (taskName: string) => void = () => undefined;
 
   /** A change is reported soon: the pending timer is brought forward. */
   #changed(): void {
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -331,10 +331,10 @@
 
   #up({ name, type, zone, spot }: RentedMachine): void {
     const worker = new SimWorker(this, name, type, zone, spot);
-    worker.done = (task) => {
-      const { job } = parseTaskName(task)!;
+    worker.done = (taskName) => {
+      const { job } = parseTaskName(taskName)!;
       const done = this.#done.get(job) ?? new Set();
-      this.#done.set(job, done.add(task));
+      this.#done.set(job, done.add(taskName));
       if (done.size === this.job(job)!.tasks && this.sim.random() < this.cancelAtEnd) void this.users.cancel(job);
     };
     this.workers.set(name, worker);
@@ -365,19 +365,20 @@
     this.breaches.push({ rule, at: this.sim.now, detail });
   }
 
-  onTask(task: string, machine: string): void {
+  onTask(taskName: string, machine: string): void {
     this.startsSeen++;
-    const { job } = parseTaskName(task)!;
+    const { job } = parseTaskName(taskName)!;
     const spec = this.job(job)!;
     const worker = this.workers.get(machine)!;
     this.liveness.taskStarted(job, machine);
     this.operations.started(job);
-    const other = this.#on.get(task);
-    if (other !== undefined && other !== machine) this.breach('ran_twice', `${task} on ${machine} and ${other}`);
-    this.#put(task, machine, spec);
-    if (spec.zone !== null && spec.zone !== worker.zone) this.breach('wrong_place', `${task} in zone ${worker.zone}`);
-    if (worker.spot && !spec.spot) this.breach('wrong_place', `${task} on spot`);
-    if (spec.types?.includes(worker.type) === false) this.breach('wrong_place', `${task} on type ${worker.type}`);
+    const other = this.#on.get(taskName);
+    if (other !== undefined && other !== machine) this.breach('ran_twice', `${taskName} on ${machine} and ${other}`);
+    this.#put(taskName, machine, spec);
+    if (spec.zone !== null && spec.zone !== worker.zone)
+      this.breach('wrong_place', `${taskName} in zone ${worker.zone}`);
+    if (worker.spot && !spec.spot) this.breach('wrong_place', `${taskName} on spot`);
+    if (spec.types?.includes(worker.type) === false) this.breach('wrong_place', `${taskName} on type ${worker.type}`);
     const zones = [...this.#onByJob.get(job)!].map((t) => this.workers.get(this.#on.get(t)!)?.zone);
     if (spec.oneZone && new Set(zones).size > 1) this.breach('wrong_place', `${job} in ${zones.join()}`);
     if (spec.spread && zones.filter((z) => z === worker.zone).length > Math.ceil(spec.tasks / 2)) {
@@ -389,60 +390,63 @@
     const used = this.#gpusOn.get(machine)!;
     if (used > this.capacityOfType(worker.type).gpus + 1e-9) this.breach('overcommitted', `${machine}: ${used} GPUs`);
     const told = this.users.told.get(job)!;
-    if (!this.users.isReady(told)) this.breach('too_early', `${task} before one of ${spec.awaits.join()}`);
-    this.#checkCancelled(task);
+    if (!this.users.isReady(told)) this.breach('too_early', `${taskName} before one of ${spec.awaits.join()}`);
+    this.#checkCancelled(taskName);
   }
 
-  offTask(task: string, machine: string): void {
-    if (this.#on.get(task) === machine) this.#remove(task, machine);
+  offTask(taskName: string, machine: string): void {
+    if (this.#on.get(taskName) === machine) this.#remove(taskName, machine);
   }
 
-  #put(task: string, machine: string, spec: JobSpec): void {
-    const other = this.#on.get(task);
-    if (other !== undefined) this.#remove(task, other);
-    this.#on.set(task, machine);
+  #put(taskName: string, machine: string, spec: JobSpec): void {
+    const other = this.#on.get(taskName);
+    if (other !== undefined) this.#remove(taskName, other);
+    this.#on.set(taskName, machine);
     const ofJob = this.#onByJob.get(spec.id) ?? new Set();
-    this.#onByJob.set(spec.id, ofJob.add(task));
+    this.#onByJob.set(spec.id, ofJob.add(taskName));
     this.#gpusOf.set(spec.team, (this.#gpusOf.get(spec.team) ?? 0) + spec.gpus);
     this.#gpusOn.set(machine, (this.#gpusOn.get(machine) ?? 0) + spec.gpus);
   }
 
-  #remove(task: string, machine: string): void {
-    const { id, team, gpus } = this.job(parseTaskName(task)!.job)!;
-    this.#on.delete(task);
-    this.#onByJob.get(id)!.delete(task);
+  #remove(taskName: string, machine: string): void {
+    const { id, team, gpus } = this.job(parseTaskName(taskName)!.job)!;
+    this.#on.delete(taskName);
+    this.#onByJob.get(id)!.delete(taskName);
     this.#gpusOf.set(team, this.#gpusOf.get(team)! - gpus);
     this.#gpusOn.set(machine, this.#gpusOn.get(machine)! - gpus);
   }
 
-  #checkCancelled(task: string): void {
-    const { cancelledAt } = this.users.told.get(parseTaskName(task)!.job)!;
+  #checkCancelled(taskName: string): void {
+    const { cancelledAt } = this.users.told.get(parseTaskName(taskName)!.job)!;
     if (cancelledAt === null) return;
     const since = this.sim.now - cancelledAt;
     this.longestCancelledMs = Math.max(this.longestCancelledMs, since);
     if (since <= this.cancellationBoundMs) return;
-    const machine = this.#on.get(task)!;
-    this.breach('ran_cancelled', `${task} on ${machine}${this.network.standsStill(machine) ? ', which hangs' : ''}`);
+    const machine = this.#on.get(taskName)!;
+    this.breach(
+      'ran_cancelled',
+      `${taskName} on ${machine}${this.network.standsStill(machine) ? ', which hangs' : ''}`,
+    );
   }
 
-  stoppedTask(task: string, runMs: number, isSaved: boolean): void {
-    if (isSaved) this.savedMs.set(task, (this.savedMs.get(task) ?? 0) + runMs);
-    else this.lostGpuSeconds += (runMs / 1000) * this.job(parseTaskName(task)!.job)!.gpus;
+  stoppedTask(taskName: string, runMs: number, isSaved: boolean): void {
+    if (isSaved) this.savedMs.set(taskName, (this.savedMs.get(taskName) ?? 0) + runMs);
+    else this.lostGpuSeconds += (runMs / 1000) * this.job(parseTaskName(taskName)!.job)!.gpus;
   }
 
   /** A start command has come to a worker. */
-  onCommanded(task: string, attempt: number, machine: string): void {
-    this.groups.started(task, attempt, machine);
-    const { cancelledAt } = this.users.told.get(parseTaskName(task)?.job ?? '') ?? { cancelledAt: null };
+  onCommanded(taskName: string, attempt: number, machine: string): void {
+    this.groups.started(taskName, attempt, machine);
+    const { cancelledAt } = this.users.told.get(parseTaskName(taskName)?.job ?? '') ?? { cancelledAt: null };
     if (cancelledAt === null) return;
     this.came('started though cancelled');
     // An owner starts tasks for a tenth of `cancel_s` after its last look at the jobs; its answer counts for 4 s.
-    if (this.sim.now - cancelledAt > this.cancellationBoundMs / 10 + 4000) this.breach('start_cancelled', task);
+    if (this.sim.now - cancelledAt > this.cancellationBoundMs / 10 + 4000) this.breach('start_cancelled', taskName);
   }
 
   /** Checks what only time can show. */
   audit(): void {
-    for (const task of this.#on.keys()) this.#checkCancelled(task);
+    for (const taskName of this.#on.keys()) this.#checkCancelled(taskName);
     this.ownership.audit();
     this.liveness.audit(this.quietAt);
     this.operations.audit(this.quietAt);
@@ -500,8 +504,8 @@
     return this.brokenJobs.has(id);
   }
 
-  isDone(task: string): boolean {
-    return this.#done.get(parseTaskName(task)!.job)?.has(task) ?? false;
+  isDone(taskName: string): boolean {
+    return this.#done.get(parseTaskName(taskName)!.job)?.has(taskName) ?? false;
   }
 
   doneOf(id: string): number {
--- a/packages/wire/src/records.ts
+++ b/packages/wire/src/records.ts
@@ -278,7 +278,7 @@
     m: r.machine,
     j: r.job,
     t: r.tasks,
-    v: r.victims.map(({ task, attempt }) => [task, integer(attempt)]),
+    v: r.victims.map(({ task: taskName, attempt }) => [taskName, integer(attempt)]),
     at: r.decidedAt,
     w: r.reason === 'priority' ? 'p' : 'g',
   }),
@@ -288,7 +288,7 @@
       machine: r.m,
       job: r.j,
       tasks: r.t,
-      victims: r.v.map(([task, attempt]) => ({ task, attempt })),
+      victims: r.v.map(([taskName, attempt]) => ({ task: taskName, attempt })),
       decidedAt: r.at,
       reason: r.w === 'p' ? 'priority' : 'guarantee',
     };
--- a/packages/wire/src/rendezvous.ts
+++ b/packages/wire/src/rendezvous.ts
@@ -36,13 +36,13 @@
 const checkQuestion = checker(Type.Object({ parcel: Type.String(), try: Type.Integer({ minimum: 0 }) }));
 
 export function encodeRendezvousQuestion({
-  task,
+  task: taskName,
   attempt,
 }: {
   readonly task: string;
   readonly attempt: number;
 }): Buffer {
-  return encode({ parcel: task, try: integer(attempt) });
+  return encode({ parcel: taskName, try: integer(attempt) });
 }
 
 /** Throws `Malformed` if the body is no question. */
