--- a/packages/borrowing/src/execution.ts
+++ b/packages/borrowing/src/execution.ts
@@ -8,7 +8,7 @@
   NO_RESOURCES,
   addResources,
   type Reservations,
-  type Slot,
+  type TaskEntry,
 } from '@gingerlock/core';
 import { type ReclaimRecord, taskName } from '@gingerlock/wire';
 import { reclaimBoundMs, saveGraceS } from './settings';
@@ -76,7 +76,7 @@
   }
 
   /** Takes the next steps that what is known allows; returns the tasks that are to be told to stop now. */
-  step(table: ClaimTable, wallNow: number, now: number): readonly Slot[] {
+  step(table: ClaimTable, wallNow: number, now: number): readonly TaskEntry[] {
     if (this.isOver) return [];
     const waiting = waitingTasks(table, this.record);
     if (waiting.length === 0) {
@@ -98,7 +98,12 @@
     return this.#proceed(table, machine, waiting, victims);
   }
 
-  #proceed(table: ClaimTable, machine: Machine, waiting: readonly Slot[], victims: readonly Slot[]): readonly Slot[] {
+  #proceed(
+    table: ClaimTable,
+    machine: Machine,
+    waiting: readonly TaskEntry[],
+    victims: readonly TaskEntry[],
+  ): readonly TaskEntry[] {
     const need = sumOf(waiting);
     const available = addResources(table.freeResources(machine), sumOf(victims));
     // Nobody is stopped in vain.
@@ -110,33 +115,33 @@
       if (this.#state !== 'freed') this.#move('freed');
       return [];
     }
-    if (this.#state === 'decided') this.#move('stopping', { victims: victims.map((slot) => slot.name) });
-    const stopped = victims.filter((slot) => slot.claim!.stopGraceS === null);
-    for (const slot of stopped) slot.claim!.stopGraceS = saveGraceS(slot.job.spec);
+    if (this.#state === 'decided') this.#move('stopping', { victims: victims.map((task) => task.name) });
+    const stopped = victims.filter((task) => task.claim!.stopGraceS === null);
+    for (const task of stopped) task.claim!.stopGraceS = saveGraceS(task.job.spec);
     return stopped;
   }
 }
 
-function slotsOf(table: ClaimTable, { job, tasks }: ReclaimRecord): Slot[] {
-  return tasks.flatMap((index) => table.slotOf(taskName(job, index)) ?? []);
+function tasksOf(table: ClaimTable, { job, tasks }: ReclaimRecord): TaskEntry[] {
+  return tasks.flatMap((index) => table.findTask(taskName(job, index)) ?? []);
 }
 
 /** The tasks that the room is kept for and that no machine holds yet. */
-export function waitingTasks(table: ClaimTable, record: ReclaimRecord): Slot[] {
-  const isWaiting = ({ state, job }: Slot): boolean =>
+export function waitingTasks(table: ClaimTable, record: ReclaimRecord): TaskEntry[] {
+  const isWaiting = ({ state, job }: TaskEntry): boolean =>
     !job.cancelled && (state === 'waiting' || state === 'uncertain' || state === 'leaving');
-  return slotsOf(table, record).filter(isWaiting);
+  return tasksOf(table, record).filter(isWaiting);
 }
 
 function hasGranted(table: ClaimTable, record: ReclaimRecord): boolean {
-  return slotsOf(table, record).some(({ state }) => state === 'claimed' || state === 'finishing');
+  return tasksOf(table, record).some(({ state }) => state === 'claimed' || state === 'finishing');
 }
 
 /** The victims that the machine still holds, under the very attempts that the record names. */
-function heldVictims(table: ClaimTable, { machine, victims }: ReclaimRecord): Slot[] {
+function heldVictims(table: ClaimTable, { machine, victims }: ReclaimRecord): TaskEntry[] {
   return victims.flatMap(({ task: taskName, attempt }) => {
-    const slot = table.slotOf(taskName);
-    return slot?.claim?.machine.name === machine && slot.claim.attempt === attempt ? slot : [];
+    const task = table.findTask(taskName);
+    return task?.claim?.machine.name === machine && task.claim.attempt === attempt ? task : [];
   });
 }
 
@@ -146,12 +151,12 @@
   return table.unheard.has(name) || (machine !== undefined && !machine.synchronised && machine.answeredAt !== null);
 }
 
-function longestGraceS(victims: readonly Slot[]): number {
-  return Math.max(0, ...victims.map((slot) => saveGraceS(slot.job.spec)));
+function longestGraceS(victims: readonly TaskEntry[]): number {
+  return Math.max(0, ...victims.map((task) => saveGraceS(task.job.spec)));
 }
 
-function sumOf(slots: readonly Slot[]): Resources {
-  return slots.reduce((sum, slot) => addResources(sum, slot.job.spec), NO_RESOURCES);
+function sumOf(tasks: readonly TaskEntry[]): Resources {
+  return tasks.reduce((sum, task) => addResources(sum, task.job.spec), NO_RESOURCES);
 }
 
 /** The reclaims of one partition, and the room that they keep. */
@@ -198,7 +203,7 @@
   }
 
   /** Takes the next steps of all reclaims; returns the tasks that are to be told to stop now. */
-  step(table: ClaimTable, wallNow: number, now: number): readonly Slot[] {
+  step(table: ClaimTable, wallNow: number, now: number): readonly TaskEntry[] {
     return this.all.flatMap((reclaim) => reclaim.step(table, wallNow, now));
   }
 
--- a/packages/borrowing/test/execution.test.ts
+++ b/packages/borrowing/test/execution.test.ts
@@ -1,7 +1,7 @@
 // The states of a reclaim at the owner of its machine, driven by what a claim table knows.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { ClaimTable, JobTable, type Slot } from '@gingerlock/core';
+import { ClaimTable, JobTable, type TaskEntry } from '@gingerlock/core';
 import { jobRecord, type ReclaimRecord, type ReportedTask, type WorkerReport } from '@gingerlock/wire';
 import { PartitionReclaims, type Reclaim, reclaimBoundMs } from '../src/index';
 import { clusterConfigOf, jobOf, teamOf } from './fixtures';
@@ -90,7 +90,7 @@
     }
   }
 
-  held(): Slot[] {
+  held(): TaskEntry[] {
     return [...this.table.machines.get('m')!.claims.values()];
   }
 
@@ -100,14 +100,14 @@
       machine: 'm',
       job: 'j-000002',
       tasks: [0, 1],
-      victims: taken.map((slot) => ({ task: slot.name, attempt: slot.claim!.attempt })),
+      victims: taken.map((task) => ({ task: task.name, attempt: task.claim!.attempt })),
       decidedAt: 0,
       reason: 'priority',
       ...over,
     };
   }
 
-  step(record: ReclaimRecord, wall = 0): readonly Slot[] {
+  step(record: ReclaimRecord, wall = 0): readonly TaskEntry[] {
     this.reclaims.sync(new Map([['1-1', record]]));
     return this.reclaims.step(this.table, wall, this.now);
   }
@@ -122,7 +122,7 @@
   const record = scene.recordOf(2);
   const stopped = scene.step(record);
   assert.deepEqual(
-    stopped.map((slot) => [slot.name, slot.claim!.stopGraceS]),
+    stopped.map((task) => [task.name, task.claim!.stopGraceS]),
     record.victims.map(({ task }) => [task, 5]),
   );
   // Work that is as urgent and came earlier waits for room, too.
@@ -134,7 +134,7 @@
   scene.step(record);
   scene.report();
   scene.step(record);
-  const names = scene.held().map((slot) => slot.job.id);
+  const names = scene.held().map((task) => task.job.id);
   assert.deepEqual(names.filter((id) => id !== 'j-000001').sort(), ['j-000002', 'j-000002']);
   assert.deepEqual(scene.moves, ['stopping', 'granted']);
 });
--- a/packages/core/src/claim-queries.ts
+++ b/packages/core/src/claim-queries.ts
@@ -12,7 +12,7 @@
 } from './facts';
 import { PRIORITIES } from '@gingerlock/wire';
 import { type Job, jobOrder } from './jobs';
-import type { Machine, Slot } from './slots';
+import type { Machine, TaskEntry } from './task-entry';
 
 /** A partition of which most machines have not been heard for so many report intervals after its takeover is cut off. */
 const CUT_INTERVALS = 4;
@@ -21,21 +21,21 @@
 const MOVING_INTERVALS = 2;
 
 /** Whether a replica that was moved waits for a machine here that has its image. */
-export function isMovingOn(slot: Slot, now: number, clusterConfig: ClusterConfig): boolean {
-  return slot.moving && now - slot.since < clusterConfig.heartbeatIntervalMs * MOVING_INTERVALS;
+export function isMovingOn(task: TaskEntry, now: number, clusterConfig: ClusterConfig): boolean {
+  return task.moving && now - task.since < clusterConfig.heartbeatIntervalMs * MOVING_INTERVALS;
 }
 
 /** Tasks by their jobs, each once. */
 class TasksByJob {
-  readonly #jobs = new Map<string, Set<Slot>>();
+  readonly #jobs = new Map<string, Set<TaskEntry>>();
 
-  add(slot: Slot): void {
-    const tasks = this.#jobs.get(slot.job.id);
-    if (tasks === undefined) this.#jobs.set(slot.job.id, new Set([slot]));
-    else tasks.add(slot);
+  add(task: TaskEntry): void {
+    const tasks = this.#jobs.get(task.job.id);
+    if (tasks === undefined) this.#jobs.set(task.job.id, new Set([task]));
+    else tasks.add(task);
   }
 
-  lists(): Map<string, Slot[]> {
+  lists(): Map<string, TaskEntry[]> {
     return new Map([...this.#jobs].map(([job, tasks]) => [job, [...tasks]]));
   }
 }
@@ -44,24 +44,24 @@
  * Tasks that can be given back to the leader, by job: those of cancelled jobs that surely run nowhere, those of failing jobs that
  * are no trial, members of a replica group of which the generation ends, and those that have waited a while for room that this partition does not have.
  */
-export function returnableTasks(table: ClaimView, stuck: readonly Slot[], now: number): Map<string, Slot[]> {
+export function returnableTasks(table: ClaimView, stuck: readonly TaskEntry[], now: number): Map<string, TaskEntry[]> {
   const { heartbeatIntervalMs } = table.clusterConfig;
   const back = new TasksByJob();
-  for (const slots of table.slots.values()) {
-    for (const slot of slots.values()) {
-      if (slot.job.cancelled && (slot.state === 'waiting' || slot.state === 'finishing')) back.add(slot);
-      if (slot.job.isGroup && slot.state === 'waiting' && table.members.mustReturn(slot)) back.add(slot);
+  for (const tasksByIndex of table.tasksByJob.values()) {
+    for (const task of tasksByIndex.values()) {
+      if (task.job.cancelled && (task.state === 'waiting' || task.state === 'finishing')) back.add(task);
+      if (task.job.isGroup && task.state === 'waiting' && table.members.mustReturn(task)) back.add(task);
     }
   }
-  for (const slot of stuck) {
-    if (slot.state === 'waiting' && (now - slot.since > heartbeatIntervalMs / 2 || slot.moving)) back.add(slot);
+  for (const task of stuck) {
+    if (task.state === 'waiting' && (now - task.since > heartbeatIntervalMs / 2 || task.moving)) back.add(task);
   }
   for (const job of table.wakes()) {
     const isFailing = table.isFailing(job);
-    for (const slot of table.waitingSlots(job)) {
-      if (isFailing && !table.mayStart(slot) && now - slot.since > heartbeatIntervalMs) back.add(slot);
-      const isCached = slot.plan?.machine.cache.has(job.spec.image) ?? true;
-      if (!isCached && isMovingOn(slot, now, table.clusterConfig)) back.add(slot);
+    for (const task of table.waitingTasks(job)) {
+      if (isFailing && !table.mayStart(task) && now - task.since > heartbeatIntervalMs) back.add(task);
+      const isCached = task.plan?.machine.cache.has(job.spec.image) ?? true;
+      if (!isCached && isMovingOn(task, now, table.clusterConfig)) back.add(task);
     }
   }
   return back.lists();
@@ -81,22 +81,22 @@
  * one team ahead of them, all others' waited for the limit on changes. What has waited for a lease goes before.
  */
 export function tasksToFinish(
-  { slots: jobs, clusterConfig }: ClaimView,
+  { tasksByJob: jobs, clusterConfig }: ClaimView,
   now: number,
   patienceMs: number,
-): Map<string, Slot[]> {
-  const ready: { readonly job: Job; readonly slots: Slot[]; readonly isOverdue: boolean }[] = [];
-  for (const slots of jobs.values()) {
-    const all = [...slots.values()];
+): Map<string, TaskEntry[]> {
+  const ready: { readonly job: Job; readonly tasks: TaskEntry[]; readonly isOverdue: boolean }[] = [];
+  for (const tasksByIndex of jobs.values()) {
+    const all = [...tasksByIndex.values()];
     const finished = all.filter((s) => s.state === 'finishing' && !s.job.cancelled);
     if (finished.length === 0) continue;
     const oldest = finished.reduce((least, { since }) => Math.min(least, since), Infinity);
     const mayWait = finished.length < all.length && isUnlimited(finished[0]!.job, clusterConfig);
     if (mayWait && now - oldest < patienceMs) continue;
-    ready.push({ job: finished[0]!.job, slots: finished, isOverdue: now - oldest > clusterConfig.workerLeaseMs });
+    ready.push({ job: finished[0]!.job, tasks: finished, isOverdue: now - oldest > clusterConfig.workerLeaseMs });
   }
   ready.sort((a, b) => Number(b.isOverdue) - Number(a.isOverdue) || jobOrder(a.job, b.job));
-  return new Map(ready.map(({ job, slots }) => [job.id, slots]));
+  return new Map(ready.map(({ job, tasks }) => [job.id, tasks]));
 }
 
 /**
@@ -115,8 +115,8 @@
       return NO_RESOURCES;
   }
   let sum = NO_RESOURCES;
-  for (const slots of table.slots.values()) {
-    for (const { state, job, since } of slots.values()) {
+  for (const tasksByIndex of table.tasksByJob.values()) {
+    for (const { state, job, since } of tasksByIndex.values()) {
       if (state !== 'uncertain' || job.spec.kind !== 'service' || job.cancelled) continue;
       if (now - since > clusterConfig.heartbeatIntervalMs * SUSPECT_INTERVALS) sum = addResources(sum, job.spec);
     }
@@ -127,9 +127,10 @@
 /** How many tasks of each job run in the partition, for display. */
 export function runningTasks(table: ClaimView): Map<string, number> {
   const counts = new Map<string, number>();
-  for (const [id, slots] of table.slots) {
+  for (const [id, tasksByIndex] of table.tasksByJob) {
     let running = 0;
-    for (const { claim } of slots.values()) if (claim?.stage === 'running' || claim?.stage === 'saving') running++;
+    for (const { claim } of tasksByIndex.values())
+      if (claim?.stage === 'running' || claim?.stage === 'saving') running++;
     if (running > 0) counts.set(id, running);
   }
   return counts;
@@ -147,7 +148,7 @@
 export function plannedByRank(claimTable: ClaimView): Map<Machine, Resources[]> {
   const planned = new Map<Machine, Resources[]>();
   for (const job of claimTable.wakes()) {
-    for (const { plan } of claimTable.waitingSlots(job)) {
+    for (const { plan } of claimTable.waitingTasks(job)) {
       if (plan === null) continue;
       const byRank = planned.get(plan.machine) ?? PRIORITIES.map(() => NO_RESOURCES);
       const rank = toldRank(job);
--- a/packages/core/src/claim-view.ts
+++ b/packages/core/src/claim-view.ts
@@ -4,7 +4,7 @@
 import type { Job } from './jobs';
 import type { MemberPolicy } from './members';
 import type { Reservations } from './reservations';
-import type { Machine, Slot } from './slots';
+import type { Machine, TaskEntry } from './task-entry';
 
 export interface ClaimView {
   readonly clusterConfig: ClusterConfig;
@@ -17,7 +17,7 @@
   /** Machines of the membership that may run tasks of an earlier owner. */
   readonly unheard: ReadonlyMap<string, string>;
   /** By job and number. */
-  readonly slots: ReadonlyMap<string, ReadonlyMap<number, Slot>>;
+  readonly tasksByJob: ReadonlyMap<string, ReadonlyMap<number, TaskEntry>>;
   readonly types: ReadonlyMap<string, MachineType>;
   /** Whether no machine can hold a task of an earlier owner any more. */
   readonly cleared: boolean;
@@ -27,14 +27,14 @@
   readonly log: (message: string, detail: Record<string, unknown>) => void;
   /** The jobs that may have waiting tasks, in order. */
   wakes(): readonly Job[];
-  waitingSlots(job: Job): Iterable<Slot> & Iterator<Slot>;
+  waitingTasks(job: Job): Iterable<TaskEntry> & Iterator<TaskEntry>;
   typeOf(machine: Machine): MachineType | undefined;
   /** What a machine has left, by its claims and by strays that it reports. */
   freeResources(machine: Machine): Resources;
   takesWork(machine: Machine, now: number): boolean;
   isSuspect(machine: Machine, now: number): boolean;
   isFailing(job: Job): boolean;
-  mayStart(slot: Slot): boolean;
+  mayStart(task: TaskEntry): boolean;
   /** How long until the machine reports, about, or 0 if it can be called. */
   reportsInMs(machine: Machine, now: number): number;
   mayCall(machine: Machine, now: number): boolean;
--- a/packages/core/src/claims.ts
+++ b/packages/core/src/claims.ts
@@ -25,8 +25,8 @@
 import { type MemberPolicy, NO_MEMBERS } from './members';
 import { NO_RESERVATIONS, type Reservations } from './reservations';
 import { ReportIntake } from './report-intake';
-import { SlotTable } from './slot-table';
-import { type Machine, newMachine, type Slot } from './slots';
+import { TaskTable } from './task-table';
+import { type Machine, newMachine, type TaskEntry } from './task-entry';
 import { CALLS_PER_TERM, mayCall, reportsInMs, termOfToken } from './tokens';
 
 export type ReportOutcome =
@@ -76,7 +76,7 @@
   readonly term: number;
   readonly openedAt: number;
   readonly machines = new Map<string, Machine>();
-  readonly #tasks: SlotTable;
+  readonly #tasks: TaskTable;
   readonly #intake: ReportIntake;
   readonly #fence: Fence;
   readonly #goneNames = new Set<string>();
@@ -110,7 +110,7 @@
     this.failures = new FailureAttribution(options.clusterConfig);
     this.log = options.log ?? (() => undefined);
     this.alarm = options.alarm ?? (() => undefined);
-    this.#tasks = new SlotTable({
+    this.#tasks = new TaskTable({
       partitionId: options.partitionId,
       term: options.term,
       jobs: options.jobs,
@@ -159,8 +159,8 @@
 
   // --- tasks -------------------------------------------------------------------------------------------------------
 
-  get slots(): ReadonlyMap<string, ReadonlyMap<number, Slot>> {
-    return this.#tasks.slots;
+  get tasksByJob(): ReadonlyMap<string, ReadonlyMap<number, TaskEntry>> {
+    return this.#tasks.tasksByJob;
   }
 
   /** Goes up with every change that alters rooms or waiting tasks. */
@@ -177,8 +177,8 @@
     return this.#tasks.wakes();
   }
 
-  waitingSlots(job: Job): Generator<Slot> {
-    return this.#tasks.waitingSlots(job);
+  waitingTasks(job: Job): Generator<TaskEntry> {
+    return this.#tasks.waitingTasks(job);
   }
 
   /** The recovery scan: posts every job that has a waiting task and no wake, drops wakes that have none. */
@@ -187,12 +187,12 @@
   }
 
   /** Brings the slots of a job in line with its record. Returns the claims that are to be stopped from now on. */
-  syncJob(id: string, now: number): readonly Slot[] {
+  syncJob(id: string, now: number): readonly TaskEntry[] {
     return this.#tasks.sync(id, now);
   }
 
-  slotOf(taskName: string): Slot | undefined {
-    return this.#tasks.slotOf(taskName);
+  findTask(taskName: string): TaskEntry | undefined {
+    return this.#tasks.findTask(taskName);
   }
 
   // --- machines ----------------------------------------------------------------------------------------------------
@@ -219,8 +219,8 @@
   }
 
   #endClaims(machine: Machine, now: number, why: string): void {
-    for (const slot of [...machine.claims.values()]) {
-      this.#tasks.claimEnded(slot, why, now);
+    for (const task of [...machine.claims.values()]) {
+      this.#tasks.claimEnded(task, why, now);
     }
   }
 
@@ -254,20 +254,20 @@
   }
 
   /** Whether a waiting task may be started: of a failing job only one that the leader has assigned alone, and once. */
-  mayStart({ job, failures }: Slot): boolean {
+  mayStart({ job, failures }: TaskEntry): boolean {
     return !this.isFailing(job) || (job.failing && failures === 0 && assignedUnfinished(job) <= 1);
   }
 
   /** Whether the record of a job of which these tasks are given back is to say that it is failing. */
-  isMarkedOnReturn(job: Job, returned: readonly Slot[], now: number): boolean {
+  isMarkedOnReturn(job: Job, returned: readonly TaskEntry[], now: number): boolean {
     if (job.finishedCount > 0) return false;
     // No machine here is left to try it on: elsewhere it is tried as one that may fail again.
-    const failedHere = returned.some((slot) => slot.failures > 0) && this.#evidenceOn(job.id, now).runningOn === 0;
+    const failedHere = returned.some((task) => task.failures > 0) && this.#evidenceOn(job.id, now).runningOn === 0;
     return failedHere || this.isFailing(job);
   }
 
   #evidenceOn(id: string, now: number): JobEvidence {
-    return evidenceOn(this.#jobs, this.slots, id, now);
+    return evidenceOn(this.#jobs, this.tasksByJob, id, now);
   }
 
   /** What a machine has left, by its claims and by strays that it reports. */
@@ -275,7 +275,7 @@
     const type = this.typeOf(machine);
     if (type === undefined) return NO_RESOURCES;
     let available: Resources = { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb };
-    for (const slot of machine.claims.values()) available = subtractResources(available, slot.job.spec);
+    for (const task of machine.claims.values()) available = subtractResources(available, task.job.spec);
     for (const reported of machine.reported) {
       if (reported.state === 'exited' || machine.claims.has(reported.task)) continue;
       const parsed = parseTaskName(reported.task);
@@ -403,19 +403,19 @@
   #grant(m: Machine, now: number, commands: WorkerCommand[]): void {
     if (!m.isMember || !this.takesWork(m, now)) return;
     const capacity = new GrantCapacity(this.freeResources(m), this.reservations, m.name);
-    for (const slot of bindable(this, m, capacity, now)) {
+    for (const task of bindable(this, m, capacity, now)) {
       // A number that was given out is never given out again: it would be taken for the task of the next term.
       if (this.#counter >= this.#attemptsPerTerm - 1) return;
-      commands.push(this.#bind(m, slot, now));
-      capacity.take(slot);
+      commands.push(this.#bind(m, task, now));
+      capacity.take(task);
     }
   }
 
-  #bind(m: Machine, slot: Slot, now: number): WorkerCommand {
+  #bind(m: Machine, task: TaskEntry, now: number): WorkerCommand {
     const attempt = this.term * ATTEMPTS_PER_TERM + ++this.#counter;
-    const cached = m.cache.has(slot.job.spec.image);
-    const waitedMs = Math.round(now - slot.since);
-    this.#tasks.move(slot, 'claimed', now, {
+    const cached = m.cache.has(task.job.spec.image);
+    const waitedMs = Math.round(now - task.since);
+    this.#tasks.transition(task, 'claimed', now, {
       machine: m,
       attempt,
       session: m.session,
@@ -424,19 +424,20 @@
       runningSince: null,
       stopGraceS: null,
     });
-    slot.moving = false;
-    slot.startedIn = this.members.generationOf(slot.job);
-    this.log('task bound', { task: slot.name, machine: m.name, attempt, cached, waitedMs });
-    this.#intake.useImage(m, slot.job);
-    return { op: 'start', task: slot.name, attempt };
+    task.moving = false;
+    task.startedIn = this.members.generationOf(task.job);
+    this.log('task bound', { task: task.name, machine: m.name, attempt, cached, waitedMs });
+    this.#intake.useImage(m, task.job);
+    return { op: 'start', task: task.name, attempt };
   }
 
   // --- time --------------------------------------------------------------------------------------------------------
 
   #clear(now: number): void {
     if (this.cleared || !this.#fence.clear(now, (name) => this.machines.get(name)?.answeredAt ?? null)) return;
-    for (const slots of this.slots.values()) {
-      for (const slot of slots.values()) if (slot.state === 'uncertain') this.#tasks.move(slot, 'waiting', now);
+    for (const tasksByIndex of this.tasksByJob.values()) {
+      for (const task of tasksByIndex.values())
+        if (task.state === 'uncertain') this.#tasks.transition(task, 'waiting', now);
     }
     this.log('part cleared', { partitionId: this.partitionId, term: this.term });
   }
@@ -461,27 +462,27 @@
   }
 
   /** The tasks that can be given back to the leader, by job; see `returnableTasks`. */
-  giveBack(stuck: readonly Slot[], now: number): Map<string, Slot[]> {
+  giveBack(stuck: readonly TaskEntry[], now: number): Map<string, TaskEntry[]> {
     return returnableTasks(this, stuck, now);
   }
 
   /** The record's change is on its way: until its outcome is known nobody may be granted these. */
-  leaving(slots: readonly Slot[], now: number): void {
-    for (const slot of slots) {
-      if (slot.state !== 'waiting') continue;
-      this.#tasks.move(slot, 'leaving', now);
-      slot.leavingVersion = slot.job.version;
+  leaving(tasks: readonly TaskEntry[], now: number): void {
+    for (const task of tasks) {
+      if (task.state !== 'waiting') continue;
+      this.#tasks.transition(task, 'leaving', now);
+      task.leavingVersion = task.job.version;
     }
   }
 
   /** The change that would have given these back did not happen and never will. */
-  stayed(slots: readonly Slot[], now: number): void {
-    for (const slot of slots)
-      if (slot.state === 'leaving' && this.slotOf(slot.name) === slot) this.#tasks.move(slot, 'waiting', now);
+  stayed(tasks: readonly TaskEntry[], now: number): void {
+    for (const task of tasks)
+      if (task.state === 'leaving' && this.findTask(task.name) === task) this.#tasks.transition(task, 'waiting', now);
   }
 
   /** The completed tasks that are to be written now, by job; see `tasksToFinish`. */
-  finishing(now: number, patienceMs: number): Map<string, Slot[]> {
+  finishing(now: number, patienceMs: number): Map<string, TaskEntry[]> {
     return tasksToFinish(this, now, patienceMs);
   }
 
--- a/packages/core/src/grant-capacity.ts
+++ b/packages/core/src/grant-capacity.ts
@@ -1,7 +1,7 @@
 // The room of a machine that reports, while tasks are bound to it.
 import { type Resources, fitsIn, NO_RESOURCES, subtractResources } from './facts';
 import type { Reservations } from './reservations';
-import type { Slot } from './slots';
+import type { TaskEntry } from './task-entry';
 
 /** What a machine that reports has for tasks: for most of them without the room that is kept there for others. */
 export class GrantCapacity {
@@ -21,17 +21,17 @@
     this.#open = this.hasReservations ? subtractResources(free, reserved) : free;
   }
 
-  fits(slot: Slot): boolean {
-    return fitsIn(slot.job.spec, this.#isReservedFor(slot) ? this.#free : this.#open);
+  fits(task: TaskEntry): boolean {
+    return fitsIn(task.job.spec, this.#isReservedFor(task) ? this.#free : this.#open);
   }
 
   /** Counts a task in that is claimed here now; what was kept for it is kept no more. */
-  take(slot: Slot): void {
-    this.#free = subtractResources(this.#free, slot.job.spec);
-    if (!this.#isReservedFor(slot)) this.#open = subtractResources(this.#open, slot.job.spec);
+  take(task: TaskEntry): void {
+    this.#free = subtractResources(this.#free, task.job.spec);
+    if (!this.#isReservedFor(task)) this.#open = subtractResources(this.#open, task.job.spec);
   }
 
-  #isReservedFor(slot: Slot): boolean {
-    return this.hasReservations && this.reservations.reservedMachineFor(slot.name) === this.machine;
+  #isReservedFor(task: TaskEntry): boolean {
+    return this.hasReservations && this.reservations.reservedMachineFor(task.name) === this.machine;
   }
 }
--- a/packages/core/src/granting.ts
+++ b/packages/core/src/granting.ts
@@ -5,10 +5,15 @@
 import type { GrantCapacity } from './grant-capacity';
 import type { Job } from './jobs';
 import { betterElsewhere } from './placement';
-import type { Machine, Slot } from './slots';
+import type { Machine, TaskEntry } from './task-entry';
 
 /** The tasks to be bound to the machine, one by one: the room is asked anew for each, after the one before has been taken out of it. */
-export function* bindable(view: ClaimView, machine: Machine, capacity: GrantCapacity, now: number): Generator<Slot> {
+export function* bindable(
+  view: ClaimView,
+  machine: Machine,
+  capacity: GrantCapacity,
+  now: number,
+): Generator<TaskEntry> {
   for (const job of view.wakes()) {
     if (!allowsMachine(job.spec, machine.type, machine.zone, machine.spot)) continue;
     if (view.failures.isExcluded(job.id, machine.name, now)) continue;
@@ -22,20 +27,20 @@
   machine: Machine,
   capacity: GrantCapacity,
   now: number,
-): Generator<Slot> {
-  for (const slot of view.waitingSlots(job)) {
-    if (!capacity.fits(slot)) {
+): Generator<TaskEntry> {
+  for (const task of view.waitingTasks(job)) {
+    if (!capacity.fits(task)) {
       // Its tasks are all alike: where room is kept for none of them, none fits.
       if (capacity.hasReservations) continue;
       return;
     }
-    if (mayBind(view, slot, machine, now)) yield slot;
+    if (mayBind(view, task, machine, now)) yield task;
   }
 }
 
-function mayBind(view: ClaimView, slot: Slot, machine: Machine, now: number): boolean {
-  if (slot.notBefore > now || (slot.zone !== null && slot.zone !== machine.zone)) return false;
-  if (slot.job.isGroup) return view.members.mayStart(slot, machine);
-  if (!view.mayStart(slot) || betterElsewhere(view, slot, machine, now)) return false;
-  return !isMovingOn(slot, now, view.clusterConfig) || machine.cache.has(slot.job.spec.image);
+function mayBind(view: ClaimView, task: TaskEntry, machine: Machine, now: number): boolean {
+  if (task.notBefore > now || (task.zone !== null && task.zone !== machine.zone)) return false;
+  if (task.job.isGroup) return view.members.mayStart(task, machine);
+  if (!view.mayStart(task) || betterElsewhere(view, task, machine, now)) return false;
+  return !isMovingOn(task, now, view.clusterConfig) || machine.cache.has(task.job.spec.image);
 }
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -23,5 +23,5 @@
 export * from './transaction';
 export * from './packing';
 export * from './reservations';
-export * from './slots';
+export * from './task-entry';
 export { strandedTasks } from './stranded-tasks';
--- a/packages/core/src/job-evidence.ts
+++ b/packages/core/src/job-evidence.ts
@@ -1,19 +1,19 @@
 // What is known of a job from outside its failures in one partition: whether it is seen to run, or has.
 import type { JobEvidence } from './failure-attribution';
 import type { JobTable } from './jobs';
-import type { Slot } from './slots';
+import type { TaskEntry } from './task-entry';
 
 /** `slots`: the tasks that are assigned to the partition, by job and number. */
 export function evidenceOn(
   jobs: JobTable,
-  slots: ReadonlyMap<string, ReadonlyMap<number, Slot>>,
+  tasksByJob: ReadonlyMap<string, ReadonlyMap<number, TaskEntry>>,
   id: string,
   now: number,
 ): JobEvidence {
   const job = jobs.live.get(id);
   const machines = new Set<string>();
   let oldest = Infinity;
-  for (const { claim } of slots.get(id)?.values() ?? []) {
+  for (const { claim } of tasksByJob.get(id)?.values() ?? []) {
     if (claim === null || claim.stage !== 'running' || claim.runningSince === null) continue;
     machines.add(claim.machine.name);
     oldest = Math.min(oldest, claim.runningSince);
--- a/packages/core/src/packing.ts
+++ b/packages/core/src/packing.ts
@@ -3,7 +3,7 @@
 import type { ClaimView } from './claim-view';
 import { type Resources, fitsIn, NO_RESOURCES, addResources, allowsMachine, subtractResources } from './facts';
 import { bestPlan, leastVictims } from './placement';
-import type { Machine, Plan, SpareCapacity, Slot } from './slots';
+import type { Machine, Plan, SpareCapacity, TaskEntry } from './task-entry';
 
 /** A task that is stopped gets a little more than it says it needs for saving. */
 const SAVE_SLACK = 1.25;
@@ -19,41 +19,41 @@
 export function pack(
   claimTable: ClaimView,
   now: number,
-): { freeByMachine: Map<Machine, Resources>; stuck: Slot[]; stopped: Slot[] } {
+): { freeByMachine: Map<Machine, Resources>; stuck: TaskEntry[]; stopped: TaskEntry[] } {
   const freeByMachine = new Map<Machine, Resources>();
   for (const m of claimTable.machines.values()) {
     if (!claimTable.takesWork(m, now)) continue;
     let available = claimTable.freeResources(m);
     // What is stopping is free soon: counted now, so that nothing more is stopped for the same task.
-    for (const slot of m.claims.values())
-      if (slot.claim!.stopGraceS !== null) available = addResources(available, slot.job.spec);
+    for (const task of m.claims.values())
+      if (task.claim!.stopGraceS !== null) available = addResources(available, task.job.spec);
     freeByMachine.set(m, subtractResources(available, claimTable.reservations.reservedOn(m.name)));
   }
-  const stuck: Slot[] = [];
-  const doomed = new Set<Slot>();
+  const stuck: TaskEntry[] = [];
+  const doomed = new Set<TaskEntry>();
   for (const job of claimTable.wakes()) {
-    for (const slot of claimTable.waitingSlots(job)) {
-      slot.plan = null;
+    for (const task of claimTable.waitingTasks(job)) {
+      task.plan = null;
       if (job.isGroup) {
-        packMember(claimTable, slot, freeByMachine, doomed);
+        packMember(claimTable, task, freeByMachine, doomed);
         continue;
       }
       // Held back, and given back in time: no machine is kept for it, none is asked for.
-      if (!claimTable.mayStart(slot)) continue;
-      slot.plan = keptPlan(claimTable, slot, freeByMachine);
-      if (slot.plan !== null) continue;
-      slot.plan = bestPlan(claimTable, slot, freeByMachine, doomed, now);
-      if (slot.plan === null) {
-        stuck.push(slot);
+      if (!claimTable.mayStart(task)) continue;
+      task.plan = keptPlan(claimTable, task, freeByMachine);
+      if (task.plan !== null) continue;
+      task.plan = bestPlan(claimTable, task, freeByMachine, doomed, now);
+      if (task.plan === null) {
+        stuck.push(task);
         continue;
       }
-      let available = freeByMachine.get(slot.plan.machine)!;
-      for (const victim of slot.plan.victims) {
+      let available = freeByMachine.get(task.plan.machine)!;
+      for (const victim of task.plan.victims) {
         doomed.add(victim);
         available = addResources(available, victim.job.spec);
       }
-      freeByMachine.set(slot.plan.machine, subtractResources(available, job.spec));
-      if (slot.notBefore <= now) for (const victim of slot.plan.victims) preempt(claimTable, victim, slot);
+      freeByMachine.set(task.plan.machine, subtractResources(available, job.spec));
+      if (task.notBefore <= now) for (const victim of task.plan.victims) preempt(claimTable, victim, task);
     }
   }
   return { freeByMachine, stuck, stopped: [...doomed].filter((s) => s.claim?.stopGraceS !== null) };
@@ -65,20 +65,20 @@
  */
 function packMember(
   claimTable: ClaimView,
-  slot: Slot,
+  task: TaskEntry,
   freeByMachine: Map<Machine, Resources>,
-  doomed: Set<Slot>,
+  doomed: Set<TaskEntry>,
 ): void {
-  slot.plan = keptPlan(claimTable, slot, freeByMachine);
-  if (slot.plan === null || !claimTable.preempts) return;
-  const { machine } = slot.plan;
+  task.plan = keptPlan(claimTable, task, freeByMachine);
+  if (task.plan === null || !claimTable.preempts) return;
+  const { machine } = task.plan;
   // What is kept there is counted in already: nothing may be lacking.
   const available = freeByMachine.get(machine)!;
-  const victims = fitsIn(NO_RESOURCES, available) ? [] : leastVictims(machine, slot, available, doomed, NO_RESOURCES);
+  const victims = fitsIn(NO_RESOURCES, available) ? [] : leastVictims(machine, task, available, doomed, NO_RESOURCES);
   if (victims === null || victims.length === 0) return;
   for (const victim of victims) {
     doomed.add(victim);
-    preempt(claimTable, victim, slot);
+    preempt(claimTable, victim, task);
   }
   freeByMachine.set(
     machine,
@@ -87,8 +87,8 @@
 }
 
 /** The machine on which room is kept for the task, which is counted in already; null: it has none, or it takes no work now. */
-function keptPlan(claimTable: ClaimView, slot: Slot, freeByMachine: ReadonlyMap<Machine, Resources>): Plan | null {
-  const kept = claimTable.reservations.reservedMachineFor(slot.name);
+function keptPlan(claimTable: ClaimView, task: TaskEntry, freeByMachine: ReadonlyMap<Machine, Resources>): Plan | null {
+  const kept = claimTable.reservations.reservedMachineFor(task.name);
   const machine = kept === null ? undefined : claimTable.machines.get(kept);
   return machine === undefined || !freeByMachine.has(machine) ? null : { machine, ms: 0, victims: [] };
 }
@@ -97,12 +97,12 @@
 export function toCall(claimTable: ClaimView, now: number): Set<Machine> {
   const machines = new Set<Machine>();
   for (const job of claimTable.wakes()) {
-    for (const slot of claimTable.waitingSlots(job)) {
-      if (slot.plan === null || slot.plan.victims.length > 0 || slot.notBefore > now) continue;
-      const { machine } = slot.plan;
-      if (job.isGroup && !claimTable.members.mayStart(slot, machine)) continue;
+    for (const task of claimTable.waitingTasks(job)) {
+      if (task.plan === null || task.plan.victims.length > 0 || task.notBefore > now) continue;
+      const { machine } = task.plan;
+      if (job.isGroup && !claimTable.members.mayStart(task, machine)) continue;
       // What is kept for it may have yet to be freed.
-      const isKept = claimTable.reservations.reservedMachineFor(slot.name) !== null;
+      const isKept = claimTable.reservations.reservedMachineFor(task.name) !== null;
       if (isKept && !fitsIn(job.spec, claimTable.freeResources(machine))) continue;
       if (machine.isMember && claimTable.takesWork(machine, now) && claimTable.mayCall(machine, now))
         machines.add(machine);
@@ -121,10 +121,10 @@
   freeByMachine: ReadonlyMap<Machine, Resources>,
   others: () => readonly SpareCapacity[],
   now: number,
-): Slot[] {
+): TaskEntry[] {
   for (const job of claimTable.wakes()) {
     if (job.spec.kind !== 'service' || job.isGroup || claimTable.isFailing(job)) continue;
-    if (claimTable.waitingSlots(job).next().done !== true) return [];
+    if (claimTable.waitingTasks(job).next().done !== true) return [];
   }
   let spareCapacity: SpareCapacity[] | null = null;
   for (const m of claimTable.machines.values()) {
@@ -147,10 +147,10 @@
       return false;
     });
     if (!moves) continue;
-    for (const slot of replicas) {
-      slot.claim!.stopGraceS = 0;
-      slot.moving = true;
-      claimTable.log('replica moved', { task: slot.name, machine: m.name });
+    for (const task of replicas) {
+      task.claim!.stopGraceS = 0;
+      task.moving = true;
+      claimTable.log('replica moved', { task: task.name, machine: m.name });
     }
     return replicas;
   }
@@ -168,9 +168,9 @@
   }
 }
 
-function preempt(claimTable: ClaimView, victim: Slot, slot: Slot): void {
+function preempt(claimTable: ClaimView, victim: TaskEntry, task: TaskEntry): void {
   const spec = victim.job.spec;
   // A service must not wait for a save; between batch jobs the saved work is worth the time.
-  victim.claim!.stopGraceS = slot.job.spec.kind === 'array' && spec.checkpointS > 0 ? spec.saveS * SAVE_SLACK : 0;
-  claimTable.log('task preempted', { task: victim.name, machine: victim.claim!.machine.name, for: slot.name });
+  victim.claim!.stopGraceS = task.job.spec.kind === 'array' && spec.checkpointS > 0 ? spec.saveS * SAVE_SLACK : 0;
+  claimTable.log('task preempted', { task: victim.name, machine: victim.claim!.machine.name, for: task.name });
 }
--- a/packages/core/src/placement.ts
+++ b/packages/core/src/placement.ts
@@ -6,15 +6,15 @@
 import type { MachineType } from '@gingerlock/wire';
 import type { ClaimView } from './claim-view';
 import { type Resources, fitsIn, addResources, allowsMachine } from './facts';
-import type { Machine, Plan, Slot } from './slots';
+import type { Machine, Plan, TaskEntry } from './task-entry';
 import { fetchMs, SERVICE_VICTIM_MS, STOP_MS } from './start-time';
 
 /** Whether a task could be bound to the machine if it had the room. */
-export function suits(claimTable: ClaimView, slot: Slot, m: Machine, now: number): boolean {
+export function suits(claimTable: ClaimView, task: TaskEntry, m: Machine, now: number): boolean {
   return (
-    (slot.zone === null || slot.zone === m.zone) &&
-    allowsMachine(slot.job.spec, m.type, m.zone, m.spot) &&
-    !claimTable.failures.isExcluded(slot.job.id, m.name, now)
+    (task.zone === null || task.zone === m.zone) &&
+    allowsMachine(task.job.spec, m.type, m.zone, m.spot) &&
+    !claimTable.failures.isExcluded(task.job.id, m.name, now)
   );
 }
 
@@ -26,26 +26,26 @@
 /** The machine of the part that would run the task soonest, given what is left of each room; null: none could. */
 export function bestPlan(
   claimTable: ClaimView,
-  slot: Slot,
+  task: TaskEntry,
   freeByMachine: ReadonlyMap<Machine, Resources>,
-  doomed: ReadonlySet<Slot>,
+  doomed: ReadonlySet<TaskEntry>,
   now: number,
 ): Plan | null {
-  const spec = slot.job.spec;
+  const spec = task.job.spec;
   const { heartbeatIntervalMs } = claimTable.clusterConfig;
-  const mayPreempt = claimTable.preempts && !claimTable.isFailing(slot.job);
+  const mayPreempt = claimTable.preempts && !claimTable.isFailing(task.job);
   let best: Plan | null = null;
   let bestCost = Infinity;
   for (const [machine, available] of freeByMachine) {
-    if (!suits(claimTable, slot, machine, now)) continue;
+    if (!suits(claimTable, task, machine, now)) continue;
     const type = claimTable.typeOf(machine);
     const fetch = fetchMs(spec.imageGb, machine.cache.has(spec.image), type);
     let ms = fetch + claimTable.reportsInMs(machine, now);
     if (ms >= bestCost) continue;
-    let victims: readonly Slot[] = [];
+    let victims: readonly TaskEntry[] = [];
     if (!fitsIn(spec, available)) {
       if (!mayPreempt) continue;
-      const found = leastVictims(machine, slot, available, doomed);
+      const found = leastVictims(machine, task, available, doomed);
       if (found === null) continue;
       victims = found;
       // Until they have stopped, and their lost work. A replica that is stopped is missed at once, so that is for when
@@ -70,15 +70,15 @@
  */
 export function leastVictims(
   machine: Machine,
-  slot: Slot,
+  task: TaskEntry,
   free: Resources,
-  doomed: ReadonlySet<Slot>,
-  need: Resources = slot.job.spec,
-): Slot[] | null {
+  doomed: ReadonlySet<TaskEntry>,
+  need: Resources = task.job.spec,
+): TaskEntry[] | null {
   const candidates = [...machine.claims.values()]
-    .filter((s) => s.job.rank > slot.job.ownRank && !s.job.isGroup && s.claim!.stopGraceS === null && !doomed.has(s))
+    .filter((s) => s.job.rank > task.job.ownRank && !s.job.isGroup && s.claim!.stopGraceS === null && !doomed.has(s))
     .sort((a, b) => b.job.rank - a.job.rank || b.claim!.grantedAt - a.claim!.grantedAt);
-  const victims: Slot[] = [];
+  const victims: TaskEntry[] = [];
   let available = free;
   for (const candidate of candidates) {
     if (fitsIn(need, available)) break;
@@ -89,16 +89,16 @@
 }
 
 /** Whether the reporting machine passes on a task that would run sooner on the machine it is planned for. */
-export function betterElsewhere(claimTable: ClaimView, slot: Slot, m: Machine, now: number): boolean {
-  const spec = slot.job.spec;
+export function betterElsewhere(claimTable: ClaimView, task: TaskEntry, m: Machine, now: number): boolean {
+  const spec = task.job.spec;
   const { heartbeatIntervalMs } = claimTable.clusterConfig;
   const here = fetchMs(spec.imageGb, m.cache.has(spec.image), claimTable.typeOf(m));
-  if (here <= heartbeatIntervalMs / 2 || slot.plan?.machine === m) return false;
+  if (here <= heartbeatIntervalMs / 2 || task.plan?.machine === m) return false;
   // Not planned yet: that comes with the next tick.
-  if (slot.plan === null) return now - slot.since < heartbeatIntervalMs / 2;
+  if (task.plan === null) return now - task.since < heartbeatIntervalMs / 2;
   return (
-    slot.plan.ms < here &&
-    claimTable.takesWork(slot.plan.machine, now) &&
-    now - slot.since < here + heartbeatIntervalMs * 2
+    task.plan.ms < here &&
+    claimTable.takesWork(task.plan.machine, now) &&
+    now - task.since < here + heartbeatIntervalMs * 2
   );
 }
--- a/packages/core/src/slots.ts
+++ b/packages/core/src/task-entry.ts
@@ -11,10 +11,10 @@
  * finishing: completed; the state service has yet to be told.
  * leaving:   a change of the job's record that gives it back is on its way.
  */
-export type SlotState = 'uncertain' | 'waiting' | 'claimed' | 'finishing' | 'leaving';
+export type TaskEntryState = 'uncertain' | 'waiting' | 'claimed' | 'finishing' | 'leaving';
 
 /** To which state a slot may go from each. */
-export const SLOT_MOVES: Record<SlotState, readonly SlotState[]> = {
+export const TASK_TRANSITIONS: Record<TaskEntryState, readonly TaskEntryState[]> = {
   uncertain: ['waiting', 'claimed', 'finishing'],
   waiting: ['claimed', 'leaving', 'finishing'],
   claimed: ['waiting', 'finishing'],
@@ -41,7 +41,7 @@
   /** How soon it would run there, about. */
   readonly ms: number;
   /** What has to be stopped there first. */
-  readonly victims: readonly Slot[];
+  readonly victims: readonly TaskEntry[];
 }
 
 /** Room on a machine to which a replica might move. */
@@ -53,7 +53,7 @@
   readonly images: readonly string[];
 }
 
-export interface Slot {
+export interface TaskEntry {
   readonly job: Job;
   readonly index: number;
   readonly name: string;
@@ -61,7 +61,7 @@
   zone: string | null;
   /** Term of the partition's owner at its assignment, by the newest record. */
   term: number;
-  state: SlotState;
+  state: TaskEntryState;
   claim: Claim | null;
   /** Since when it is in this state. */
   since: number;
@@ -102,7 +102,7 @@
   isMember: boolean;
   draining: boolean;
   reported: readonly ReportedTask[];
-  readonly claims: Map<string, Slot>;
+  readonly claims: Map<string, TaskEntry>;
   readonly cache: ImageCache;
   emptySince: number;
   /** Answers with starts in a row of which the next report showed none. */
--- a/packages/core/src/tokens.ts
+++ b/packages/core/src/tokens.ts
@@ -1,6 +1,6 @@
 // The tokens that workers are shown, and when raising one has a worker report at once.
 import type { ClusterConfig } from './facts';
-import type { Machine } from './slots';
+import type { Machine } from './task-entry';
 
 /** A token is its owner's term times this, plus how often the owner has called the machine. */
 export const CALLS_PER_TERM = 2 ** 20;
--- a/packages/core/test/claims.test.ts
+++ b/packages/core/test/claims.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobRecord, type MachineType, PRIORITIES, type Round, type WorkerReport } from '@gingerlock/wire';
-import { CALLS_PER_TERM, ClaimTable, JobTable, pack, plannedByRank, type Slot } from '../src/index';
+import { CALLS_PER_TERM, ClaimTable, JobTable, pack, plannedByRank, type TaskEntry } from '../src/index';
 import { CLUSTER_CONFIG, specOf } from './fixtures';
 
 const clusterConfig = { ...CLUSTER_CONFIG, controllers: 1 };
@@ -116,9 +116,9 @@
     claimTable.syncJob(spec.id, 2);
   };
   assignment(3, 5);
-  assert.equal(claimTable.slots.size, 0);
+  assert.equal(claimTable.tasksByJob.size, 0);
   assignment(2, 6);
-  assert.equal(claimTable.slots.get(spec.id)?.size, 4);
+  assert.equal(claimTable.tasksByJob.get(spec.id)?.size, 4);
 });
 
 test('a job that a peer says is called off starts nothing more, also when older records of it come in after that', () => {
@@ -153,7 +153,12 @@
 });
 
 /** Writes the job's record with the given rounds, and has the claim table take it. */
-function reassign(jobs: JobTable, claimTable: ClaimTable, rounds: readonly Round[], version: number): readonly Slot[] {
+function reassign(
+  jobs: JobTable,
+  claimTable: ClaimTable,
+  rounds: readonly Round[],
+  version: number,
+): readonly TaskEntry[] {
   jobs.applyJob(
     spec.id,
     jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: false, rounds }),
@@ -176,7 +181,7 @@
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 20_000, ['m-1', 'm-2']);
   reassign(jobs, claimTable, [round(0, 4, 'a')], 5);
-  claimTable.leaving([...claimTable.slots.get(spec.id)!.values()], 1000);
+  claimTable.leaving([...claimTable.tasksByJob.get(spec.id)!.values()], 1000);
   reassign(jobs, claimTable, [round(0, 4, 'b')], 7);
   const starts = (machine: string, zone: string): number => {
     const outcome = claimTable.report({ ...report(machine, 1, 2 * CALLS_PER_TERM), zone }, 9000, true);
@@ -200,7 +205,7 @@
   };
   reassign(jobs, claimTable, [round(0, 1, null)], 5);
   assert.deepEqual(commands('m-1', 1, []), [`start ${spec.id}/0`]);
-  const attempt = claimTable.slots.get(spec.id)!.get(0)!.claim!.attempt;
+  const attempt = claimTable.tasksByJob.get(spec.id)!.get(0)!.claim!.attempt;
   const running = { task: `${spec.id}/0`, attempt, state: 'running' as const, cause: null, saved: false };
   assert.deepEqual(commands('m-1', 2, [running]), []);
   assert.equal(reassign(jobs, claimTable, [], 6).length, 1);
@@ -211,9 +216,9 @@
   assert.deepEqual(commands('m-1', 5, []), [`start ${spec.id}/0`]);
   // Withdrawn for good, it goes with its claim.
   reassign(jobs, claimTable, [], 8);
-  assert.equal(claimTable.slots.get(spec.id)?.size, 1);
+  assert.equal(claimTable.tasksByJob.get(spec.id)?.size, 1);
   assert.deepEqual(commands('m-1', 6, []), []);
-  assert.equal(claimTable.slots.has(spec.id), false);
+  assert.equal(claimTable.tasksByJob.has(spec.id), false);
 });
 
 test('a report that contradicts earlier ones of its machine is refused and changes nothing', () => {
@@ -283,7 +288,7 @@
   assigned(jobs, 2, 5);
   const claimTable = claimTableOf(jobs, 20_000, ['m-1', 'm-2']);
   claimTable.syncJob(spec.id, 0);
-  const attemptOf = (task: number): number => claimTable.slots.get(spec.id)!.get(task)!.claim!.attempt;
+  const attemptOf = (task: number): number => claimTable.tasksByJob.get(spec.id)!.get(task)!.claim!.attempt;
   claimTable.report(report('m-1', 1, 2 * CALLS_PER_TERM), 1000, true);
   failedOn(claimTable, 'm-1', 2, attemptOf(0));
   // The other three are not reported any more: they wait, as does the one that failed.
@@ -323,7 +328,7 @@
   assert.equal(claimTable.giveBack([], 3000).get(spec.id)?.length, 4);
   assign(1, 6);
   assert.equal(starts(4), 1);
-  failedOn(claimTable, 'm-1', 5, claimTable.slots.get(spec.id)!.get(0)!.claim!.attempt);
+  failedOn(claimTable, 'm-1', 5, claimTable.tasksByJob.get(spec.id)!.get(0)!.claim!.attempt);
   assert.equal(starts(6), 0);
   assert.equal(claimTable.giveBack([], 9000).get(spec.id)?.length, 1);
 });
@@ -362,7 +367,7 @@
   assigned(jobs, 2, 5);
   claimTable.syncJob(spec.id, 0);
   claimTable.report(report('m-1', 1, 2 * CALLS_PER_TERM), 1000, true);
-  const { attempt } = claimTable.slots.get(spec.id)!.get(0)!.claim!;
+  const { attempt } = claimTable.tasksByJob.get(spec.id)!.get(0)!.claim!;
   const exit = {
     task: `${spec.id}/0`,
     attempt,
@@ -375,7 +380,7 @@
   assert.deepEqual(alarms, ['unknown cause of an exit']);
   assert.ok(outcome.kind === 'answer' && outcome.commands.filter((c) => c.op === 'forget').length === 2);
   assert.equal(claimTable.failures.verdictOn(spec.id), null);
-  assert.ok(claimTable.slots.get(spec.id)!.get(0)!.claim!.attempt > attempt);
+  assert.ok(claimTable.tasksByJob.get(spec.id)!.get(0)!.claim!.attempt > attempt);
 });
 
 // Batch work that waited for the next report was told of as neither free room nor its own: room for services was rented for it.
--- a/packages/core/test/ownership.test.ts
+++ b/packages/core/test/ownership.test.ts
@@ -41,16 +41,16 @@
     for (const [key, e] of this.data) if (e.lease === lease) this.data.delete(key);
   }
 
-  view(slot: string): OwnershipView {
+  view(resource: string): OwnershipView {
     const read = <T>(key: string, parse: (v: unknown) => T): { record: T; version: number } | null => {
       const e = this.data.get(key);
       return e === undefined ? null : { record: parse(e.value), version: e.version };
     };
     return {
-      owner: read<OwnerRecord>(KEYS.owner(slot), ownerRecord.read),
-      hold: read<HoldRecord>(KEYS.hold(slot), holdRecord.read),
+      owner: read<OwnerRecord>(KEYS.owner(resource), ownerRecord.read),
+      hold: read<HoldRecord>(KEYS.hold(resource), holdRecord.read),
       term: read(KEYS.term, termRecord.read),
-      timedTerm: read(KEYS.timed(slot), termRecord.read)?.record ?? 0,
+      timedTerm: read(KEYS.timed(resource), termRecord.read)?.record ?? 0,
     };
   }
 }
--- a/packages/daemon/src/owner-groups.ts
+++ b/packages/daemon/src/owner-groups.ts
@@ -1,5 +1,5 @@
 // The owner's part in replica groups: what its claim table asks of them, and what its leader is told.
-import type { ClaimTable, Slot } from '@gingerlock/core';
+import type { ClaimTable, TaskEntry } from '@gingerlock/core';
 import { PartitionGroups, type PartitionGroupReport } from '@gingerlock/replica-groups';
 import type { Shared } from './shared';
 
@@ -20,7 +20,7 @@
   }
 
   /** Returns the members that are to be told to stop now. */
-  step(): readonly Slot[] {
+  step(): readonly TaskEntry[] {
     return this.members.step();
   }
 
--- a/packages/daemon/src/owner-reclaims.ts
+++ b/packages/daemon/src/owner-reclaims.ts
@@ -1,6 +1,6 @@
 // The owner's part in borrowing: carries the reclaims of one partition out and has the records of those that are over removed.
 import { PartitionReclaims, type Reclaim } from '@gingerlock/borrowing';
-import type { ClaimTable, Slot } from '@gingerlock/core';
+import type { ClaimTable, TaskEntry } from '@gingerlock/core';
 import { type Change, type Condition, KEYS } from '@gingerlock/wire';
 import type { Shared } from './shared';
 
@@ -25,7 +25,7 @@
   }
 
   /** Returns the tasks that are to be told to stop now. */
-  step(table: ClaimTable, now: number): readonly Slot[] {
+  step(table: ClaimTable, now: number): readonly TaskEntry[] {
     const { store, clock } = this.shared;
     const records = new Map([...store.reclaimsOf(this.partitionId)].map(([id, { record }]) => [id, record]));
     this.reservations.sync(records);
--- a/packages/daemon/src/owner-writes.ts
+++ b/packages/daemon/src/owner-writes.ts
@@ -5,7 +5,7 @@
   finishedPageFor,
   type Job,
   joinRounds,
-  type Slot,
+  type TaskEntry,
   type Tenure,
   withoutTasks,
 } from '@gingerlock/core';
@@ -32,7 +32,7 @@
 export class OwnerWrites {
   #writing = false;
   /** Waiting tasks that no machine of the partition can take, by the last packing. */
-  stuck: readonly Slot[] = [];
+  stuck: readonly TaskEntry[] = [];
   /** Machines whose names leave the membership. */
   readonly membershipRemovals = new Set<string>();
 
@@ -87,13 +87,13 @@
     if (writes.length > 0) return { writes, urgency: URGENCY.accept };
     if (this.reclaims !== null) writes.push(...this.reclaims.removals());
     const touched = new Set<string>();
-    for (const [id, slots] of this.claimTable.finishing(now, this.#finishPatienceMs())) {
+    for (const [id, tasks] of this.claimTable.finishing(now, this.#finishPatienceMs())) {
       touched.add(id);
-      writes.push(...this.#finish(slots[0]!.job, slots));
+      writes.push(...this.#finish(tasks[0]!.job, tasks));
     }
-    for (const [id, slots] of this.claimTable.giveBack(this.stuck, now)) {
+    for (const [id, tasks] of this.claimTable.giveBack(this.stuck, now)) {
       if (touched.has(id)) continue;
-      const write = this.#handBack(slots[0]!.job, slots);
+      const write = this.#handBack(tasks[0]!.job, tasks);
       if (write !== null) writes.push(write);
     }
     if (writes.length === 0) {
@@ -119,8 +119,8 @@
   }
 
   /** Gives back as many of the tasks as the record without them fits into a value; null: it fits with none. */
-  #handBack(job: Job, slots: readonly Slot[]): Write | null {
-    const byIndex = [...slots].sort((a, b) => a.index - b.index);
+  #handBack(job: Job, tasks: readonly TaskEntry[]): Write | null {
+    const byIndex = [...tasks].sort((a, b) => a.index - b.index);
     for (let count = byIndex.length; count > 0; count = Math.floor(count / 2)) {
       const returned = byIndex.slice(0, count);
       const value = this.#recordWithout(job, returned);
@@ -136,19 +136,19 @@
     return null;
   }
 
-  #recordWithout(job: Job, slots: readonly Slot[]): unknown {
+  #recordWithout(job: Job, tasks: readonly TaskEntry[]): unknown {
     const { spec, acceptedAt, cancelled } = job;
-    const left = withoutTasks(job.rounds, this.partitionId, new Set(slots.map((s) => s.index)));
+    const left = withoutTasks(job.rounds, this.partitionId, new Set(tasks.map((s) => s.index)));
     // Finished tasks are off their machines: of a cancelled job nothing is left to wait for when only they remain.
     const rounds = joinRounds(left, (taskIndex) => job.isFinished(taskIndex));
     if (cancelled && rounds.length === 0) return jobRecord.write({ final: 'cancelled' });
-    const failing = this.claimTable.isMarkedOnReturn(job, slots, this.shared.clock.now());
+    const failing = this.claimTable.isMarkedOnReturn(job, tasks, this.shared.clock.now());
     return jobRecord.write({ final: null, spec, acceptedAt, cancelled, failing, rounds });
   }
 
   /** Writes the finished tasks of one job; the last ones close it. */
-  #finish(job: Job, slots: readonly Slot[]): Write[] {
-    if (job.finishedCount + slots.length >= job.spec.tasks) {
+  #finish(job: Job, tasks: readonly TaskEntry[]): Write[] {
+    if (job.finishedCount + tasks.length >= job.spec.tasks) {
       const key = KEYS.job(job.id);
       // Against this version: a cancellation and the end exclude each other.
       return [
@@ -160,9 +160,9 @@
     }
     const limits = { pageTasks: this.shared.store.meta!.pageTasks, valueBytes: this.shared.settings.valueBytes };
     const pages = new Map<string, Bits>();
-    for (const slot of slots) {
-      const { key, first, bits } = finishedPageFor(job, this.partitionId, slot.index, limits);
-      pages.set(key, (pages.get(key) ?? bits).with(slot.index - first));
+    for (const task of tasks) {
+      const { key, first, bits } = finishedPageFor(job, this.partitionId, task.index, limits);
+      pages.set(key, (pages.get(key) ?? bits).with(task.index - first));
     }
     return [...pages].map(([key, bits]) => {
       return {
--- a/packages/daemon/src/owner.ts
+++ b/packages/daemon/src/owner.ts
@@ -8,7 +8,7 @@
   pack,
   type PartitionStatus,
   type Reservations,
-  type Slot,
+  type TaskEntry,
   type Tenure,
   toCall,
   vacate,
@@ -140,7 +140,7 @@
     void this.#writes.run();
   }
 
-  #pushAll(stopped: readonly Slot[]): void {
+  #pushAll(stopped: readonly TaskEntry[]): void {
     for (const machine of new Set(stopped.map((s) => s.claim!.machine))) {
       this.#messages.stop(
         machine,
--- a/packages/daemon/src/partition-status.ts
+++ b/packages/daemon/src/partition-status.ts
@@ -50,9 +50,9 @@
   now: number,
 ): MachineStatus {
   const byRank = [...planned];
-  for (const slot of m.claims.values()) {
-    const rank = toldRank(slot.job);
-    if (slot.claim!.stopGraceS === null) byRank[rank] = addResources(byRank[rank]!, slot.job.spec);
+  for (const task of m.claims.values()) {
+    const rank = toldRank(task.job);
+    if (task.claim!.stopGraceS === null) byRank[rank] = addResources(byRank[rank]!, task.job.spec);
   }
   return {
     name: m.name,
--- a/packages/daemon/src/store.ts
+++ b/packages/daemon/src/store.ts
@@ -61,12 +61,12 @@
     this.onJob(id);
   }
 
-  view(slot: string): OwnershipView {
+  view(resource: string): OwnershipView {
     return {
-      owner: this.owners.get(slot) ?? null,
-      hold: this.holds.get(slot) ?? null,
+      owner: this.owners.get(resource) ?? null,
+      hold: this.holds.get(resource) ?? null,
       term: this.term,
-      timedTerm: this.timed.get(slot) ?? 0,
+      timedTerm: this.timed.get(resource) ?? 0,
     };
   }
 
@@ -110,15 +110,15 @@
         if (value !== undefined) this.types = new Map(machineTypesOf(value).map((t) => [t.name, t]));
         return;
       case 'owner':
-        if (value === undefined) this.owners.delete(k.slot);
-        else this.owners.set(k.slot, { record: ownerRecord.read(value), version });
+        if (value === undefined) this.owners.delete(k.resource);
+        else this.owners.set(k.resource, { record: ownerRecord.read(value), version });
         return;
       case 'hold':
-        if (value === undefined) this.holds.delete(k.slot);
-        else this.holds.set(k.slot, { record: holdRecord.read(value), version });
+        if (value === undefined) this.holds.delete(k.resource);
+        else this.holds.set(k.resource, { record: holdRecord.read(value), version });
         return;
       case 'timed':
-        if (value !== undefined) this.timed.set(k.slot, termRecord.read(value));
+        if (value !== undefined) this.timed.set(k.resource, termRecord.read(value));
         return;
       case 'membership':
         if (value === undefined) this.membership(k.partitionId).delete(k.machine);
--- a/packages/daemon/src/worker-messages.ts
+++ b/packages/daemon/src/worker-messages.ts
@@ -1,5 +1,5 @@
 // What an owner sends straight to the workers of its partition, beside the answers to their reports.
-import type { ClaimTable, Machine, Slot } from '@gingerlock/core';
+import type { ClaimTable, Machine, TaskEntry } from '@gingerlock/core';
 import { decodeReport, encodeDirectOrders } from '@gingerlock/wire';
 import type { Shared } from './shared';
 
@@ -13,8 +13,8 @@
    * Sends stops straight to the worker, to win the wait for its next report. Only stops ever go this way: a start that
    * was held back on the way could be carried out minutes later.
    */
-  stop(machine: Machine, slots: readonly Slot[]): void {
-    const commands = slots.map((s) => ({
+  stop(machine: Machine, tasks: readonly TaskEntry[]): void {
+    const commands = tasks.map((s) => ({
       op: 'stop' as const,
       task: s.name,
       attempt: s.claim!.attempt,
--- a/packages/replica-groups/src/partition-groups.ts
+++ b/packages/replica-groups/src/partition-groups.ts
@@ -10,7 +10,7 @@
   NO_RESOURCES,
   addResources,
   type Reservations,
-  type Slot,
+  type TaskEntry,
   type Versioned,
 } from '@gingerlock/core';
 import type { GroupReason, GroupRecord } from '@gingerlock/wire';
@@ -48,27 +48,27 @@
   sync(): void {
     this.#kept = new Map();
     this.#reservedMachineFor = new Map();
-    for (const [, { record }, slots] of this.#groupsHere()) {
+    for (const [, { record }, tasks] of this.#groupsHere()) {
       if (record.state !== 'reserved' && record.state !== 'admitted') continue;
-      for (const slot of slots) {
-        const member = record.members[slot.index];
-        if (member === undefined || slot.state !== 'waiting' || this.#isSpent(slot, record)) continue;
-        this.#reservedMachineFor.set(slot.name, member.machine);
-        this.#kept.set(member.machine, addResources(this.reservedOn(member.machine), slot.job.spec));
+      for (const task of tasks) {
+        const member = record.members[task.index];
+        if (member === undefined || task.state !== 'waiting' || this.#isSpent(task, record)) continue;
+        this.#reservedMachineFor.set(task.name, member.machine);
+        this.#kept.set(member.machine, addResources(this.reservedOn(member.machine), task.job.spec));
       }
     }
   }
 
-  *#groupsHere(): Generator<[string, Versioned<GroupRecord>, Slot[]]> {
+  *#groupsHere(): Generator<[string, Versioned<GroupRecord>, TaskEntry[]]> {
     for (const [id, stored] of this.groups) {
-      const slots = this.table?.slots.get(id);
-      if (slots !== undefined) yield [id, stored, [...slots.values()].filter(({ job }) => job.isGroup)];
+      const tasksByIndex = this.table?.tasksByJob.get(id);
+      if (tasksByIndex !== undefined) yield [id, stored, [...tasksByIndex.values()].filter(({ job }) => job.isGroup)];
     }
   }
 
   /** It was started in this generation, or assigned to an earlier owner: nobody knows that it was not started then. */
-  #isSpent(slot: Slot, { generation }: GroupRecord): boolean {
-    return slot.startedIn === generation || slot.term !== this.table!.term;
+  #isSpent(task: TaskEntry, { generation }: GroupRecord): boolean {
+    return task.startedIn === generation || task.term !== this.table!.term;
   }
 
   // --- members -----------------------------------------------------------------------------------------------------
@@ -81,15 +81,15 @@
    * A member is started once in a generation, by the owner to which it was assigned, on its machine, after the leader has stored that all
    * members' room is kept. A record that is older than the job's says nothing of the tasks that are assigned now.
    */
-  mayStart(slot: Slot, machine: Machine): boolean {
-    const stored = this.groups.get(slot.job.id);
-    if (stored === undefined || stored.record.state !== 'admitted' || stored.version <= slot.job.version) return false;
-    const member = stored.record.members[slot.index];
-    return member?.machine === machine.name && !this.#isSpent(slot, stored.record);
+  mayStart(task: TaskEntry, machine: Machine): boolean {
+    const stored = this.groups.get(task.job.id);
+    if (stored === undefined || stored.record.state !== 'admitted' || stored.version <= task.job.version) return false;
+    const member = stored.record.members[task.index];
+    return member?.machine === machine.name && !this.#isSpent(task, stored.record);
   }
 
-  mustReturn(slot: Slot): boolean {
-    return this.#isEnding(slot.job);
+  mustReturn(task: TaskEntry): boolean {
+    return this.#isEnding(task.job);
   }
 
   #isEnding(job: Job): boolean {
@@ -97,14 +97,14 @@
   }
 
   /** Members of generations that end are stopped at once: returns those that are to be told now. */
-  step(): Slot[] {
+  step(): TaskEntry[] {
     this.sync();
-    const stopped: Slot[] = [];
-    for (const [, , slots] of this.#groupsHere()) {
-      for (const slot of slots) {
-        if (slot.claim === null || slot.claim.stopGraceS === 0 || !this.#isEnding(slot.job)) continue;
-        slot.claim.stopGraceS = 0;
-        stopped.push(slot);
+    const stopped: TaskEntry[] = [];
+    for (const [, , tasks] of this.#groupsHere()) {
+      for (const task of tasks) {
+        if (task.claim === null || task.claim.stopGraceS === 0 || !this.#isEnding(task.job)) continue;
+        task.claim.stopGraceS = 0;
+        stopped.push(task);
       }
     }
     if (stopped.length > 0) this.table!.noteChange();
@@ -115,55 +115,55 @@
 
   reports(now: number): GroupReport[] {
     const reports: GroupReport[] = [];
-    for (const [job, { record }, slots] of this.#groupsHere()) {
+    for (const [job, { record }, tasks] of this.#groupsHere()) {
       if (record.state === 'waiting' || record.state === 'ending') continue;
-      const members = slots.map((slot) => this.#reportOn(slot, record, now));
+      const members = tasks.map((task) => this.#reportOn(task, record, now));
       const told = record.state === 'serving' ? members.filter(({ phase }) => phase === 'lost') : members;
       if (told.length > 0) reports.push({ job, generation: record.generation, members: told });
     }
     return reports;
   }
 
-  #reportOn(slot: Slot, record: GroupRecord, now: number): MemberReport {
-    const reason = this.#whyLost(slot, record, now);
-    const attempt = slot.claim?.attempt ?? 0;
-    if (reason !== null) return { rank: slot.index, phase: 'lost', attempt, reason };
-    return { rank: slot.index, phase: this.#phaseOf(slot, record, now), attempt, reason: null };
+  #reportOn(task: TaskEntry, record: GroupRecord, now: number): MemberReport {
+    const reason = this.#whyLost(task, record, now);
+    const attempt = task.claim?.attempt ?? 0;
+    if (reason !== null) return { rank: task.index, phase: 'lost', attempt, reason };
+    return { rank: task.index, phase: this.#phaseOf(task, record, now), attempt, reason: null };
   }
 
-  #phaseOf(slot: Slot, record: GroupRecord, now: number): MemberReport['phase'] {
-    if (slot.claim !== null) return slot.claim.stage === 'running' ? 'running' : 'starting';
-    return this.#isHeld(slot, record, now) ? 'held' : 'pending';
+  #phaseOf(task: TaskEntry, record: GroupRecord, now: number): MemberReport['phase'] {
+    if (task.claim !== null) return task.claim.stage === 'running' ? 'running' : 'starting';
+    return this.#isHeld(task, record, now) ? 'held' : 'pending';
   }
 
   /** Whether the member could be started at the next report of its machine, and so could all others that are kept there. */
-  #isHeld(slot: Slot, record: GroupRecord, now: number): boolean {
-    const name = record.members[slot.index]?.machine;
+  #isHeld(task: TaskEntry, record: GroupRecord, now: number): boolean {
+    const name = record.members[task.index]?.machine;
     const machine = name === undefined ? undefined : this.table!.machines.get(name);
-    if (slot.state !== 'waiting' || machine === undefined || !machine.isMember) return false;
+    if (task.state !== 'waiting' || machine === undefined || !machine.isMember) return false;
     return (
       this.table!.takesWork(machine, now) && fitsIn(this.reservedOn(machine.name), this.table!.freeResources(machine))
     );
   }
 
   /** Why the member has ended, will not start or is about to end; null: none of that is known. */
-  #whyLost(slot: Slot, record: GroupRecord, now: number): GroupReason | null {
+  #whyLost(task: TaskEntry, record: GroupRecord, now: number): GroupReason | null {
     const table = this.table!;
-    const member = record.members[slot.index];
+    const member = record.members[task.index];
     // It was not known yet who runs it: machines of an earlier owner have yet to report.
-    if (slot.state === 'uncertain') return null;
+    if (task.state === 'uncertain') return null;
     if (member === undefined) return 'started as single tasks';
     const machine = table.machines.get(member.machine);
     const threat = machine === undefined ? null : this.#threatTo(machine, now);
-    if (slot.claim !== null) return threat ?? this.#whyClaimLost(slot, member);
+    if (task.claim !== null) return threat ?? this.#whyClaimLost(task, member);
     const isLost = table.isGone(member.machine) || (machine !== undefined && machine.answeredAt === null);
     if (isLost) return 'machine lost';
-    if (slot.startedIn === record.generation || slot.state !== 'waiting') return 'member ended';
-    if (slot.term !== table.term) return 'partition changed hands';
+    if (task.startedIn === record.generation || task.state !== 'waiting') return 'member ended';
+    if (task.term !== table.term) return 'partition changed hands';
     return record.state === 'serving' ? 'member ended' : threat;
   }
 
-  #whyClaimLost({ claim }: Slot, member: GroupRecord['members'][number]): GroupReason | null {
+  #whyClaimLost({ claim }: TaskEntry, member: GroupRecord['members'][number]): GroupReason | null {
     if (claim!.stopGraceS !== null || claim!.stage === 'saving') return 'member ended';
     const isAnother = member.attempt !== null && member.attempt !== claim!.attempt;
     return isAnother || claim!.machine.name !== member.machine ? 'member ended' : null;
--- a/packages/testkit/src/group-audit.ts
+++ b/packages/testkit/src/group-audit.ts
@@ -61,11 +61,11 @@
   #checkHeld(job: string, { members, generation }: GroupRecord): void {
     for (const [rank, { partitionId, machine }] of members.entries()) {
       const owner = this.#ownerOf(partitionId);
-      const slot = owner?.claimTable.slots.get(job)?.get(rank);
-      if (owner === undefined || slot === undefined || slot.job.cancelled) continue;
+      const task = owner?.claimTable.tasksByJob.get(job)?.get(rank);
+      if (owner === undefined || task === undefined || task.job.cancelled) continue;
       const isHeld =
-        owner.claimTable.reservations.reservedMachineFor(slot.name) === machine && slot.startedIn !== generation;
-      if (!isHeld) this.world.breach('member_unheld', `${slot.name} is admitted and not kept on ${machine}`);
+        owner.claimTable.reservations.reservedMachineFor(task.name) === machine && task.startedIn !== generation;
+      if (!isHeld) this.world.breach('member_unheld', `${task.name} is admitted and not kept on ${machine}`);
     }
   }
 
@@ -153,7 +153,7 @@
       const isKept = stored?.record.state === 'reserved' || stored?.record.state === 'admitted';
       if (isKept && stored.record.members[index]?.machine === machine) continue;
       if (now - (stored?.at ?? 0) < this.world.heartbeatIntervalMs * READ_INTERVALS) continue;
-      if (claimTable.slots.get(job)?.get(index)?.job.cancelled === true) continue;
+      if (claimTable.tasksByJob.get(job)?.get(index)?.job.cancelled === true) continue;
       this.world.breach('kept_in_vain', `partition ${partitionId} keeps ${machine} for ${taskName}`);
     }
   }
--- a/packages/testkit/src/ownership-audit.ts
+++ b/packages/testkit/src/ownership-audit.ts
@@ -1,6 +1,6 @@
 // Checks the statements on which `ran_twice` rests, while a day goes on: they break long before a task starts a second time.
 import type { PartitionOwner } from '@gingerlock/daemon';
-import { type Slot, tasksAssignedTo } from '@gingerlock/core';
+import { type TaskEntry, tasksAssignedTo } from '@gingerlock/core';
 import { jobRecord, type JobRecord, KEYS, parseTaskName, type Round } from '@gingerlock/wire';
 import type { World } from './world';
 
@@ -32,16 +32,16 @@
   #checkClaims(owner: PartitionOwner): void {
     const { tenure, claimTable } = owner;
     const isOwner = this.world.state.data.get(KEYS.owner(tenure.resource))?.version === tenure.version;
-    for (const slots of claimTable.slots.values()) {
-      for (const slot of slots.values()) {
-        if (slot.state === 'waiting') this.#checkPlace(owner, slot);
-        if (isOwner && this.#isFree(owner.partitionId, slot)) this.#checkFree(slot);
+    for (const tasksByIndex of claimTable.tasksByJob.values()) {
+      for (const task of tasksByIndex.values()) {
+        if (task.state === 'waiting') this.#checkPlace(owner, task);
+        if (isOwner && this.#isFree(owner.partitionId, task)) this.#checkFree(task);
       }
     }
   }
 
   /** What waits to be started is what the newest record that was read says. */
-  #checkPlace({ claimTable, partitionId }: PartitionOwner, { job, index, name, zone }: Slot): void {
+  #checkPlace({ claimTable, partitionId }: PartitionOwner, { job, index, name, zone }: TaskEntry): void {
     const assigned = tasksAssignedTo(job, partitionId, claimTable.term).get(index);
     if (assigned?.zone === zone) return;
     this.world.breach('stale_entry', `${name} waits for zone ${zone}, its record says ${assigned?.zone}`);
@@ -51,14 +51,14 @@
    * Whether the task may be started by its owner or given back by it. One that is leaving is neither any more once the record
    * has been written without it: it may run elsewhere before its former partition has read that.
    */
-  #isFree(partitionId: number, { job, index, state }: Slot): boolean {
+  #isFree(partitionId: number, { job, index, state }: TaskEntry): boolean {
     if (state !== 'leaving') return state === 'waiting';
     const record = this.#recordOf(job.id);
     return record?.final === null && record.rounds.some((r) => r.partitionId === partitionId && isIn(r, index));
   }
 
   /** What may be started, or given back to be started elsewhere, runs nowhere. */
-  #checkFree({ name, state }: Slot): void {
+  #checkFree({ name, state }: TaskEntry): void {
     const machine = this.world.runningTasks().get(name);
     if (machine !== undefined) this.world.breach('free_but_running', `${name} is ${state} and on ${machine}`);
   }
--- a/packages/testkit/test/group-mutants.ts
+++ b/packages/testkit/test/group-mutants.ts
@@ -45,7 +45,7 @@
     (original) =>
       function (this: OwnerGroups) {
         const { table } = this.members;
-        const machines = new Set(original.call(this).map((slot) => slot.claim!.machine.name));
+        const machines = new Set(original.call(this).map((task) => task.claim!.machine.name));
         for (const machine of machines) table!.gone(machine, this.shared.clock.now());
         return [];
       },
@@ -90,10 +90,10 @@
         PartitionGroups.prototype,
         'mayStart',
         (original) =>
-          function (this: PartitionGroups, slot, machine) {
-            const record = this.groups.get(slot.job.id)?.record;
-            const isNext = record?.state === 'reserved' && record.members[slot.index]?.machine === machine.name;
-            return isNext || original.call(this, slot, machine);
+          function (this: PartitionGroups, task, machine) {
+            const record = this.groups.get(task.job.id)?.record;
+            const isNext = record?.state === 'reserved' && record.members[task.index]?.machine === machine.name;
+            return isNext || original.call(this, task, machine);
           },
       ),
   },
@@ -111,9 +111,9 @@
         PartitionGroups.prototype,
         'mayStart',
         (original) =>
-          function (this: PartitionGroups, slot, machine) {
-            slot.startedIn = 0;
-            return original.call(this, slot, machine);
+          function (this: PartitionGroups, task, machine) {
+            task.startedIn = 0;
+            return original.call(this, task, machine);
           },
       ),
   },
--- a/packages/testkit/test/mutants.test.ts
+++ b/packages/testkit/test/mutants.test.ts
@@ -277,10 +277,10 @@
       const kept = patch(ClaimTable.prototype, 'giveBack', () => () => new Map());
       const started = patch(
         ClaimTable.prototype,
-        'waitingSlots',
+        'waitingTasks',
         () =>
           function* (this: ClaimTable, job) {
-            for (const slot of this.slots.get(job.id)?.values() ?? []) if (slot.state === 'waiting') yield slot;
+            for (const task of this.tasksByJob.get(job.id)?.values() ?? []) if (task.state === 'waiting') yield task;
           },
       );
       return () => {
@@ -390,7 +390,7 @@
         (original) =>
           function (this: ClaimTable, id, now) {
             const stopped = original.call(this, id, now);
-            for (const slot of this.slots.get(id)?.values() ?? []) slot.zone = null;
+            for (const task of this.tasksByJob.get(id)?.values() ?? []) task.zone = null;
             return stopped;
           },
       ),
--- a/packages/testkit/test/one-owner.test.ts
+++ b/packages/testkit/test/one-owner.test.ts
@@ -6,7 +6,7 @@
 import { type Fault, type Handler, playDay, World, type WorldOptions, ZONES } from '../src/index';
 
 /** The partition that the tests are about, at home on the first controller, and that controller's zone. */
-const SLOT = '0';
+const RESOURCE = '0';
 const OWNER = 'node-0';
 const ZONE = ZONES[0]!;
 
@@ -45,7 +45,7 @@
 
 /** Who owns the partition, as the state service has it. */
 function ownerOf(world: World): string {
-  return ownerRecord.read(world.state.data.get(KEYS.owner(SLOT))!.value).node;
+  return ownerRecord.read(world.state.data.get(KEYS.owner(RESOURCE))!.value).node;
 }
 
 function tasksIn(world: World, zone: string): string[] {
@@ -81,7 +81,7 @@
 async function resumeUnanswered(world: World): Promise<void> {
   isolate(world, ZONE, true);
   isolate(world, ZONE, false);
-  const holdKey = KEYS.hold(SLOT);
+  const holdKey = KEYS.hold(RESOURCE);
   let isResuming = false;
   let isCutOff = false;
   intercept(world, (method, path, body, from) => {
@@ -148,9 +148,10 @@
   const world = await busyWorld({ seed: 5, workerLeaseS: 16, cancellationBoundS: 50 });
   world.crash(OWNER);
   await world.sim.run(world.sim.now + 300);
-  const before = world.state.data.get(KEYS.owner(SLOT))!.version;
-  const hasTaken = (): boolean => world.state.data.get(KEYS.owner(SLOT))!.version !== before;
-  const mayBeTaken = (): boolean => hasTaken() && ownerOf(world) === OWNER && !world.state.data.has(KEYS.hold(SLOT));
+  const before = world.state.data.get(KEYS.owner(RESOURCE))!.version;
+  const hasTaken = (): boolean => world.state.data.get(KEYS.owner(RESOURCE))!.version !== before;
+  const mayBeTaken = (): boolean =>
+    hasTaken() && ownerOf(world) === OWNER && !world.state.data.has(KEYS.hold(RESOURCE));
   let isReading = false;
   let isCutOff = false;
   intercept(world, async (method, path, body, from) => {
--- a/packages/testkit/test/tenure.test.ts
+++ b/packages/testkit/test/tenure.test.ts
@@ -5,12 +5,12 @@
 import { World } from '../src/index';
 
 const OWNER = 'node-0';
-const SLOT = '0';
+const RESOURCE = '0';
 /** As in the settings of the simulated world. */
 const TXN_OPS = 12;
 
 function ownerRecordOf(world: World): { readonly term: number; readonly node: string } {
-  return ownerRecord.read(world.state.data.get(KEYS.owner(SLOT))!.value);
+  return ownerRecord.read(world.state.data.get(KEYS.owner(RESOURCE))!.value);
 }
 
 // Term and version of a partition were read anew after each write: the former owner's table went on being written from under the
--- a/packages/wire/src/records.ts
+++ b/packages/wire/src/records.ts
@@ -12,10 +12,10 @@
   meta: 'g/meta',
   term: 'g/term',
   types: 'g/types',
-  owner: (slot: string) => `g/own/${slot}`,
-  hold: (slot: string) => `g/hold/${slot}`,
+  owner: (resource: string) => `g/own/${resource}`,
+  hold: (resource: string) => `g/hold/${resource}`,
   /** A term record: the owner of that term knows that the `movedAt` of its record bounds its takeover. */
-  timed: (slot: string) => `g/timed/${slot}`,
+  timed: (resource: string) => `g/timed/${resource}`,
   job: (id: string) => `g/j/${id}`,
   finished: (id: string, partitionId: number, page: number) => `g/f/${id}/${partitionId}/${page}`,
   /** A page of finished tasks that begins at task `first`; see `finishedPageFor`. */
@@ -31,7 +31,7 @@
 
 export type ParsedKey =
   | { readonly kind: 'meta' | 'term' | 'types' | 'other' }
-  | { readonly kind: 'owner' | 'hold' | 'timed'; readonly slot: string }
+  | { readonly kind: 'owner' | 'hold' | 'timed'; readonly resource: string }
   | { readonly kind: 'job'; readonly id: string }
   | { readonly kind: 'finished'; readonly id: string; readonly partitionId: number; readonly page: number }
   | { readonly kind: 'finishedFrom'; readonly id: string; readonly partitionId: number; readonly first: number }
@@ -47,11 +47,11 @@
     case 'types':
       return { kind: words[1] };
     case 'own':
-      return { kind: 'owner', slot: words[2] ?? '' };
+      return { kind: 'owner', resource: words[2] ?? '' };
     case 'hold':
-      return { kind: 'hold', slot: words[2] ?? '' };
+      return { kind: 'hold', resource: words[2] ?? '' };
     case 'timed':
-      return { kind: 'timed', slot: words[2] ?? '' };
+      return { kind: 'timed', resource: words[2] ?? '' };
     case 'j':
       return { kind: 'job', id: words[2] ?? '' };
     case 'f':
