--- a/packages/borrowing/test/execution.test.ts
+++ b/packages/borrowing/test/execution.test.ts
@@ -57,9 +57,16 @@
   }
 
   store(id: string, spec: Parameters<typeof jobOf>[1] & object, assigned: number): void {
-    const rounds = assigned === 0 ? [] : [{ from: 0, count: assigned, partitionId: 0, zone: null, term: TERM }];
+    const assignedRanges = assigned === 0 ? [] : [{ from: 0, count: assigned, partitionId: 0, zone: null, term: TERM }];
     const full = jobOf(id, spec).spec;
-    const record = { final: null, spec: full, acceptedAt: 0, cancelled: false, failing: false, rounds } as const;
+    const record = {
+      final: null,
+      spec: full,
+      acceptedAt: 0,
+      cancelled: false,
+      failing: false,
+      assignedRanges,
+    } as const;
     this.jobs.applyJob(id, jobRecord.write(record), ++this.now);
   }
 
--- a/packages/borrowing/test/fixtures.ts
+++ b/packages/borrowing/test/fixtures.ts
@@ -47,7 +47,7 @@
     ...over,
   };
   job.rank = PRIORITIES.indexOf(job.spec.priority);
-  if (assigned > 0) job.rounds = [{ from: 0, count: assigned, partitionId: 0, zone: null, term: 3 }];
+  if (assigned > 0) job.assignedRanges = [{ from: 0, count: assigned, partitionId: 0, zone: null, term: 3 }];
   return job;
 }
 
--- a/packages/borrowing/test/planner.test.ts
+++ b/packages/borrowing/test/planner.test.ts
@@ -40,7 +40,7 @@
     ]),
   );
   const jobs = new Map([...next.keys(), ...waiting].map((job) => [job.id, job]));
-  for (const [job, count] of next) job.rounds = [{ from: 0, count, partitionId: 0, zone: null, term: 3 }];
+  for (const [job, count] of next) job.assignedRanges = [{ from: 0, count, partitionId: 0, zone: null, term: 3 }];
   const free = new Map(
     machines.map((tasks, i) => [`m-${i}`, tasks.reduce((sum, { job }) => subtractResources(sum, job.spec), MACHINE)]),
   );
--- a/packages/core/src/assignment.ts
+++ b/packages/core/src/assignment.ts
@@ -1,5 +1,5 @@
 // The leader's assignment of waiting tasks among the parts by free room, with the arithmetic of team limits and zones.
-import { type MachineType, PRIORITIES, type Round } from '@gingerlock/wire';
+import { type MachineType, PRIORITIES, type AssignedRange } from '@gingerlock/wire';
 import {
   type Resources,
   type ClusterConfig,
@@ -16,7 +16,7 @@
 import type { GroupCandidate, GroupChoice, GroupPlanner } from './group-planner';
 import { type Job, jobOrder } from './jobs';
 import { assignedUnfinished, spreadCap, teamUse, unfinishedIn } from './job-use';
-import { joinRounds } from './rounds';
+import { mergeRanges } from './assigned-ranges';
 import { fetchMs, SERVICE_VICTIM_MS, STOP_MS } from './start-time';
 
 /** What a part's owner says of one machine. */
@@ -58,7 +58,7 @@
 export interface Assignment {
   readonly job: Job;
   /** What is added to the rounds of its record. */
-  readonly added: readonly Round[];
+  readonly added: readonly AssignedRange[];
   /** Which machine each task was meant for: counted against its room until the owner's summary shows it. */
   readonly meant: readonly { machine: string; need: Resources }[];
 }
@@ -131,9 +131,9 @@
  */
 function zoneCounts(job: Job): Map<string, number> {
   const counts = new Map<string, number>();
-  for (const r of job.rounds) {
-    const n = unfinishedIn(job, r);
-    if (r.zone !== null && n > 0) counts.set(r.zone, (counts.get(r.zone) ?? 0) + n);
+  for (const range of job.assignedRanges) {
+    const n = unfinishedIn(job, range);
+    if (range.zone !== null && n > 0) counts.set(range.zone, (counts.get(range.zone) ?? 0) + n);
   }
   return counts;
 }
@@ -303,7 +303,7 @@
     const { indices, places, meant, missing } = this.#place(job, ranges, allowed, zones, heldBackGpus);
     const { team } = job.spec;
     this.#use.set(team, addResources(this.#use.get(team) ?? NO_RESOURCES, job.spec, places.length + missing));
-    if (places.length > 0) this.assignments.push({ job, added: roundsOf(indices, places), meant });
+    if (places.length > 0) this.assignments.push({ job, added: assignedRangesOf(indices, places), meant });
     if (missing > 0) this.unmet.push({ job, count: missing, zones: zones.open(this.input.clusterConfig.zones) });
     return { placed: places.length, missing };
   }
@@ -410,7 +410,7 @@
     const place = { partitionId: bin.partitionId, zone: zones.take(bin.machine.zone), term: bin.term };
     const meant = [{ machine: bin.machine.name, need: job.spec }];
     this.#use.set(job.spec.team, addResources(this.#use.get(job.spec.team) ?? NO_RESOURCES, job.spec));
-    this.assignments.push({ job, added: roundsOf([ranges[0]![0]], [place]), meant });
+    this.assignments.push({ job, added: assignedRangesOf([ranges[0]![0]], [place]), meant });
   }
 
   #place(
@@ -450,7 +450,7 @@
     if (missing > 0 || this.assignments.length >= input.most) return undefined;
     const shape = shapeOf(job);
     if (this.#full.has(shape)) return undefined;
-    const lastPartitionId = places.at(-1)?.partitionId ?? job.rounds.at(-1)?.partitionId;
+    const lastPartitionId = places.at(-1)?.partitionId ?? job.assignedRanges.at(-1)?.partitionId;
     const bin = pick(job, this.#bins, input, (zone) => zones.allows(zone), lastPartitionId);
     // With zones of its own to keep to, it says nothing of others.
     if (bin === undefined && !job.spec.spread && !job.spec.oneZone) this.#full.add(shape);
@@ -459,17 +459,17 @@
 }
 
 /** Where one more task of a job is to run. */
-export type Place = Omit<Round, 'from' | 'count'>;
+export type Place = Omit<AssignedRange, 'from' | 'count'>;
 
 /**
  * Shares out the tasks, which are all alike, so that those of one place follow each other: one round for each place
  * instead of one for each task keeps the record of a large job within the limit on values.
  */
-export function roundsOf(indices: readonly number[], places: readonly Place[]): Round[] {
+export function assignedRangesOf(indices: readonly number[], places: readonly Place[]): AssignedRange[] {
   const sorted = [...places].sort(
     (a, b) => a.partitionId - b.partitionId || (a.zone ?? '').localeCompare(b.zone ?? ''),
   );
-  return joinRounds(sorted.map((place, i) => ({ from: indices[i]!, count: 1, ...place })));
+  return mergeRanges(sorted.map((place, i) => ({ from: indices[i]!, count: 1, ...place })));
 }
 
 function shapeOf({ ownRank, spec }: Job): string {
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,7 +1,7 @@
 export * from './facts';
 export * from './dependencies';
 export * from './jobs';
-export * from './rounds';
+export * from './assigned-ranges';
 export * from './claims';
 export { CALLS_PER_TERM, termOfToken } from './tokens';
 export { plannedByRank, toldRank } from './claim-queries';
--- a/packages/core/src/job-use.ts
+++ b/packages/core/src/job-use.ts
@@ -1,5 +1,5 @@
 // What jobs use by their records: what is assigned to partitions counts against limits before it runs.
-import type { Round } from '@gingerlock/wire';
+import type { AssignedRange } from '@gingerlock/wire';
 import { type Resources, NO_RESOURCES, addResources } from './facts';
 import type { Job } from './jobs';
 
@@ -15,11 +15,11 @@
 
 /** How many unfinished tasks of the job are assigned to partitions. */
 export function assignedUnfinished(job: Job): number {
-  return job.rounds.reduce((n, r) => n + unfinishedIn(job, r), 0);
+  return job.assignedRanges.reduce((n, range) => n + unfinishedIn(job, range), 0);
 }
 
 /** How many tasks of a range are not finished. */
-export function unfinishedIn(job: Job, { from, count }: Pick<Round, 'from' | 'count'>): number {
+export function unfinishedIn(job: Job, { from, count }: Pick<AssignedRange, 'from' | 'count'>): number {
   if (job.finishedCount === 0) return count;
   let n = 0;
   for (let i = from; i < from + count; i++) if (!job.isFinished(i)) n++;
@@ -41,10 +41,10 @@
 /** The job's unfinished tasks that are assigned to the partition under this term or an earlier one, by their numbers. */
 export function tasksAssignedTo(job: Job, partitionId: number, term: number): Map<number, AssignedTask> {
   const assigned = new Map<number, AssignedTask>();
-  for (const round of job.rounds) {
-    if (round.partitionId !== partitionId || round.term > term) continue;
-    for (let taskIndex = round.from; taskIndex < round.from + round.count; taskIndex++) {
-      if (!job.isFinished(taskIndex)) assigned.set(taskIndex, { zone: round.zone, term: round.term });
+  for (const range of job.assignedRanges) {
+    if (range.partitionId !== partitionId || range.term > term) continue;
+    for (let taskIndex = range.from; taskIndex < range.from + range.count; taskIndex++) {
+      if (!job.isFinished(taskIndex)) assigned.set(taskIndex, { zone: range.zone, term: range.term });
     }
   }
   return assigned;
--- a/packages/core/src/jobs.ts
+++ b/packages/core/src/jobs.ts
@@ -7,10 +7,10 @@
   KEYS,
   PRIORITIES,
   type ParsedKey,
-  type Round,
+  type AssignedRange,
 } from '@gingerlock/wire';
 import { DependencyGraph, type Outcome } from './dependencies';
-import { unassignedRanges } from './rounds';
+import { unassignedRanges } from './assigned-ranges';
 
 /** A set of tasks as the state service keeps it: a bit for each, the lowest bit of a byte first. */
 export class Bits {
@@ -52,7 +52,7 @@
   isGroup = false;
   /** Whether all jobs that it needs are done; until then it waits and nothing of it is assigned. */
   ready = true;
-  rounds: readonly Round[] = [];
+  assignedRanges: readonly AssignedRange[] = [];
   version = 0;
   /** Urgency as a number, 0 goes first: its own or that of the most urgent job that needs it. */
   rank = Infinity;
@@ -95,7 +95,7 @@
 
   /** Ranges of tasks that are in no round, as [from, count]. */
   unassigned(): [number, number][] {
-    return unassignedRanges(this.rounds, this.spec.tasks);
+    return unassignedRanges(this.assignedRanges, this.spec.tasks);
   }
 }
 
@@ -154,7 +154,7 @@
     job.acceptedAt = record.acceptedAt;
     job.cancelled = record.cancelled || job.cancelledElsewhere;
     job.markedFailing = record.failing;
-    job.rounds = record.rounds;
+    job.assignedRanges = record.assignedRanges;
     job.version = version;
     this.dependencies.update(job);
     for (const page of this.#early.get(id) ?? []) job.setPage(page);
--- a/packages/core/src/stranded-tasks.ts
+++ b/packages/core/src/stranded-tasks.ts
@@ -22,7 +22,7 @@
 export function strandedTasks(input: StrandedTasksInput): Unmet[] {
   const stranded: Unmet[] = [];
   for (const job of input.jobs) {
-    if (job.cancelled || job.rounds.length === 0 || !input.isFrozen(job)) continue;
+    if (job.cancelled || job.assignedRanges.length === 0 || !input.isFrozen(job)) continue;
     for (const status of input.statuses) {
       const count = waitingIn(job, status);
       if (count <= 0 || status.machines.some((machine) => couldTake(machine, job, input.types))) continue;
@@ -35,9 +35,9 @@
 /** How many tasks of the job wait in the partition; none while its summary is older than the assignment. */
 function waitingIn(job: Job, { partitionId, revision, running }: PartitionStatus): number {
   if (revision < job.version) return 0;
-  const assigned = job.rounds
-    .filter((round) => round.partitionId === partitionId)
-    .reduce((n, round) => n + unfinishedIn(job, round), 0);
+  const assigned = job.assignedRanges
+    .filter((range) => range.partitionId === partitionId)
+    .reduce((n, range) => n + unfinishedIn(job, range), 0);
   return assigned - (running.find(([id]) => id === job.id)?.[1] ?? 0);
 }
 
@@ -54,7 +54,9 @@
 
 /** The zones whose machines belong to the partition, some of them at least, and to which its tasks of the job are bound. */
 function zonesFor(job: Job, partitionId: number, { partitioner, zones }: StrandedTasksInput): string[] {
-  const bound = new Set(job.rounds.filter((round) => round.partitionId === partitionId).map((round) => round.zone));
+  const bound = new Set(
+    job.assignedRanges.filter((range) => range.partitionId === partitionId).map((range) => range.zone),
+  );
   return zones.filter(
     (zone) => partitioner.partitionsOf(zone).includes(partitionId) && (bound.has(null) || bound.has(zone)),
   );
--- a/packages/core/test/rounds.test.ts
+++ b/packages/core/test/assigned-ranges.test.ts
@@ -1,27 +1,27 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Round } from '@gingerlock/wire';
+import type { AssignedRange } from '@gingerlock/wire';
 import fc from 'fast-check';
-import { coverPerPartition, joinRounds, unassignedRanges, withoutTasks } from '../src/index';
+import { coverPerPartition, mergeRanges, unassignedRanges, withoutTasks } from '../src/index';
 
 const TASKS = 40;
 const place = fc.record(
   { partitionId: fc.nat({ max: 2 }), zone: fc.constantFrom(null, 'a', 'b'), term: fc.constantFrom(1, 2) },
   { noNullPrototype: true },
 );
-type Place = Omit<Round, 'from' | 'count'>;
+type Place = Omit<AssignedRange, 'from' | 'count'>;
 
 /** Where each task is assigned; null: nowhere. */
 const assignment = fc.array(fc.option(place, { nil: null }), { minLength: TASKS, maxLength: TASKS });
 const tasks = fc.uniqueArray(fc.nat({ max: TASKS - 1 })).map((list) => new Set(list));
 
-function roundsOf(places: readonly (Place | null)[]): Round[] {
+function assignedRangesOf(places: readonly (Place | null)[]): AssignedRange[] {
   return places.flatMap((p, from) => (p === null ? [] : [{ from, count: 1, ...p }]));
 }
 
-function placesOf(rounds: readonly Round[]): (Place | null)[] {
+function placesOf(assignedRanges: readonly AssignedRange[]): (Place | null)[] {
   const places: (Place | null)[] = Array.from({ length: TASKS }, () => null);
-  for (const { from, count, partitionId, zone, term } of rounds) {
+  for (const { from, count, partitionId, zone, term } of assignedRanges) {
     for (let task = from; task < from + count; task++) {
       assert.equal(places[task], null, `task ${task} is in two rounds`);
       places[task] = { partitionId, zone, term };
@@ -34,12 +34,12 @@
   fc.assert(
     fc.property(assignment, tasks, (places, finished) => {
       const isFinished = (task: number): boolean => finished.has(task);
-      const joined = joinRounds(roundsOf(places), isFinished);
+      const joined = mergeRanges(assignedRangesOf(places), isFinished);
       const after = placesOf(joined);
       for (let task = 0; task < TASKS; task++) {
         if (!isFinished(task)) assert.deepEqual(after[task], places[task], `task ${task}`);
       }
-      assert.deepEqual(joinRounds(joined, isFinished), joined);
+      assert.deepEqual(mergeRanges(joined, isFinished), joined);
     }),
     { seed: 391 },
   );
@@ -48,7 +48,7 @@
 test('tasks are taken out of the rounds of their own partition only', () => {
   fc.assert(
     fc.property(assignment, tasks, fc.nat({ max: 2 }), (places, removed, partitionId) => {
-      const left = placesOf(withoutTasks(joinRounds(roundsOf(places)), partitionId, removed));
+      const left = placesOf(withoutTasks(mergeRanges(assignedRangesOf(places)), partitionId, removed));
       for (let task = 0; task < TASKS; task++) {
         const goes = removed.has(task) && places[task]?.partitionId === partitionId;
         assert.deepEqual(left[task], goes ? null : places[task], `task ${task}`);
@@ -61,7 +61,7 @@
 test('the ranges that are in no round are exactly the unassigned tasks', () => {
   fc.assert(
     fc.property(assignment, (places) => {
-      const ranges = unassignedRanges(joinRounds(roundsOf(places)), TASKS);
+      const ranges = unassignedRanges(mergeRanges(assignedRangesOf(places)), TASKS);
       const unassigned = new Set(ranges.flatMap(([from, count]) => Array.from({ length: count }, (_, i) => from + i)));
       for (let task = 0; task < TASKS; task++)
         assert.equal(unassigned.has(task), places[task] === null, `task ${task}`);
@@ -73,7 +73,7 @@
 test('one round per partition covers all that the partition may run, under no higher a term', () => {
   fc.assert(
     fc.property(assignment, (places) => {
-      const covers = coverPerPartition(roundsOf(places));
+      const covers = coverPerPartition(assignedRangesOf(places));
       assert.equal(new Set(covers.map((c) => c.partitionId)).size, covers.length);
       for (const [task, p] of places.entries()) {
         if (p === null) continue;
--- a/packages/core/test/assignment.test.ts
+++ b/packages/core/test/assignment.test.ts
@@ -46,7 +46,7 @@
   const table = new JobTable(() => 64);
   for (let i = 0; i < jobs; i++) {
     const spec = specOf(`j-${i}`, { image: `img-${i % 7}` });
-    const record = { final: null, spec, acceptedAt: i, cancelled: false, failing: false, rounds: [] };
+    const record = { final: null, spec, acceptedAt: i, cancelled: false, failing: false, assignedRanges: [] };
     table.applyJob(spec.id, jobRecord.write(record), i + 1);
   }
   const status: PartitionStatus = {
@@ -94,10 +94,10 @@
 test('a job of one zone goes on in another once all its tasks there are finished, and not while one may run', () => {
   const table = new JobTable(() => 64);
   const spec = specOf('j-1', { oneZone: true });
-  const rounds = [{ from: 0, count: 2, partitionId: 0, zone: 'a', term: 1 }];
+  const assignedRanges = [{ from: 0, count: 2, partitionId: 0, zone: 'a', term: 1 }];
   table.applyJob(
     spec.id,
-    jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: false, rounds }),
+    jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: false, assignedRanges }),
     1,
   );
   const zonesDealt = (): (string | null)[] => {
@@ -123,7 +123,7 @@
       heldBack: null,
       groups: null,
     });
-    return assignments.flatMap((d) => d.added.filter((r) => r.from >= 2).map((r) => r.zone));
+    return assignments.flatMap((d) => d.added.filter((range) => range.from >= 2).map((range) => range.zone));
   };
   const finish = (tasks: number, version: number): void =>
     table.applyFinished(
--- a/packages/core/test/claims.test.ts
+++ b/packages/core/test/claims.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { jobRecord, type MachineType, PRIORITIES, type Round, type WorkerReport } from '@gingerlock/wire';
+import { jobRecord, type MachineType, PRIORITIES, type AssignedRange, type WorkerReport } from '@gingerlock/wire';
 import { CALLS_PER_TERM, ClaimTable, JobTable, pack, plannedByRank, type TaskEntry } from '../src/index';
 import { CLUSTER_CONFIG, specOf } from './fixtures';
 
@@ -41,10 +41,10 @@
 
 /** The job with its four tasks assigned to the part. */
 function assigned(jobs: JobTable, term: number, version: number): void {
-  const rounds = [{ from: 0, count: 4, partitionId: 0, zone: null, term }];
+  const assignedRanges = [{ from: 0, count: 4, partitionId: 0, zone: null, term }];
   jobs.applyJob(
     spec.id,
-    jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: false, rounds }),
+    jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: false, assignedRanges }),
     version,
   );
 }
@@ -156,18 +156,18 @@
 function reassign(
   jobs: JobTable,
   claimTable: ClaimTable,
-  rounds: readonly Round[],
+  assignedRanges: readonly AssignedRange[],
   version: number,
 ): readonly TaskEntry[] {
   jobs.applyJob(
     spec.id,
-    jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: false, rounds }),
+    jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: false, assignedRanges }),
     version,
   );
   return claimTable.syncJob(spec.id, 2000);
 }
 
-const round = (from: number, count: number, zone: string | null, partitionId = 0): Round => ({
+const rangeOf = (from: number, count: number, zone: string | null, partitionId = 0): AssignedRange => ({
   from,
   count,
   partitionId,
@@ -180,9 +180,9 @@
 test('a task that is given back and assigned anew to another zone starts in that zone alone', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 20_000, ['m-1', 'm-2']);
-  reassign(jobs, claimTable, [round(0, 4, 'a')], 5);
+  reassign(jobs, claimTable, [rangeOf(0, 4, 'a')], 5);
   claimTable.leaving([...claimTable.tasksByJob.get(spec.id)!.values()], 1000);
-  reassign(jobs, claimTable, [round(0, 4, 'b')], 7);
+  reassign(jobs, claimTable, [rangeOf(0, 4, 'b')], 7);
   const starts = (machine: string, zone: string): number => {
     const outcome = claimTable.report({ ...report(machine, 1, 2 * CALLS_PER_TERM), zone }, 9000, true);
     assert.ok(outcome.kind === 'answer');
@@ -203,14 +203,14 @@
     const outcome = claimTable.report({ ...report(machine, seq, token), tasks }, 5000 + seq * 2000, true);
     return outcome.kind === 'answer' ? outcome.commands.map((c) => `${c.op} ${c.task}`) : [];
   };
-  reassign(jobs, claimTable, [round(0, 1, null)], 5);
+  reassign(jobs, claimTable, [rangeOf(0, 1, null)], 5);
   assert.deepEqual(commands('m-1', 1, []), [`start ${spec.id}/0`]);
   const attempt = claimTable.tasksByJob.get(spec.id)!.get(0)!.claim!.attempt;
   const running = { task: `${spec.id}/0`, attempt, state: 'running' as const, cause: null, saved: false };
   assert.deepEqual(commands('m-1', 2, [running]), []);
   assert.equal(reassign(jobs, claimTable, [], 6).length, 1);
   assert.deepEqual(alarms, ['claimed task is not assigned here any more']);
-  reassign(jobs, claimTable, [round(0, 1, null)], 7);
+  reassign(jobs, claimTable, [rangeOf(0, 1, null)], 7);
   assert.deepEqual(commands('m-2', 3, []), []);
   assert.deepEqual(commands('m-1', 4, [running]), [`stop ${spec.id}/0`]);
   assert.deepEqual(commands('m-1', 5, []), [`start ${spec.id}/0`]);
@@ -311,10 +311,10 @@
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
   const assign = (count: number, version: number): void => {
-    const rounds = [round(0, count, null)];
+    const assignedRanges = [rangeOf(0, count, null)];
     jobs.applyJob(
       spec.id,
-      jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: true, rounds }),
+      jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: true, assignedRanges }),
       version,
     );
     claimTable.syncJob(spec.id, version * 100);
@@ -340,8 +340,15 @@
   const ids = { guest: 'j-000010', normal: 'j-000011', late: 'j-000012' };
   const accept = (id: string, priority: 'normal' | 'low', version: number): void => {
     const one = specOf(id, { priority, tasks: 1, gpus: 0 });
-    const rounds = [{ from: 0, count: 1, partitionId: 0, zone: null, term: 2 }];
-    const record = { final: null, spec: one, acceptedAt: version, cancelled: false, failing: false, rounds } as const;
+    const assignedRanges = [{ from: 0, count: 1, partitionId: 0, zone: null, term: 2 }];
+    const record = {
+      final: null,
+      spec: one,
+      acceptedAt: version,
+      cancelled: false,
+      failing: false,
+      assignedRanges,
+    } as const;
     jobs.applyJob(id, jobRecord.write(record), version);
     claimTable.syncJob(id, 0);
   };
--- a/packages/core/test/cost.test.ts
+++ b/packages/core/test/cost.test.ts
@@ -27,10 +27,10 @@
   const jobs = new JobTable(() => 64);
   const job = (id: string, tasks: number): void => {
     const spec = specOf(id, { kind: 'service', priority: 'production', tasks, cpus: 4, memoryGb: 12 });
-    const rounds = [{ from: 0, count: tasks, partitionId: 0, zone: null, term: 2 }];
+    const assignedRanges = [{ from: 0, count: tasks, partitionId: 0, zone: null, term: 2 }];
     jobs.applyJob(
       id,
-      jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: false, rounds }),
+      jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: false, assignedRanges }),
       5,
     );
   };
--- a/packages/core/test/stranded-tasks.test.ts
+++ b/packages/core/test/stranded-tasks.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { MachineType, Round } from '@gingerlock/wire';
+import type { MachineType, AssignedRange } from '@gingerlock/wire';
 import {
   Job,
   type MachineStatus,
@@ -26,15 +26,15 @@
   zones: ['north', 'south', 'west'],
 };
 
-function jobWith(rounds: readonly Round[], over: Parameters<typeof specOf>[1] = {}): Job {
+function jobWith(assignedRanges: readonly AssignedRange[], over: Parameters<typeof specOf>[1] = {}): Job {
   const job = new Job('j-1');
   job.spec = specOf('j-1', { tasks: 8, ...over });
-  job.rounds = [...rounds];
+  job.assignedRanges = [...assignedRanges];
   job.version = 5;
   return job;
 }
 
-function round(from: number, partitionId: number, zone: string | null = null): Round {
+function rangeOf(from: number, partitionId: number, zone: string | null = null): AssignedRange {
   return { from, count: 2, partitionId, zone, term: 1 };
 }
 
@@ -60,7 +60,7 @@
 
 // A fleet without machines was once not rented any for such tasks, and they waited for ever.
 test('tasks that cannot be given back and have no machine in their partition are asked for in its zones', () => {
-  const job = jobWith([round(0, 0), round(2, 1), round(4, 0)]);
+  const job = jobWith([rangeOf(0, 0), rangeOf(2, 1), rangeOf(4, 0)]);
   const both = [partitionStatusOf(0, []), partitionStatusOf(1, [])];
   assert.deepEqual(stranded(job, both), [
     { count: 4, zones: ['north', 'west'] },
@@ -70,7 +70,7 @@
 });
 
 test('no machine is asked for where one can take the tasks in time, or where nothing waits', () => {
-  const job = jobWith([round(0, 0)]);
+  const job = jobWith([rangeOf(0, 0)]);
   const full = machineStatusOf('m-1', { zone: 'north', free: NO_RESOURCES });
   assert.deepEqual(stranded(job, [partitionStatusOf(0, [full])]), []);
   assert.deepEqual(stranded(job, [partitionStatusOf(0, [{ ...full, takesWork: false }])]), [
@@ -84,6 +84,6 @@
     [],
     'the summary is older than the assignment',
   );
-  const bound = jobWith([round(0, 0, 'west')], { spread: true });
+  const bound = jobWith([rangeOf(0, 0, 'west')], { spread: true });
   assert.deepEqual(stranded(bound, [partitionStatusOf(0, [])]), [{ count: 2, zones: ['west'] }]);
 });
--- a/packages/core/test/trials.test.ts
+++ b/packages/core/test/trials.test.ts
@@ -20,7 +20,7 @@
   const jobs = new JobTable(() => 64);
   jobs.applyJob(
     spec.id,
-    jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: true, rounds: [] }),
+    jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: true, assignedRanges: [] }),
     1,
   );
   const trials = new TrialSchedule(clusterConfig);
@@ -95,7 +95,7 @@
   assert.equal(isTried(job, trials), true);
   const first = provenAfter(1000);
   const { assignments } = assign(9000);
-  assert.ok(assignments.flatMap((a) => a.added).reduce((n, r) => n + r.count, 0) > 1);
+  assert.ok(assignments.flatMap((a) => a.added).reduce((n, range) => n + range.count, 0) > 1);
   trials.cleared(spec.id);
   running(10_000, 0);
   assert.equal(trials.isProven(spec.id), false);
--- a/packages/daemon/src/job-batch.ts
+++ b/packages/daemon/src/job-batch.ts
@@ -1,22 +1,22 @@
 // Changes of job records that the leader writes together.
-import { assignedUnfinished, type Job, joinRounds } from '@gingerlock/core';
-import { type Change, type Condition, jobRecord, KEYS, type Round } from '@gingerlock/wire';
+import { assignedUnfinished, type Job, mergeRanges } from '@gingerlock/core';
+import { type Change, type Condition, jobRecord, KEYS, type AssignedRange } from '@gingerlock/wire';
 import type { TransactionSizeLimit } from './transaction-size-limit';
 
 /** The record of a job with rounds added to it. */
-export function recordWith(job: Job, failing: boolean, added: readonly Round[]): unknown {
-  return recordOf(job, failing, [...job.rounds, ...added]);
+export function recordWith(job: Job, failing: boolean, added: readonly AssignedRange[]): unknown {
+  return recordOf(job, failing, [...job.assignedRanges, ...added]);
 }
 
 /** The record of a job with these rounds in place of its own. */
-export function recordOf(job: Job, failing: boolean, rounds: readonly Round[]): unknown {
+export function recordOf(job: Job, failing: boolean, assignedRanges: readonly AssignedRange[]): unknown {
   return jobRecord.write({
     final: null,
     spec: job.spec,
     acceptedAt: job.acceptedAt,
     cancelled: false,
     failing,
-    rounds: joinRounds(rounds, (taskIndex) => job.isFinished(taskIndex)),
+    assignedRanges: mergeRanges(assignedRanges, (taskIndex) => job.isFinished(taskIndex)),
   });
 }
 
--- a/packages/daemon/src/leader-groups.ts
+++ b/packages/daemon/src/leader-groups.ts
@@ -6,7 +6,7 @@
   type GroupPlacement,
   type GroupPlanner,
   type Job,
-  roundsOf,
+  assignedRangesOf,
   type Unmet,
   type Versioned,
 } from '@gingerlock/core';
@@ -226,11 +226,11 @@
     const kept = members.map(({ partitionId, machine }) => ({ partitionId, machine, attempt: null }));
     const next = reserve(stored?.record ?? null, kept, Math.round(clock.wall()));
     const value = groupRecord.write(next);
-    const rounds = roundsOf(
+    const assignedRanges = assignedRangesOf(
       members.map((_, rank) => rank),
       members,
     );
-    const record = recordWith(job, false, rounds);
+    const record = recordWith(job, false, assignedRanges);
     if (!this.shared.fitsValue(record) || !this.shared.fitsValue(value)) {
       this.shared.log.error({ job: job.id, members: members.length }, 'group too large, not placed');
       return false;
--- a/packages/daemon/src/leader.ts
+++ b/packages/daemon/src/leader.ts
@@ -7,13 +7,13 @@
   isTried,
   type Job,
   type PartitionStatus,
-  roundsOf,
+  assignedRangesOf,
   strandedTasks,
   type Tenure,
   TrialSchedule,
   type Unmet,
 } from '@gingerlock/core';
-import { jobRecord, KEYS, reclaimRecord, type Round } from '@gingerlock/wire';
+import { jobRecord, KEYS, reclaimRecord, type AssignedRange } from '@gingerlock/wire';
 import { FleetManager, type FleetOrders } from './fleet-manager';
 import { finalOf, JobBatch, recordOf, recordWith } from './job-batch';
 import { type LeaderBorrowing, unmetWithout } from './leader-borrowing';
@@ -38,7 +38,7 @@
 const NOTHING_PINNED: ReadonlySet<string> = new Set();
 
 /** What one round may take of a job's record, about: jobs with fewer rounds need not be weighed. */
-const LARGEST_ROUND_BYTES = 128;
+const LARGEST_RANGE_BYTES = 128;
 
 /** A reclaim changes the record of its job and adds its own. */
 const CHANGES_PER_RECLAIM = 2;
@@ -197,10 +197,10 @@
   /** Whether the record of the job is too large to be written even without all that is assigned to any one partition. */
   #isFrozen(job: Job): boolean {
     const { settings } = this.shared;
-    if (job.rounds.length * LARGEST_ROUND_BYTES < settings.valueBytes) return false;
-    return [...new Set(job.rounds.map(({ partitionId }) => partitionId))].every((partitionId) => {
-      const rounds = job.rounds.filter((round) => round.partitionId !== partitionId);
-      return !this.shared.fitsValue(recordOf(job, job.failing, rounds));
+    if (job.assignedRanges.length * LARGEST_RANGE_BYTES < settings.valueBytes) return false;
+    return [...new Set(job.assignedRanges.map(({ partitionId }) => partitionId))].every((partitionId) => {
+      const assignedRanges = job.assignedRanges.filter((range) => range.partitionId !== partitionId);
+      return !this.shared.fitsValue(recordOf(job, job.failing, assignedRanges));
     });
   }
 
@@ -255,9 +255,9 @@
     for (const assignment of assignments) {
       const { job } = assignment;
       if (batch.jobs.has(job.id)) continue;
-      const added = this.#fittingRounds(assignment);
+      const added = this.#fittingRanges(assignment);
       if (added.length === 0) {
-        log.error({ job: job.id, rounds: job.rounds.length }, 'record too large, not assigned');
+        log.error({ job: job.id, assignedRanges: job.assignedRanges.length }, 'record too large, not assigned');
         continue;
       }
       if (!this.#requireOwners(batch, added)) return meant;
@@ -293,12 +293,13 @@
   #addReclaim(batch: JobBatch, decision: Decision, borrowing: LeaderBorrowing): AddedReclaim | null {
     const { job, tasks, places, machine } = decision;
     if (batch.jobs.has(job.id)) return null;
-    const record = recordWith(job, false, roundsOf(tasks, places));
+    const record = recordWith(job, false, assignedRangesOf(tasks, places));
     const reclaim = borrowing.recordOf(decision);
     const value = reclaimRecord.write(reclaim.record);
     if (!this.shared.fitsValue(record) || !this.shared.fitsValue(value)) return null;
-    const rounds = roundsOf(tasks, places);
-    if (!this.#requireOwners(batch, rounds) || !batch.put(job, record, { put: reclaim.key, value })) return null;
+    const assignedRanges = assignedRangesOf(tasks, places);
+    if (!this.#requireOwners(batch, assignedRanges) || !batch.put(job, record, { put: reclaim.key, value }))
+      return null;
     const meant = tasks.map(() => ({ partitionId: places[0]!.partitionId, machine, need: job.spec }));
     return { decision, key: reclaim.key, meant };
   }
@@ -311,8 +312,8 @@
   }
 
   /** Makes the batch rest on the owners of the partitions that the rounds name; false: it has no room for that. */
-  #requireOwners(batch: JobBatch, rounds: readonly Round[]): boolean {
-    return rounds.every(({ partitionId }) => {
+  #requireOwners(batch: JobBatch, assignedRanges: readonly AssignedRange[]): boolean {
+    return assignedRanges.every(({ partitionId }) => {
       const owner = this.shared.store.owners.get(String(partitionId));
       return (
         owner === undefined || batch.requireOwner({ key: KEYS.owner(String(partitionId)), version: owner.version })
@@ -321,7 +322,7 @@
   }
 
   /** As many of the new rounds as the job's record has room for; the other tasks are assigned when it has shrunk. */
-  #fittingRounds(assignment: Assignment): Round[] {
+  #fittingRanges(assignment: Assignment): AssignedRange[] {
     const added = [...assignment.added];
     while (added.length > 0 && !this.shared.fitsValue(recordWith(assignment.job, true, added))) added.pop();
     return added;
--- a/packages/daemon/src/owner-writes.ts
+++ b/packages/daemon/src/owner-writes.ts
@@ -4,7 +4,7 @@
   type ClaimTable,
   finishedPageFor,
   type Job,
-  joinRounds,
+  mergeRanges,
   type TaskEntry,
   type Tenure,
   withoutTasks,
@@ -138,12 +138,12 @@
 
   #recordWithout(job: Job, tasks: readonly TaskEntry[]): unknown {
     const { spec, acceptedAt, cancelled } = job;
-    const left = withoutTasks(job.rounds, this.partitionId, new Set(tasks.map((s) => s.index)));
+    const left = withoutTasks(job.assignedRanges, this.partitionId, new Set(tasks.map((s) => s.index)));
     // Finished tasks are off their machines: of a cancelled job nothing is left to wait for when only they remain.
-    const rounds = joinRounds(left, (taskIndex) => job.isFinished(taskIndex));
-    if (cancelled && rounds.length === 0) return jobRecord.write({ final: 'cancelled' });
+    const assignedRanges = mergeRanges(left, (taskIndex) => job.isFinished(taskIndex));
+    if (cancelled && assignedRanges.length === 0) return jobRecord.write({ final: 'cancelled' });
     const failing = this.claimTable.isMarkedOnReturn(job, tasks, this.shared.clock.now());
-    return jobRecord.write({ final: null, spec, acceptedAt, cancelled, failing, rounds });
+    return jobRecord.write({ final: null, spec, acceptedAt, cancelled, failing, assignedRanges });
   }
 
   /** Writes the finished tasks of one job; the last ones close it. */
--- a/packages/daemon/src/users.ts
+++ b/packages/daemon/src/users.ts
@@ -18,7 +18,7 @@
 import type { Shared } from './shared';
 
 /** Share of a value that the record of a new job leaves free for the rounds in which its tasks are assigned. */
-const ROUNDS_SHARE = 0.25;
+const RANGES_SHARE = 0.25;
 
 /** Why the jobs that a submission names are no jobs it can wait for. */
 function unfitDependency(spec: JobSpec, live: ReadonlyMap<string, Job>): string | null {
@@ -96,7 +96,7 @@
     if (wait > 2000) return refusal(429, 'too many requests', Math.ceil(wait / 1000));
     const key = KEYS.job(id);
     const value = jobRecord.write(this.#newRecord(spec));
-    const remaining = this.shared.settings.valueBytes * (1 - ROUNDS_SHARE);
+    const remaining = this.shared.settings.valueBytes * (1 - RANGES_SHARE);
     if (Buffer.byteLength(JSON.stringify(value)) > remaining) {
       const known = await this.poll(id);
       return known.status === 404 ? refusal(422, 'the description is too long, or too many jobs to wait for') : known;
@@ -158,7 +158,7 @@
       acceptedAt: this.shared.clock.wall(),
       cancelled: false,
       failing: false,
-      rounds: [],
+      assignedRanges: [],
     };
   }
 
@@ -174,9 +174,9 @@
   #cancelledRecord(job: Job, outgrown: boolean): unknown {
     const { spec, acceptedAt } = job;
     // With nothing assigned there is nothing to stop: the record closes at once.
-    if (job.rounds.length === 0) return jobRecord.write({ final: 'cancelled' });
-    const rounds = outgrown ? coverPerPartition(job.rounds) : job.rounds;
-    return jobRecord.write({ final: null, spec, acceptedAt, cancelled: true, failing: job.failing, rounds });
+    if (job.assignedRanges.length === 0) return jobRecord.write({ final: 'cancelled' });
+    const assignedRanges = outgrown ? coverPerPartition(job.assignedRanges) : job.assignedRanges;
+    return jobRecord.write({ final: null, spec, acceptedAt, cancelled: true, failing: job.failing, assignedRanges });
   }
 
   async cancel(id: string): Promise<Reply> {
--- a/packages/replica-groups/test/next-record.test.ts
+++ b/packages/replica-groups/test/next-record.test.ts
@@ -33,11 +33,11 @@
   const job = new Job('j-1');
   job.spec = specOf();
   job.isGroup = true;
-  const rounds = [
+  const assignedRanges = [
     { from: 0, count: 2, partitionId: 0, zone: null, term: 1 },
     { from: 2, count: 1, partitionId: 1, zone: null, term: 2 },
   ];
-  job.rounds = isAssigned ? rounds : [];
+  job.assignedRanges = isAssigned ? assignedRanges : [];
   return job;
 }
 
@@ -112,7 +112,7 @@
     assert.equal(ending.avoid, 'm-2');
     // One that was given back, by whomever, is as lost.
     const job = groupJob();
-    job.rounds = job.rounds.slice(0, 1);
+    job.assignedRanges = job.assignedRanges.slice(0, 1);
     assert.equal(next(record, 5000, [], job).state, 'ending');
   }
   const holdMs = holdBoundMs(SETTINGS, CLUSTER_CONFIG, 0);
--- a/packages/testkit/src/liveness.ts
+++ b/packages/testkit/src/liveness.ts
@@ -125,7 +125,7 @@
     const stored = this.world.state.data.get(KEYS.job(id));
     const record = stored === undefined ? null : jobRecord.read(stored.value);
     if (record === null || record.final !== null) return 0;
-    const assigned = record.rounds.reduce((sum, { count }) => sum + count, 0);
+    const assigned = record.assignedRanges.reduce((sum, { count }) => sum + count, 0);
     return Math.max(0, assigned - this.world.doneOf(id));
   }
 
--- a/packages/testkit/src/ownership-audit.ts
+++ b/packages/testkit/src/ownership-audit.ts
@@ -1,10 +1,10 @@
 // Checks the statements on which `ran_twice` rests, while a day goes on: they break long before a task starts a second time.
 import type { PartitionOwner } from '@gingerlock/daemon';
 import { type TaskEntry, tasksAssignedTo } from '@gingerlock/core';
-import { jobRecord, type JobRecord, KEYS, parseTaskName, type Round } from '@gingerlock/wire';
+import { jobRecord, type JobRecord, KEYS, parseTaskName, type AssignedRange } from '@gingerlock/wire';
 import type { World } from './world';
 
-function isIn({ from, count }: Round, taskIndex: number): boolean {
+function isIn({ from, count }: AssignedRange, taskIndex: number): boolean {
   return taskIndex >= from && taskIndex < from + count;
 }
 
@@ -54,7 +54,10 @@
   #isFree(partitionId: number, { job, index, state }: TaskEntry): boolean {
     if (state !== 'leaving') return state === 'waiting';
     const record = this.#recordOf(job.id);
-    return record?.final === null && record.rounds.some((r) => r.partitionId === partitionId && isIn(r, index));
+    return (
+      record?.final === null &&
+      record.assignedRanges.some((range) => range.partitionId === partitionId && isIn(range, index))
+    );
   }
 
   /** What may be started, or given back to be started elsewhere, runs nowhere. */
@@ -68,7 +71,7 @@
     const { job, index } = parseTaskName(taskName)!;
     const record = this.#recordOf(job);
     if (record === null || this.world.isDone(taskName)) return;
-    const isAssigned = record.final === null && record.rounds.some((r) => isIn(r, index));
+    const isAssigned = record.final === null && record.assignedRanges.some((range) => isIn(range, index));
     if (!isAssigned) this.world.breach('free_but_running', `${taskName} is assigned nowhere and on ${machine}`);
   }
 
--- a/packages/testkit/test/state-limits.test.ts
+++ b/packages/testkit/test/state-limits.test.ts
@@ -1,7 +1,16 @@
 // The state service lowers its limits while the service runs, and some records were stored under the larger ones.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type JobSpec, encode, jobRecord, KEYS, ownerRecord, type Round, STATE_PATHS, txnMap } from '@gingerlock/wire';
+import {
+  type JobSpec,
+  encode,
+  jobRecord,
+  KEYS,
+  ownerRecord,
+  type AssignedRange,
+  STATE_PATHS,
+  txnMap,
+} from '@gingerlock/wire';
 import { playDay, World } from '../src/index';
 
 const NEXT = { valueKb: 2, txnOps: 4, writesPerS: 70 };
@@ -23,7 +32,7 @@
     estimateS: 5,
     ...over,
   };
-  const rounds = Array.from({ length: spec.tasks }, (_, from): Round => {
+  const assignedRanges = Array.from({ length: spec.tasks }, (_, from): AssignedRange => {
     const partitionId = from % world.nodes.length;
     const { term } = ownerRecord.read(world.state.data.get(KEYS.owner(String(partitionId)))!.value);
     return { from, count: 1, partitionId, zone: null, term };
@@ -34,7 +43,7 @@
     acceptedAt: world.sim.now,
     cancelled: false,
     failing: false,
-    rounds,
+    assignedRanges,
   });
   assert.ok(JSON.stringify(value).length > NEXT.valueKb * 1024);
   world.users.adopt(spec);
--- a/packages/wire/src/records.ts
+++ b/packages/wire/src/records.ts
@@ -169,7 +169,7 @@
 };
 
 /** Tasks `from` up to but excluding `from + count` are assigned to `part`, there to run in `zone` (null: any). */
-export interface Round {
+export interface AssignedRange {
   readonly from: number;
   readonly count: number;
   readonly partitionId: number;
@@ -188,7 +188,7 @@
       readonly cancelled: boolean;
       /** Its tasks failed on several machines and none was seen to run: at most one at a time is tried. */
       readonly failing: boolean;
-      readonly rounds: readonly Round[];
+      readonly assignedRanges: readonly AssignedRange[];
     };
 
 const checkJob = checker(
@@ -221,7 +221,7 @@
           c: j.cancelled ? 1 : 0,
           // Left out when it does not hold: versions that do not know it drop it, which costs a few more failures.
           ...(j.failing ? { e: 1 } : {}),
-          r: j.rounds.map((r) => [r.from, r.count, r.partitionId, r.zone, r.term]),
+          r: j.assignedRanges.map((range) => [range.from, range.count, range.partitionId, range.zone, range.term]),
         },
   read: (value: unknown): JobRecord => {
     const j = checkJob(value);
@@ -232,7 +232,7 @@
       acceptedAt: j.t,
       cancelled: j.c === 1,
       failing: j.e === 1,
-      rounds: j.r.map(([from, count, partitionId, zone, term]) => ({ from, count, partitionId, zone, term })),
+      assignedRanges: j.r.map(([from, count, partitionId, zone, term]) => ({ from, count, partitionId, zone, term })),
     };
   },
 };
