--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -19,7 +19,7 @@
 export * from './rental-plan';
 export * from './ownership';
 export * from './ownership-timing';
-export * from './tenure';
+export * from './ownership-term';
 export * from './transaction';
 export * from './packing';
 export * from './reservations';
--- a/packages/core/src/tenure.ts
+++ b/packages/core/src/ownership-term.ts
@@ -3,7 +3,7 @@
 import type { Condition } from '@gingerlock/wire';
 import { KEYS, termRecord } from '@gingerlock/wire';
 import { type ClusterConfig, timerMarginMs, workerLeaseBoundMs } from './facts';
-import { takeoverBoundMs } from './ownership-timing';
+import { acquisitionBoundMs } from './ownership-timing';
 import type { Transaction } from './transaction';
 
 /**
@@ -11,65 +11,65 @@
  * resuming: ours; our state lease had lapsed, and the hold is being put back under the same term.
  * ended:    ours no more, for ever.
  */
-export type TenureState = 'held' | 'resuming' | 'ended';
+export type OwnershipTermState = 'held' | 'resuming' | 'ended';
 
-const MOVES: Record<TenureState, readonly TenureState[]> = {
+const MOVES: Record<OwnershipTermState, readonly OwnershipTermState[]> = {
   held: ['resuming', 'ended'],
   resuming: ['held', 'ended'],
   ended: [],
 };
 
 /** The controller that owned the resource before, and may go on for a while. */
-export interface FormerOwner {
+export interface PreviousOwner {
   readonly node: string;
   /** Time of day (ms) of its own takeover from another controller; 0: there was none. */
-  readonly movedAt: number;
+  readonly failoverAt: number;
 }
 
-export interface TenureOptions {
+export interface OwnershipTermOptions {
   readonly clusterConfig: ClusterConfig;
   readonly resource: string;
   readonly term: number;
   /** Version of the owner record that the takeover wrote. */
   readonly version: number;
-  readonly takenAt: number;
+  readonly acquiredAt: number;
   /** Time of day written with the takeover; 0: no earlier owner may go on. */
-  readonly movedAt: number;
+  readonly failoverAt: number;
   readonly hadOwner: boolean;
   /** The controller that gave the resource up for others before this tenure; null: none did. */
   readonly releasedBy: string | null;
-  readonly formerOwner: FormerOwner | null;
+  readonly previousOwner: PreviousOwner | null;
   readonly wallNow: number;
 }
 
-export class Tenure {
+export class OwnershipTerm {
   readonly clusterConfig: ClusterConfig;
   readonly resource: string;
   readonly term: number;
   readonly version: number;
-  readonly takenAt: number;
+  readonly acquiredAt: number;
   readonly releasedBy: string | null;
-  readonly #movedAt: number;
-  #state: TenureState = 'held';
+  readonly #failoverAt: number;
+  #state: OwnershipTermState = 'held';
   #fencedUntil: number;
-  #formerOwner: FormerOwner | null;
+  #previousOwner: PreviousOwner | null;
 
-  constructor(options: TenureOptions) {
+  constructor(options: OwnershipTermOptions) {
     this.clusterConfig = options.clusterConfig;
     this.resource = options.resource;
     this.term = options.term;
     this.version = options.version;
-    this.takenAt = options.takenAt;
+    this.acquiredAt = options.acquiredAt;
     this.releasedBy = options.releasedBy;
-    this.#movedAt = options.movedAt;
-    this.#formerOwner = options.formerOwner;
-    const { takenAt, movedAt, wallNow } = options;
+    this.#failoverAt = options.failoverAt;
+    this.#previousOwner = options.previousOwner;
+    const { acquiredAt, failoverAt, wallNow } = options;
     // DESIGN: tasks of an earlier owner are granted again only once the old workers' leases have surely run out.
-    const ownLeases = options.hadOwner ? takenAt + workerLeaseBoundMs(this.clusterConfig) : takenAt;
-    this.#fencedUntil = Math.max(ownLeases, this.#movedFence(movedAt, takenAt, wallNow));
+    const ownLeases = options.hadOwner ? acquiredAt + workerLeaseBoundMs(this.clusterConfig) : acquiredAt;
+    this.#fencedUntil = Math.max(ownLeases, this.#failoverFencedUntil(failoverAt, acquiredAt, wallNow));
   }
 
-  get state(): TenureState {
+  get state(): OwnershipTermState {
     return this.#state;
   }
 
@@ -84,8 +84,8 @@
   }
 
   /** Whom to ask whether it has given the resource up, so that the fencing period ends sooner; null: nobody. */
-  get formerOwner(): FormerOwner | null {
-    return this.#formerOwner;
+  get previousOwner(): PreviousOwner | null {
+    return this.#previousOwner;
   }
 
   /** Every write as the owner rests on this: the owner record is still the one that this tenure wrote. */
@@ -94,7 +94,7 @@
   }
 
   /** The one function that changes the state; only `Ownership` calls it. */
-  move(next: TenureState): void {
+  move(next: OwnershipTermState): void {
     if (!MOVES[this.#state].includes(next)) {
       throw new Error(`${this.resource}, term ${this.term}: no move from ${this.#state} to ${next}`);
     }
@@ -102,9 +102,9 @@
   }
 
   /** States that the time written with the takeover bounds when it happened; null: no time was written. */
-  confirmTime(): Transaction | null {
-    if (this.#state !== 'held' || this.#movedAt === 0) return null;
-    const confirmed = { put: KEYS.timed(this.resource), value: termRecord.write(this.term) };
+  confirmAcquisition(): Transaction | null {
+    if (this.#state !== 'held' || this.#failoverAt === 0) return null;
+    const confirmed = { put: KEYS.confirmedTerm(this.resource), value: termRecord.write(this.term) };
     return { conditions: [this.condition], changes: [confirmed] };
   }
 
@@ -112,19 +112,19 @@
    * Asked after our takeover, the former owner said that it owns the resource no more and never will under an earlier term: it
    * answers nobody, and what it has answered ends within a worker lease. Owners before it are bound by its own takeover.
    */
-  formerOwnerEnded(node: string, now: number, wallNow: number): void {
-    if (this.#state !== 'held' || this.#formerOwner?.node !== node) return;
+  previousOwnerEnded(node: string, now: number, wallNow: number): void {
+    if (this.#state !== 'held' || this.#previousOwner?.node !== node) return;
     const ownLeases = now + workerLeaseBoundMs(this.clusterConfig);
-    const earlier = this.#movedFence(this.#formerOwner.movedAt, now, wallNow);
+    const earlier = this.#failoverFencedUntil(this.#previousOwner.failoverAt, now, wallNow);
     this.#fencedUntil = Math.min(this.#fencedUntil, Math.max(ownLeases, earlier));
-    this.#formerOwner = null;
+    this.#previousOwner = null;
   }
 
   /** When all is over that ran before a takeover of that time of day, up to `takeoverBoundMs` before it was carried out. */
-  #movedFence(movedAt: number, now: number, wallNow: number): number {
-    if (movedAt === 0) return now;
+  #failoverFencedUntil(failoverAt: number, now: number, wallNow: number): number {
+    if (failoverAt === 0) return now;
     const { cancellationBoundMs, maxClockSkewMs } = this.clusterConfig;
-    const slack = takeoverBoundMs(this.clusterConfig) + 2 * timerMarginMs(this.clusterConfig);
-    return now + (movedAt - wallNow) + cancellationBoundMs + 2 * maxClockSkewMs + slack;
+    const slack = acquisitionBoundMs(this.clusterConfig) + 2 * timerMarginMs(this.clusterConfig);
+    return now + (failoverAt - wallNow) + cancellationBoundMs + 2 * maxClockSkewMs + slack;
   }
 }
--- a/packages/core/src/ownership-timing.ts
+++ b/packages/core/src/ownership-timing.ts
@@ -13,12 +13,12 @@
  * How long a takeover may be under way for the time written with it to bound when it happened. Rather longer than need be: a
  * zone that was cut off may be heard by the time its fencing period ends, and its tasks begin again where their images are.
  */
-export function takeoverBoundMs(clusterConfig: ClusterConfig): number {
+export function acquisitionBoundMs(clusterConfig: ClusterConfig): number {
   return Math.max(stateLeaseMs(clusterConfig), clusterConfig.heartbeatIntervalMs);
 }
 
 /** Report intervals to leave to each controller that comes before this one, by what is known of it. */
-export const TURN = {
+export const ACQUISITION_DELAY = {
   /** It will see the resource free within a read. */
   alive: 1 / 3,
   /** It was there and has fallen silent. */
--- a/packages/core/src/ownership.ts
+++ b/packages/core/src/ownership.ts
@@ -4,8 +4,8 @@
 import type { HoldRecord, OwnerRecord } from '@gingerlock/wire';
 import { holdRecord, KEYS, ownerRecord, termRecord } from '@gingerlock/wire';
 import type { ClusterConfig } from './facts';
-import { takeoverBoundMs } from './ownership-timing';
-import { type FormerOwner, Tenure } from './tenure';
+import { acquisitionBoundMs } from './ownership-timing';
+import { type PreviousOwner, OwnershipTerm } from './ownership-term';
 import type { Transaction } from './transaction';
 
 export interface Versioned<T> {
@@ -19,50 +19,50 @@
   readonly hold: Versioned<HoldRecord> | null;
   readonly term: Versioned<number> | null;
   /** The last term whose owner has confirmed the time of its takeover; see `Tenure.confirmTime`. */
-  readonly timedTerm: number;
+  readonly confirmedTerm: number;
 }
 
 /** This process of this controller. */
-export interface Me {
+export interface LocalNode {
   readonly node: string;
   readonly process: string;
 }
 
 /** An attempt to take the resource. */
-export interface Takeover {
-  readonly kind: 'take';
+export interface Acquisition {
+  readonly kind: 'acquire';
   readonly transaction: Transaction;
   readonly term: number;
-  readonly movedAt: number;
+  readonly failoverAt: number;
   readonly sentAt: number;
   /** Whether it takes the resource from an owner that may go on. */
-  readonly isMove: boolean;
+  readonly isFailover: boolean;
   readonly hadOwner: boolean;
   readonly releasedBy: string | null;
-  readonly formerOwner: FormerOwner | null;
+  readonly previousOwner: PreviousOwner | null;
 }
 
 /** An attempt to put the hold back under the same term. */
 export interface Resumption {
   readonly kind: 'resume';
   readonly transaction: Transaction;
-  readonly tenure: Tenure;
+  readonly ownershipTerm: OwnershipTerm;
 }
 
 /** The resource is given up for another controller: from here on nobody is answered, whatever comes of the write. */
 export interface Release {
   readonly kind: 'release';
   readonly transaction: Transaction;
-  readonly tenure: Tenure;
+  readonly ownershipTerm: OwnershipTerm;
 }
 
-export type Attempt = Takeover | Resumption | Release;
+export type Attempt = Acquisition | Resumption | Release;
 
 export type Decision =
   | { readonly kind: 'none' }
   /** The records show another owner. */
-  | { readonly kind: 'lost'; readonly tenure: Tenure }
-  | Takeover
+  | { readonly kind: 'lost'; readonly ownershipTerm: OwnershipTerm }
+  | Acquisition
   | Resumption;
 
 /**
@@ -73,25 +73,25 @@
  * releasing: given up; the outcome of that write is not known yet.
  */
 type Phase =
-  | { readonly state: 'away' }
-  | { readonly state: 'taking'; readonly attempt: Takeover }
-  | { readonly state: 'held'; readonly tenure: Tenure }
-  | { readonly state: 'resuming'; readonly tenure: Tenure; readonly attempt: Resumption }
+  | { readonly state: 'notOwned' }
+  | { readonly state: 'acquiring'; readonly attempt: Acquisition }
+  | { readonly state: 'held'; readonly ownershipTerm: OwnershipTerm }
+  | { readonly state: 'resuming'; readonly ownershipTerm: OwnershipTerm; readonly attempt: Resumption }
   | { readonly state: 'releasing'; readonly attempt: Release };
 
 const NONE: Decision = { kind: 'none' };
 
 export class Ownership {
-  #phase: Phase = { state: 'away' };
+  #phase: Phase = { state: 'notOwned' };
   /** Since when the resource has been seen without a hold; null: it has one. */
   #absentSince: number | null = null;
 
   constructor(
     readonly resource: string,
     readonly clusterConfig: ClusterConfig,
-    readonly me: Me,
+    readonly localNode: LocalNode,
     /** Report intervals to leave to the controllers that come before us for this resource, as things stand. */
-    readonly turn: () => number,
+    readonly acquisitionDelay: () => number,
   ) {}
 
   get state(): Phase['state'] {
@@ -99,8 +99,8 @@
   }
 
   /** The tenure under which this controller is the owner now; null: it is not. */
-  get tenure(): Tenure | null {
-    return 'tenure' in this.#phase ? this.#phase.tenure : null;
+  get ownershipTerm(): OwnershipTerm | null {
+    return 'ownershipTerm' in this.#phase ? this.#phase.ownershipTerm : null;
   }
 
   /** Whether the outcome of the attempt still matters. */
@@ -110,9 +110,9 @@
 
   /** The one function that changes the phase. */
   #enter(next: Phase): void {
-    const { tenure } = this;
-    if (tenure !== null && !('tenure' in next)) tenure.move('ended');
-    else if ('tenure' in next && next.tenure.state !== next.state) next.tenure.move(next.state);
+    const { ownershipTerm } = this;
+    if (ownershipTerm !== null && !('ownershipTerm' in next)) ownershipTerm.move('ended');
+    else if ('ownershipTerm' in next && next.ownershipTerm.state !== next.state) next.ownershipTerm.move(next.state);
     this.#phase = next;
   }
 
@@ -120,11 +120,11 @@
   decide(view: OwnershipView, lease: number | null, now: number, wallNow: number): Decision {
     if (view.hold !== null) this.#absentSince = null;
     else this.#absentSince ??= now;
-    const { tenure } = this;
-    if (tenure !== null) return this.#decideAsOwner(tenure, view, lease);
-    if (this.#phase.state !== 'away' || lease === null || !this.#isOurTurn(view, now)) return NONE;
-    const attempt = this.#takeover(view, lease, now, wallNow);
-    this.#enter({ state: 'taking', attempt });
+    const { ownershipTerm } = this;
+    if (ownershipTerm !== null) return this.#decideAsOwner(ownershipTerm, view, lease);
+    if (this.#phase.state !== 'notOwned' || lease === null || !this.#isOurTurn(view, now)) return NONE;
+    const attempt = this.#acquisitionOf(view, lease, now, wallNow);
+    this.#enter({ state: 'acquiring', attempt });
     return attempt;
   }
 
@@ -132,53 +132,53 @@
    * In every state that answers workers the owner record is looked at. While a resumption was under way it once was not: the
    * owner answered its workers for as long as it could read, past every bound that the next owner's fencing period counts on.
    */
-  #decideAsOwner(tenure: Tenure, view: OwnershipView, lease: number | null): Decision {
-    if (view.owner?.version !== tenure.version) {
-      this.#enter({ state: 'away' });
-      return { kind: 'lost', tenure };
+  #decideAsOwner(ownershipTerm: OwnershipTerm, view: OwnershipView, lease: number | null): Decision {
+    if (view.owner?.version !== ownershipTerm.version) {
+      this.#enter({ state: 'notOwned' });
+      return { kind: 'lost', ownershipTerm };
     }
-    if (tenure.state !== 'held' || view.hold !== null || lease === null) return NONE;
+    if (ownershipTerm.state !== 'held' || view.hold !== null || lease === null) return NONE;
     // Our state lease lapsed, and nobody took the resource: the owner record proves it. The term and all claims stand.
     const hold = KEYS.hold(this.resource);
     const attempt: Resumption = {
       kind: 'resume',
-      tenure,
+      ownershipTerm,
       transaction: {
-        conditions: [tenure.condition, { key: hold, version: 0 }],
-        changes: [{ put: hold, value: holdRecord.write(this.me), lease }],
+        conditions: [ownershipTerm.condition, { key: hold, version: 0 }],
+        changes: [{ put: hold, value: holdRecord.write(this.localNode), lease }],
       },
     };
-    this.#enter({ state: 'resuming', tenure, attempt });
+    this.#enter({ state: 'resuming', ownershipTerm, attempt });
     return attempt;
   }
 
   #isOurTurn(view: OwnershipView, now: number): boolean {
     // A hold that names this controller is an earlier process's or tenure's, and that one is over: there is one at a time.
-    if (view.hold !== null) return view.hold.record.node === this.me.node;
-    return now - (this.#absentSince ?? now) >= this.turn() * this.clusterConfig.heartbeatIntervalMs;
+    if (view.hold !== null) return view.hold.record.node === this.localNode.node;
+    return now - (this.#absentSince ?? now) >= this.acquisitionDelay() * this.clusterConfig.heartbeatIntervalMs;
   }
 
-  #takeover(view: OwnershipView, lease: number, now: number, wallNow: number): Takeover {
+  #acquisitionOf(view: OwnershipView, lease: number, now: number, wallNow: number): Acquisition {
     const term = (view.term?.record ?? 0) + 1;
     const previous = view.owner?.record ?? null;
     // The time of the last takeover between controllers outlives our own restarts. An earlier process of ours is dead, and an
     // owner that has released the resource answers nobody: either leaves leases that run out by themselves.
-    const isOwnRestart = previous?.node === this.me.node && view.hold?.record.process !== this.me.process;
+    const isOwnRestart = previous?.node === this.localNode.node && view.hold?.record.process !== this.localNode.process;
     // A takeover under way for long carries a time that is too early, and its taker can have ended before it took the resource
     // once more: until the time is confirmed, whoever comes next counts from its own takeover.
-    const isTimed = previous === null || previous.movedAt === 0 || view.timedTerm === previous.term;
-    const isMove = previous !== null && (!isTimed || (!isOwnRestart && !previous.released));
-    const movedAt = isMove ? wallNow : (previous?.movedAt ?? 0);
-    const owner = { term, node: this.me.node, movedAt, released: false };
+    const isConfirmed = previous === null || previous.failoverAt === 0 || view.confirmedTerm === previous.term;
+    const isFailover = previous !== null && (!isConfirmed || (!isOwnRestart && !previous.released));
+    const failoverAt = isFailover ? wallNow : (previous?.failoverAt ?? 0);
+    const owner = { term, node: this.localNode.node, failoverAt, released: false };
     return {
-      kind: 'take',
+      kind: 'acquire',
       term,
-      movedAt,
-      isMove,
+      failoverAt,
+      isFailover,
       sentAt: now,
       hadOwner: previous !== null,
       releasedBy: previous?.released === true ? previous.node : null,
-      formerOwner: isMove && isTimed ? { node: previous.node, movedAt: previous.movedAt } : null,
+      previousOwner: isFailover && isConfirmed ? { node: previous.node, failoverAt: previous.failoverAt } : null,
       transaction: {
         conditions: [
           { key: KEYS.hold(this.resource), version: view.hold?.version ?? 0 },
@@ -188,7 +188,7 @@
         changes: [
           { put: KEYS.term, value: termRecord.write(term) },
           { put: KEYS.owner(this.resource), value: ownerRecord.write(owner) },
-          { put: KEYS.hold(this.resource), value: holdRecord.write(this.me), lease },
+          { put: KEYS.hold(this.resource), value: holdRecord.write(this.localNode), lease },
         ],
       },
     };
@@ -198,34 +198,34 @@
    * The takeover was carried out at `version`, and known to be at `doneAt`. Null: it has been overtaken, or took so long that
    * the time written with it is no bound any more, so the resource has to be taken once more.
    */
-  taken(attempt: Takeover, version: number, doneAt: number, now: number, wallNow: number): Tenure | null {
+  acquired(attempt: Acquisition, version: number, doneAt: number, now: number, wallNow: number): OwnershipTerm | null {
     if (!this.isPending(attempt)) return null;
     // Only what was written now can be too old. With a slow state service a report interval, and the reading after it
     // counted in, was once too short for any takeover.
-    if (attempt.isMove && doneAt - attempt.sentAt > takeoverBoundMs(this.clusterConfig)) {
-      this.#enter({ state: 'away' });
+    if (attempt.isFailover && doneAt - attempt.sentAt > acquisitionBoundMs(this.clusterConfig)) {
+      this.#enter({ state: 'notOwned' });
       return null;
     }
     const { resource, clusterConfig } = this;
-    const { term, movedAt, hadOwner, releasedBy, formerOwner } = attempt;
-    const previous = { hadOwner, releasedBy, formerOwner };
-    const options = { clusterConfig, resource, term, version, takenAt: now, movedAt, wallNow, ...previous };
-    const tenure = new Tenure(options);
-    this.#enter({ state: 'held', tenure });
-    return tenure;
+    const { term, failoverAt, hadOwner, releasedBy, previousOwner } = attempt;
+    const previous = { hadOwner, releasedBy, previousOwner };
+    const options = { clusterConfig, resource, term, version, acquiredAt: now, failoverAt, wallNow, ...previous };
+    const ownershipTerm = new OwnershipTerm(options);
+    this.#enter({ state: 'held', ownershipTerm });
+    return ownershipTerm;
   }
 
   /** The attempt was surely not carried out, or its outcome is of no use; false: it has been overtaken. */
-  failed(attempt: Takeover | Resumption): boolean {
+  failed(attempt: Acquisition | Resumption): boolean {
     if (!this.isPending(attempt)) return false;
-    this.#enter({ state: 'away' });
+    this.#enter({ state: 'notOwned' });
     return true;
   }
 
   /** The hold is back; false: the attempt has been overtaken. */
   resumed(attempt: Resumption): boolean {
     if (!this.isPending(attempt)) return false;
-    this.#enter({ state: 'held', tenure: attempt.tenure });
+    this.#enter({ state: 'held', ownershipTerm: attempt.ownershipTerm });
     return true;
   }
 
@@ -234,14 +234,15 @@
    * wait for no more than one worker lease. Null: not now.
    */
   release(view: OwnershipView): Release | null {
-    const { tenure } = this;
-    if (tenure?.state !== 'held' || view.owner?.version !== tenure.version || view.hold === null) return null;
+    const { ownershipTerm } = this;
+    if (ownershipTerm?.state !== 'held' || view.owner?.version !== ownershipTerm.version || view.hold === null)
+      return null;
     const hold = KEYS.hold(this.resource);
     const attempt: Release = {
       kind: 'release',
-      tenure,
+      ownershipTerm,
       transaction: {
-        conditions: [tenure.condition, { key: hold, version: view.hold.version }],
+        conditions: [ownershipTerm.condition, { key: hold, version: view.hold.version }],
         changes: [
           { put: KEYS.owner(this.resource), value: ownerRecord.write({ ...view.owner.record, released: true }) },
           { remove: hold },
@@ -254,7 +255,7 @@
 
   /** The outcome of the release is known, or of no interest any more. */
   released(attempt: Release): void {
-    if (this.isPending(attempt)) this.#enter({ state: 'away' });
+    if (this.isPending(attempt)) this.#enter({ state: 'notOwned' });
   }
 
   /**
@@ -263,18 +264,18 @@
    * Attempts that begin later need not be remembered: their transactions raise the term that the later owner has written.
    * Returns the tenure that this has ended, if any.
    */
-  renounceBefore(term: number): Tenure | null {
-    const { tenure } = this;
-    const current = this.#phase.state === 'taking' ? this.#phase.attempt.term : tenure?.term;
+  renounceBefore(term: number): OwnershipTerm | null {
+    const { ownershipTerm } = this;
+    const current = this.#phase.state === 'acquiring' ? this.#phase.attempt.term : ownershipTerm?.term;
     if (current === undefined || current >= term) return null;
-    this.#enter({ state: 'away' });
-    return tenure;
+    this.#enter({ state: 'notOwned' });
+    return ownershipTerm;
   }
 
   /** A worker has seen the token of a later owner. Ends the given tenure, if it is still the current one. */
-  stepDown(tenure: Tenure): boolean {
-    if (this.tenure !== tenure) return false;
-    this.#enter({ state: 'away' });
+  stepDown(ownershipTerm: OwnershipTerm): boolean {
+    if (this.ownershipTerm !== ownershipTerm) return false;
+    this.#enter({ state: 'notOwned' });
     return true;
   }
 }
--- a/packages/core/test/ownership.test.ts
+++ b/packages/core/test/ownership.test.ts
@@ -9,9 +9,9 @@
   type OwnershipView,
   type Resumption,
   stateLeaseMs,
-  type Takeover,
-  takeoverBoundMs,
-  type Tenure,
+  type Acquisition,
+  acquisitionBoundMs,
+  type OwnershipTerm,
   type Transaction,
 } from '../src/index';
 import { CLUSTER_CONFIG } from './fixtures';
@@ -50,7 +50,7 @@
       owner: read<OwnerRecord>(KEYS.owner(resource), ownerRecord.read),
       hold: read<HoldRecord>(KEYS.hold(resource), holdRecord.read),
       term: read(KEYS.term, termRecord.read),
-      timedTerm: read(KEYS.timed(resource), termRecord.read)?.record ?? 0,
+      confirmedTerm: read(KEYS.confirmedTerm(resource), termRecord.read)?.record ?? 0,
     };
   }
 }
@@ -63,25 +63,32 @@
 }
 
 /** Decides on the store as it stands, which has to lead to a takeover. */
-function decideToTake(ownership: Ownership, store: Store, lease: number, now: number, wallOff = 0): Takeover {
+function decideToTake(ownership: Ownership, store: Store, lease: number, now: number, wallOff = 0): Acquisition {
   const decision = ownership.decide(store.view('0'), lease, now, WALL + now + wallOff);
-  assert.ok(decision.kind === 'take');
+  assert.ok(decision.kind === 'acquire');
   return decision;
 }
 
-function confirmTime(tenure: Tenure, store: Store): void {
-  const confirmation = tenure.confirmTime();
+function confirmAcquisition(ownershipTerm: OwnershipTerm, store: Store): void {
+  const confirmation = ownershipTerm.confirmAcquisition();
   if (confirmation !== null) store.run(confirmation, () => true);
 }
 
 /** Takes the resource by a transaction that is known at `doneAt` to have been carried out. */
-function take(ownership: Ownership, store: Store, lease: number, now: number, doneAt = now, wallOff = 0): Tenure {
+function take(
+  ownership: Ownership,
+  store: Store,
+  lease: number,
+  now: number,
+  doneAt = now,
+  wallOff = 0,
+): OwnershipTerm {
   const attempt = decideToTake(ownership, store, lease, now, wallOff);
   const version = store.run(attempt.transaction, () => true);
-  const tenure = ownership.taken(attempt, version, doneAt, doneAt, WALL + doneAt + wallOff);
-  assert.ok(tenure !== null);
-  confirmTime(tenure, store);
-  return tenure;
+  const ownershipTerm = ownership.acquired(attempt, version, doneAt, doneAt, WALL + doneAt + wallOff);
+  assert.ok(ownershipTerm !== null);
+  confirmAcquisition(ownershipTerm, store);
+  return ownershipTerm;
 }
 
 test('whatever happens, terms only rise, and one controller at most can write as the owner', () => {
@@ -126,23 +133,23 @@
       /** By controller: no tenure below this term may begin or go on there. */
       const renounced = new Map<Ownership, number>();
       let highest = 0;
-      const conclude = (ownership: Ownership, attempt: Takeover | Resumption, version: number): void => {
+      const conclude = (ownership: Ownership, attempt: Acquisition | Resumption, version: number): void => {
         const isPending = ownership.isPending(attempt);
-        const { state, tenure } = ownership;
+        const { state, ownershipTerm } = ownership;
         if (version === 0) ownership.failed(attempt);
         else if (attempt.kind === 'resume') ownership.resumed(attempt);
         else {
-          const taken = ownership.taken(attempt, version, now, now, WALL + now);
+          const taken = ownership.acquired(attempt, version, now, now, WALL + now);
           if (taken !== null) {
             assert.equal(taken.term, attempt.term);
             assert.equal(taken.version, version);
-            confirmTime(taken, store);
+            confirmAcquisition(taken, store);
           }
         }
         if (isPending) return;
         overtaken++;
         assert.equal(ownership.state, state, 'the outcome of an earlier attempt changed the state');
-        assert.equal(ownership.tenure, tenure);
+        assert.equal(ownership.ownershipTerm, ownershipTerm);
       };
       for (const s of steps) {
         now += s.after;
@@ -172,17 +179,17 @@
         if (s.what === 'asked') {
           const term = store.view('0').owner?.record.term;
           if (term === undefined) continue;
-          const before = ownership.tenure;
+          const before = ownership.ownershipTerm;
           const ended = ownership.renounceBefore(term);
-          if (ownership.tenure === null) renounced.set(ownership, term);
-          assert.equal(ended, ownership.tenure === before ? null : before);
+          if (ownership.ownershipTerm === null) renounced.set(ownership, term);
+          assert.equal(ended, ownership.ownershipTerm === before ? null : before);
           continue;
         }
         if (s.what === 'release') {
           const attempt = ownership.release(store.view('0'));
           if (attempt === null) continue;
-          assert.equal(ownership.tenure, null);
-          assert.ok(!attempt.tenure.isCurrent);
+          assert.equal(ownership.ownershipTerm, null);
+          assert.ok(!attempt.ownershipTerm.isCurrent);
           // Sent twice, or so late that it comes after all else.
           late.push({ txn: attempt.transaction, lease: leases.get(node.n)! });
           if (s.after % 2 === 0) store.run(attempt.transaction, valid);
@@ -191,12 +198,12 @@
         }
         const view = s.what === 'stale' ? node.oldView : store.view('0');
         node.oldView = store.view('0');
-        const before = ownership.tenure;
+        const before = ownership.ownershipTerm;
         const decision = ownership.decide(view, leases.get(node.n)!, now, WALL + now);
-        if (decision.kind === 'lost') assert.equal(decision.tenure, before);
-        if (ownership.tenure !== null)
-          assert.equal(ownership.tenure.version, view.owner?.version, 'the view shows another');
-        if (decision.kind === 'take' || decision.kind === 'resume') {
+        if (decision.kind === 'lost') assert.equal(decision.ownershipTerm, before);
+        if (ownership.ownershipTerm !== null)
+          assert.equal(ownership.ownershipTerm.version, view.owner?.version, 'the view shows another');
+        if (decision.kind === 'acquire' || decision.kind === 'resume') {
           // A copy of the request may come once more, later.
           late.push({ txn: decision.transaction, lease: leases.get(node.n)! });
           const version = store.run(decision.transaction, valid);
@@ -208,12 +215,12 @@
           assert.ok(owner.record.term >= highest, 'term went back');
           highest = owner.record.term;
           // A write as owner is conditional on the version of the owner's record.
-          const writers = nodes.filter((x) => x.ownership.tenure?.version === owner.version);
+          const writers = nodes.filter((x) => x.ownership.ownershipTerm?.version === owner.version);
           assert.ok(writers.length <= 1, 'two writers');
-          for (const w of writers) assert.equal(w.ownership.tenure!.term, owner.record.term);
+          for (const w of writers) assert.equal(w.ownership.ownershipTerm!.term, owner.record.term);
         }
         for (const x of nodes) {
-          const term = x.ownership.tenure?.term;
+          const term = x.ownership.ownershipTerm?.term;
           assert.ok((term ?? Infinity) >= (renounced.get(x.ownership) ?? 0), 'a no was taken back');
         }
       }
@@ -245,7 +252,7 @@
   const giveBack = (ownership: Ownership): void => {
     const attempt = ownership.release(store.view('0'))!;
     assert.ok(store.run(attempt.transaction, () => true) > 0);
-    assert.equal(ownership.tenure, null);
+    assert.equal(ownership.ownershipTerm, null);
     assert.equal(ownership.release(store.view('0')), null);
   };
   const first = ownershipOf('a', 'a0');
@@ -334,13 +341,13 @@
       store.dropLease(1);
       take(ownershipOf('b'), store, 2, firstTakenAt);
       store.dropLease(2);
-      const takenAt = firstTakenAt + ttl + reign;
-      const third = take(ownershipOf('c'), store, 3, takenAt);
+      const acquiredAt = firstTakenAt + ttl + reign;
+      const third = take(ownershipOf('c'), store, 3, acquiredAt);
       const waiting = third.fencedUntil;
-      third.formerOwnerEnded('a', takenAt + asked, WALL + takenAt + asked);
+      third.previousOwnerEnded('a', acquiredAt + asked, WALL + acquiredAt + asked);
       assert.equal(third.fencedUntil, waiting, 'it was not the owner before');
-      const saidAt = takenAt + asked;
-      third.formerOwnerEnded('b', saidAt, WALL + saidAt);
+      const saidAt = acquiredAt + asked;
+      third.previousOwnerEnded('b', saidAt, WALL + saidAt);
       const gone = Math.max(
         saidAt + clusterConfig.workerLeaseMs,
         firstTakenAt + maxAnswerContactAgeMs(clusterConfig) + clusterConfig.workerLeaseMs,
@@ -367,29 +374,29 @@
     const slow = ownershipOf('b', 'b1');
     const attempt = decideToTake(slow, store, 1, decided);
     const version = store.run(attempt.transaction, () => true);
-    assert.equal(slow.taken(attempt, version, carriedOut, carriedOut, WALL + carriedOut), null);
-    assert.equal(slow.tenure, null);
+    assert.equal(slow.acquired(attempt, version, carriedOut, carriedOut, WALL + carriedOut), null);
+    assert.equal(slow.ownershipTerm, null);
     store.dropLease(1);
     const now = carriedOut + 500;
     const after = take(ownershipOf(node, process), store, 1, now);
     // The first owner may have read for the last time just before the resource was taken from it.
     const gone = carriedOut + maxAnswerContactAgeMs(clusterConfig) + clusterConfig.workerLeaseMs;
     assert.ok(after.fencedUntil >= gone, `${node}: may run until ${gone}, cleared at ${after.fencedUntil}`);
-    after.formerOwnerEnded('b', now + 100, WALL + now + 100);
+    after.previousOwnerEnded('b', now + 100, WALL + now + 100);
     assert.ok(after.fencedUntil >= gone, `${node}, asked: may run until ${gone}, cleared at ${after.fencedUntil}`);
   }
 });
 
 test('a takeover that was carried out in time stands, however long the reading after it takes', () => {
   const store = new Store();
-  const takeAndRead = (node: string, now: number): Tenure => {
+  const takeAndRead = (node: string, now: number): OwnershipTerm => {
     const ownership = ownershipOf(node);
     const attempt = decideToTake(ownership, store, 1, now);
     const readAt = now + 10 * clusterConfig.heartbeatIntervalMs;
     const version = store.run(attempt.transaction, () => true);
-    const tenure = ownership.taken(attempt, version, now + 100, readAt, WALL + readAt);
-    assert.ok(tenure !== null, node);
-    return tenure;
+    const ownershipTerm = ownership.acquired(attempt, version, now + 100, readAt, WALL + readAt);
+    assert.ok(ownershipTerm !== null, node);
+    return ownershipTerm;
   };
   takeAndRead('a', 0);
   store.dropLease(1);
@@ -402,15 +409,15 @@
 test('an owner that is putting its hold back ends as soon as a view shows another owner', () => {
   const store = new Store();
   const first = ownershipOf('a');
-  const tenure = take(first, store, 1, 0);
+  const ownershipTerm = take(first, store, 1, 0);
   store.dropLease(1);
   const decision = first.decide(store.view('0'), 2, 1000, WALL + 1000);
   assert.equal(decision.kind, 'resume');
-  assert.ok(tenure.isCurrent);
+  assert.ok(ownershipTerm.isCurrent);
   take(ownershipOf('b'), store, 3, 1000);
   assert.equal(first.decide(store.view('0'), 2, 2000, WALL + 2000).kind, 'lost');
-  assert.ok(!tenure.isCurrent);
-  assert.equal(first.tenure, null);
+  assert.ok(!ownershipTerm.isCurrent);
+  assert.equal(first.ownershipTerm, null);
 });
 
 // The outcome of a resumption was taken for that of whatever was under way when it came: a takeover begun since was given up
@@ -423,17 +430,17 @@
   const resumption = first.decide(store.view('0'), 2, 1000, WALL + 1000);
   assert.ok(resumption.kind === 'resume');
   const between = take(ownershipOf('b'), store, 3, 1000);
-  assert.equal(first.renounceBefore(between.term), resumption.tenure);
+  assert.equal(first.renounceBefore(between.term), resumption.ownershipTerm);
   store.dropLease(3);
-  const now = 1000 + takeoverBoundMs(clusterConfig);
+  const now = 1000 + acquisitionBoundMs(clusterConfig);
   const takeover = decideToTake(first, store, 2, now);
   assert.equal(first.failed(resumption), false);
   assert.equal(first.resumed(resumption), false);
-  assert.equal(first.state, 'taking');
+  assert.equal(first.state, 'acquiring');
   const version = store.run(takeover.transaction, () => true);
-  const tenure = first.taken(takeover, version, now, now, WALL + now);
-  assert.equal(tenure?.term, store.view('0').owner?.record.term);
-  assert.ok(!resumption.tenure.isCurrent);
+  const ownershipTerm = first.acquired(takeover, version, now, now, WALL + now);
+  assert.equal(ownershipTerm?.term, store.view('0').owner?.record.term);
+  assert.ok(!resumption.ownershipTerm.isCurrent);
 });
 
 // Asked while its takeover waited for a read, a controller said that it did not own the partition, and then opened it.
@@ -445,8 +452,8 @@
   store.dropLease(1);
   const later = take(ownershipOf('b'), store, 2, 1000);
   assert.equal(first.renounceBefore(later.term), null);
-  assert.equal(first.taken(attempt, version, 1500, 1500, WALL + 1500), null);
-  assert.equal(first.tenure, null);
+  assert.equal(first.acquired(attempt, version, 1500, 1500, WALL + 1500), null);
+  assert.equal(first.ownershipTerm, null);
   // One that was asked about by an earlier owner goes on.
   store.dropLease(2);
   const next = decideToTake(first, store, 3, 10_000);
--- a/packages/daemon/src/controller.ts
+++ b/packages/daemon/src/controller.ts
@@ -1,14 +1,20 @@
 // One controller: its view of the state service, the parts it owns, the lead if it has it, and the answers to users,
 // workers and peers. Everything it needs of the world comes in through ports.
 import { Budget, type Clock, type Http, Replica, sleep, StateService } from '@gingerlock/clients';
-import { maxAnswerContactAgeMs, MAX_CLOCK_DRIFT, timerMarginMs, stateLeaseMs, type Tenure } from '@gingerlock/core';
+import {
+  maxAnswerContactAgeMs,
+  MAX_CLOCK_DRIFT,
+  timerMarginMs,
+  stateLeaseMs,
+  type OwnershipTerm,
+} from '@gingerlock/core';
 import type { PeerLink, PeerMessage } from '@gingerlock/peer';
 import { isGroupSpec } from '@gingerlock/replica-groups';
 import {
   decodeReport,
   encodeOrders,
   encodeReportTo,
-  LEAD,
+  LEADERSHIP,
   Malformed,
   PREFIX,
   type WorkerReport,
@@ -16,7 +22,7 @@
 import { BudgetSharing } from './budget-sharing';
 import { ClaimLists } from './claim-lists';
 import { GroupReports } from './group-reports';
-import { FormerOwnerQueries } from './former-owners';
+import { PreviousOwnerQueries } from './previous-owners';
 import { Leader } from './leader';
 import { LeaderBorrowing } from './leader-borrowing';
 import { LeaderGroups } from './leader-groups';
@@ -71,7 +77,7 @@
   readonly #workerReach: WorkerReach;
   readonly #confirmation: PeerConfirmation;
   readonly #budgetSharing: BudgetSharing;
-  readonly #formerOwners: FormerOwnerQueries;
+  readonly #previousOwners: PreviousOwnerQueries;
   readonly #peerHealth: PeerHealth;
   #leader: Leader | null = null;
   #lease: number | null = null;
@@ -135,7 +141,7 @@
         isWell: (node, forMs) => this.#peerHealth.isWell(node, forMs),
       },
       this.#workerReach,
-      { opened: (tenure) => this.#opened(tenure), ended: (tenure) => this.#ended(tenure) },
+      { opened: (ownershipTerm) => this.#opened(ownershipTerm), ended: (ownershipTerm) => this.#ended(ownershipTerm) },
     );
     this.#publisher = new StatusPublisher(
       this.shared,
@@ -148,7 +154,7 @@
     this.#rendezvous = features.replicaGroups === null ? null : new Rendezvous(this.shared, features.replicaGroups);
     this.#budgetSharing = new BudgetSharing(this.#budget, this.#peers, ports.clock, clusterConfig.heartbeatIntervalMs);
     this.#confirmation = new PeerConfirmation(this.state, this.replica, this.#peers, clusterConfig.heartbeatIntervalMs);
-    this.#formerOwners = new FormerOwnerQueries(this.#owners, this.#peers, clusterConfig.heartbeatIntervalMs);
+    this.#previousOwners = new PreviousOwnerQueries(this.#owners, this.#peers, clusterConfig.heartbeatIntervalMs);
     this.#relay = new ReportRelay(this.settings, ports.clock, this.#peers, {
       partitionOf: (report) => this.store.partitioner?.partitionOf(report.machine, report.zone),
       ownerOf: (partitionId) => this.#ownerOf(partitionId),
@@ -228,10 +234,10 @@
     this.#noticeStall(now);
     this.#peerHealth.tick();
     for (const owner of this.#owners.values()) owner.tick(now);
-    this.#formerOwners.tick(now);
-    this.#ownership.releaseCutOff([...this.#owners.values()], now);
-    this.#ownership.renewTerms(this.#owners.values());
-    this.#ownership.releaseOne(this.#owners.values(), now);
+    this.#previousOwners.tick(now);
+    this.#ownership.releaseUnreachable([...this.#owners.values()], now);
+    this.#ownership.releaseExhausted(this.#owners.values());
+    this.#ownership.returnToHome(this.#owners.values(), now);
     this.#tellPeers(now);
     this.#leader?.tick();
     this.#confirmation.tick(now, this.#owners.size > 0);
@@ -265,38 +271,38 @@
 
   // --- ownership ---------------------------------------------------------------------------------------------------
 
-  #opened(tenure: Tenure): void {
-    if (tenure.resource === LEAD) {
-      this.#leader = this.#newLeader(tenure);
+  #opened(ownershipTerm: OwnershipTerm): void {
+    if (ownershipTerm.resource === LEADERSHIP) {
+      this.#leader = this.#newLeader(ownershipTerm);
       return;
     }
-    const partitionId = Number(tenure.resource);
+    const partitionId = Number(ownershipTerm.resource);
     const before = this.#statuses.of(partitionId)?.status.machines ?? [];
     this.#owners.set(
       partitionId,
-      new PartitionOwner(this.shared, partitionId, tenure, new Map(before.map((m) => [m.name, m] as const))),
+      new PartitionOwner(this.shared, partitionId, ownershipTerm, new Map(before.map((m) => [m.name, m] as const))),
     );
   }
 
-  #newLeader(tenure: Tenure): Leader {
+  #newLeader(ownershipTerm: OwnershipTerm): Leader {
     const { borrowing, replicaGroups } = this.settings.features;
     return new Leader(
       this.shared,
-      tenure,
+      ownershipTerm,
       () => this.#statuses.all(),
       this.#http,
-      borrowing === null ? null : new LeaderBorrowing(this.shared, tenure, borrowing, this.#claimLists),
+      borrowing === null ? null : new LeaderBorrowing(this.shared, ownershipTerm, borrowing, this.#claimLists),
       replicaGroups === null ? null : new LeaderGroups(this.shared, replicaGroups, this.#groupReports),
     );
   }
 
-  #ended(tenure: Tenure): void {
-    if (this.#leader?.tenure === tenure) {
+  #ended(ownershipTerm: OwnershipTerm): void {
+    if (this.#leader?.ownershipTerm === ownershipTerm) {
       this.#leader.stop();
       this.#leader = null;
     }
-    const partitionId = Number(tenure.resource);
-    if (this.#owners.get(partitionId)?.tenure === tenure) this.#owners.delete(partitionId);
+    const partitionId = Number(ownershipTerm.resource);
+    if (this.#owners.get(partitionId)?.ownershipTerm === ownershipTerm) this.#owners.delete(partitionId);
   }
 
   // --- workers -----------------------------------------------------------------------------------------------------
@@ -338,7 +344,7 @@
         return refusal(503, outcome.why);
       case 'superseded':
         this.log.info({ partitionId, machine: report.machine, token: report.token }, 'superseded');
-        this.#ownership.superseded(owner.tenure);
+        this.#ownership.superseded(owner.ownershipTerm);
         return { status: 421, body: encodeReportTo(null) };
     }
   }
@@ -406,7 +412,7 @@
         if (!this.#owners.has(message.partitionId)) this.#statuses.onFragment(from, message, now);
         return;
       case 'FleetOrders':
-        if (this.store.owners.get(LEAD)?.record.term === message.term) this.#obey(message.drain, message.gone);
+        if (this.store.owners.get(LEADERSHIP)?.record.term === message.term) this.#obey(message.drain, message.gone);
         return;
       case 'ConfirmationRequest':
         this.#confirmation.onRequest(from, message, this.#contactAgeMs(now));
@@ -420,7 +426,7 @@
         return;
       }
       case 'OwnershipAnswer':
-        this.#formerOwners.onAnswer(from, message, now, this.clock.wall());
+        this.#previousOwners.onAnswer(from, message, now, this.clock.wall());
         return;
       case 'Relay':
         this.#relay.onRelay(from, message);
@@ -446,10 +452,10 @@
   #tellPeers(now: number): void {
     if (!this.#publisher.publish(this.owned(), this.#contactAgeMs(now), now)) return;
     const leader = this.#leader;
-    if (leader === null || !leader.tenure.isCurrent) return;
+    if (leader === null || !leader.ownershipTerm.isCurrent) return;
     const { drain, gone } = leader.orders();
     this.#obey(drain, gone);
-    this.#peers.broadcast({ kind: 'FleetOrders', term: leader.tenure.term, drain: [...drain], gone: [...gone] });
+    this.#peers.broadcast({ kind: 'FleetOrders', term: leader.ownershipTerm.term, drain: [...drain], gone: [...gone] });
   }
 
   #contactAgeMs(now: number): number {
--- a/packages/daemon/src/fleet-manager.ts
+++ b/packages/daemon/src/fleet-manager.ts
@@ -1,6 +1,6 @@
 // The leader's dealings with the cloud: reads its lists, rents and returns machines as the fleet's plan says.
 import { Cloud, type Http, sleep, URGENCY } from '@gingerlock/clients';
-import { Fleet, type PartitionStatus, type Tenure, type Unmet } from '@gingerlock/core';
+import { Fleet, type PartitionStatus, type OwnershipTerm, type Unmet } from '@gingerlock/core';
 import {
   type CloudMachine,
   type JobSpec,
@@ -45,11 +45,11 @@
 
   constructor(
     readonly shared: Shared,
-    readonly tenure: Tenure,
+    readonly ownershipTerm: OwnershipTerm,
     http: Http,
     readonly view: FleetView,
   ) {
-    this.#fleet = new Fleet(shared.clusterConfig, tenure.term, shared.settings.operators);
+    this.#fleet = new Fleet(shared.clusterConfig, ownershipTerm.term, shared.settings.operators);
     this.#cloud = new Cloud(http, shared.settings.cloud, shared.clusterConfig.heartbeatIntervalMs * 2);
     this.#offers = new MachineOffers(shared.clusterConfig.zones, shared.log);
     this.#since = shared.clock.now();
@@ -80,7 +80,7 @@
   }
 
   #isLeading(): boolean {
-    return this.tenure.isCurrent && !this.#stopped;
+    return this.ownershipTerm.isCurrent && !this.#stopped;
   }
 
   /** Whether the cloud may be asked for changes now: looked at again before each request. */
@@ -130,7 +130,9 @@
     // Prices of spot machines move all the time; what matters to all is what the machines are.
     const still = (v: unknown): string => JSON.stringify(v).replace(/"low_price":[0-9.]+/g, '');
     if (still(value) === still(before)) return;
-    await shared.settle(URGENCY.accept, [this.tenure.condition], [{ put: KEYS.types, value }], () => this.#isLeading());
+    await shared.settle(URGENCY.accept, [this.ownershipTerm.condition], [{ put: KEYS.types, value }], () =>
+      this.#isLeading(),
+    );
   }
 
   async #manage(): Promise<void> {
--- a/packages/daemon/src/leader-borrowing.ts
+++ b/packages/daemon/src/leader-borrowing.ts
@@ -20,7 +20,7 @@
   type Job,
   type PartitionStatus,
   STOP_MS,
-  type Tenure,
+  type OwnershipTerm,
   type Unmet,
 } from '@gingerlock/core';
 import { KEYS, type ReclaimRecord, parseTaskName } from '@gingerlock/wire';
@@ -63,7 +63,7 @@
 
   constructor(
     readonly shared: Shared,
-    readonly tenure: Tenure,
+    readonly ownershipTerm: OwnershipTerm,
     readonly settings: BorrowingSettings,
     readonly lists: ClaimLists,
   ) {}
@@ -118,7 +118,7 @@
 
   /** The record of a decision, under a name that is never used again: it carries the leader's term. */
   recordOf({ job, tasks, machine, victims, reason, places }: Decision): StoredReclaim {
-    const id = `${this.tenure.term}-${++this.#counter}`;
+    const id = `${this.ownershipTerm.term}-${++this.#counter}`;
     const decidedAt = Math.round(this.shared.clock.wall());
     return {
       key: KEYS.reclaim(places[0]!.partitionId, id),
--- a/packages/daemon/src/leader.ts
+++ b/packages/daemon/src/leader.ts
@@ -9,7 +9,7 @@
   type PartitionStatus,
   assignedRangesOf,
   strandedTasks,
-  type Tenure,
+  type OwnershipTerm,
   TrialSchedule,
   type Unmet,
 } from '@gingerlock/core';
@@ -54,7 +54,7 @@
 
   constructor(
     readonly shared: Shared,
-    readonly tenure: Tenure,
+    readonly ownershipTerm: OwnershipTerm,
     readonly statuses: () => readonly ReceivedStatus[],
     http: Http,
     /** Null: borrowing is off. */
@@ -63,7 +63,7 @@
     readonly groups: LeaderGroups | null,
   ) {
     this.#trials = new TrialSchedule(shared.clusterConfig);
-    this.#fleet = new FleetManager(shared, tenure, http, {
+    this.#fleet = new FleetManager(shared, ownershipTerm, http, {
       statuses: (now) => this.#current(now),
       unmet: () => this.#unmet,
       pinned: () => groups?.pinnedMachines() ?? NOTHING_PINNED,
@@ -89,7 +89,7 @@
   }
 
   #isLeading(): boolean {
-    return this.tenure.isCurrent && !this.#stopped;
+    return this.ownershipTerm.isCurrent && !this.#stopped;
   }
 
   orders(): FleetOrders {
@@ -132,7 +132,7 @@
     const now = shared.clock.now();
     const current = this.#current(now);
     this.#reviewTrials(current, now);
-    const batch = new JobBatch(this.tenure.condition, shared.transactionSizeLimit());
+    const batch = new JobBatch(this.ownershipTerm.condition, shared.transactionSizeLimit());
     this.groups?.begin();
     this.#close(batch);
     this.groups?.addChanges(batch);
--- a/packages/daemon/src/owner-writes.ts
+++ b/packages/daemon/src/owner-writes.ts
@@ -6,7 +6,7 @@
   type Job,
   mergeRanges,
   type TaskEntry,
-  type Tenure,
+  type OwnershipTerm,
   withoutTasks,
 } from '@gingerlock/core';
 import { URGENCY } from '@gingerlock/clients';
@@ -39,7 +39,7 @@
   constructor(
     readonly shared: Shared,
     readonly partitionId: number,
-    readonly tenure: Tenure,
+    readonly ownershipTerm: OwnershipTerm,
     readonly claimTable: ClaimTable,
     /** Null: borrowing is off. */
     readonly reclaims: OwnerReclaims | null,
@@ -179,23 +179,23 @@
     if (writes.length === 0) return false;
     const batch = this.#fittingWrites(writes);
     for (const w of batch) w.prepare?.();
-    const conditions = [this.tenure.condition, ...batch.flatMap((w) => w.conditions)];
+    const conditions = [this.ownershipTerm.condition, ...batch.flatMap((w) => w.conditions)];
     const changes = batch.map((w) => w.change);
     shared.log.debug(
       { partitionId: this.partitionId, urgency, keys: changes.map((c) => ('put' in c ? c.put : c.remove)) },
       'writing',
     );
-    const done = await shared.settle(urgency, conditions, changes, () => this.tenure.isCurrent);
+    const done = await shared.settle(urgency, conditions, changes, () => this.ownershipTerm.isCurrent);
     // A conflict over one job fails the whole batch: the others' tasks, too, are still here.
     if (done === 0) for (const w of batch) w.failed?.();
     // What is finished or given back shows in the replica, and leaves the claim table with it.
-    return done > 0 && this.tenure.isCurrent;
+    return done > 0 && this.ownershipTerm.isCurrent;
   }
 
   /** As many of the writes, from the first on, as one transaction may hold. */
   #fittingWrites(writes: readonly Write[]): Write[] {
     const sizeLimit = this.shared.transactionSizeLimit();
-    sizeLimit.add([this.tenure.condition], []);
+    sizeLimit.add([this.ownershipTerm.condition], []);
     const fitting: Write[] = [];
     for (const write of writes) {
       if (!sizeLimit.add(write.conditions, [write.change])) break;
--- a/packages/daemon/src/owner.ts
+++ b/packages/daemon/src/owner.ts
@@ -9,7 +9,7 @@
   type PartitionStatus,
   type Reservations,
   type TaskEntry,
-  type Tenure,
+  type OwnershipTerm,
   toCall,
   vacate,
 } from '@gingerlock/core';
@@ -51,7 +51,7 @@
     readonly shared: Shared,
     readonly partitionId: number,
     /** Fixed for the life of this object: all that it writes and sends rests on the term and version of this one tenure. */
-    readonly tenure: Tenure,
+    readonly ownershipTerm: OwnershipTerm,
     before: ReadonlyMap<string, MachineStatus>,
   ) {
     const { store, clusterConfig, clock, log } = shared;
@@ -61,9 +61,9 @@
     this.claimTable = new ClaimTable({
       clusterConfig,
       partitionId,
-      term: tenure.term,
-      fencedUntil: tenure.fencedUntil,
-      openedAt: tenure.takenAt,
+      term: ownershipTerm.term,
+      fencedUntil: ownershipTerm.fencedUntil,
+      openedAt: ownershipTerm.acquiredAt,
       jobs: store.jobs,
       types: () => store.types,
       membership: store.membership(partitionId),
@@ -73,14 +73,16 @@
       attemptsPerTerm: shared.limits.attemptsPerTerm,
       images: new Map([...before].map(([name, m]) => [name, m.images])),
       log: (message, detail) => log.debug({ partitionId, ...detail }, message),
-      alarm: (message, detail) => log.error({ partitionId, term: tenure.term, ...detail }, message),
+      alarm: (message, detail) => log.error({ partitionId, term: ownershipTerm.term, ...detail }, message),
     });
     for (const id of store.jobs.live.keys()) this.claimTable.syncJob(id, clock.now());
     this.reclaims?.attach(this.claimTable);
     this.groups?.attach(this.claimTable);
     this.groups?.changed();
     this.#messages = new WorkerMessages(shared, this.claimTable);
-    this.#writes = new OwnerWrites(shared, partitionId, tenure, this.claimTable, this.reclaims, () => this.isOwner());
+    this.#writes = new OwnerWrites(shared, partitionId, ownershipTerm, this.claimTable, this.reclaims, () =>
+      this.isOwner(),
+    );
   }
 
   /**
@@ -151,16 +153,16 @@
 
   /** Whether this controller is the owner, as far as any read of its own shows: nobody is answered on other grounds. */
   isOwner(): boolean {
-    const { key, version } = this.tenure.condition;
+    const { key, version } = this.ownershipTerm.condition;
     // The version rather than the record: one that can't be read is not ours either.
-    return this.tenure.isCurrent && this.shared.replica.version(key) === version;
+    return this.ownershipTerm.isCurrent && this.shared.replica.version(key) === version;
   }
 
   /** Whether starts may be given now: we surely own the part, and have seen every cancellation but the newest. */
   mayGrant(now: number): boolean {
     const { replica, clusterConfig } = this.shared;
     return (
-      this.tenure.state === 'held' &&
+      this.ownershipTerm.state === 'held' &&
       this.isOwner() &&
       this.shared.leaseValid() &&
       replica.contactAt !== null &&
--- a/packages/daemon/src/ownership-manager.ts
+++ b/packages/daemon/src/ownership-manager.ts
@@ -5,12 +5,12 @@
   Ownership,
   type Release,
   type Resumption,
-  type Takeover,
-  type Tenure,
-  TURN,
+  type Acquisition,
+  type OwnershipTerm,
+  ACQUISITION_DELAY,
   type Versioned,
 } from '@gingerlock/core';
-import { FORMAT, KEYS, LEAD, metaRecord, type OwnerRecord } from '@gingerlock/wire';
+import { FORMAT, KEYS, LEADERSHIP, metaRecord, type OwnerRecord } from '@gingerlock/wire';
 import type { PartitionOwner } from './owner';
 import type { Settings } from './settings';
 import type { Shared } from './shared';
@@ -26,9 +26,9 @@
 }
 
 /** Hears of the begin and the end of each tenure. */
-export interface TenureListener {
-  opened(tenure: Tenure): void;
-  ended(tenure: Tenure): void;
+export interface OwnershipListener {
+  opened(ownershipTerm: OwnershipTerm): void;
+  ended(ownershipTerm: OwnershipTerm): void;
 }
 
 /** A page of finished tasks takes about this share of a value at the most. */
@@ -55,7 +55,7 @@
     readonly process: string,
     readonly peers: PeerHealth,
     readonly workerReach: WorkerReach,
-    readonly listener: TenureListener,
+    readonly listener: OwnershipListener,
   ) {}
 
   stop(): void {
@@ -75,10 +75,10 @@
     this.#lease = lease;
     const { store } = this.shared;
     if (store.meta === null) {
-      void this.#found();
+      void this.#createDeployment();
       return;
     }
-    if (this.#ownerships.size === 0) this.#open(store.meta.partitionCount);
+    if (this.#ownerships.size === 0) this.#openOwnerships(store.meta.partitionCount);
     for (const ownership of this.#ownerships.values()) this.#decide(ownership);
   }
 
@@ -91,10 +91,10 @@
       case 'none':
         return;
       case 'lost':
-        this.#ended(decision.tenure);
+        this.#ended(decision.ownershipTerm);
         return;
-      case 'take':
-        void this.#take(ownership, decision);
+      case 'acquire':
+        void this.#acquire(ownership, decision);
         return;
       case 'resume':
         void this.#resume(ownership, decision);
@@ -103,7 +103,7 @@
   }
 
   /** Writes the settings of the deployment that hold for ever, as the first controller that ever starts. */
-  async #found(): Promise<void> {
+  async #createDeployment(): Promise<void> {
     const { shared } = this;
     const tasks = Math.floor(this.#settings.valueBytes * PAGE_SHARE) * TASKS_PER_CHARACTER;
     const pageTasks = Math.max(LEAST_PAGE_TASKS, tasks);
@@ -141,20 +141,20 @@
   }
 
   /** Report intervals to leave to the controllers that come before this one. */
-  #turn(order: readonly string[]): number {
+  #acquisitionDelay(order: readonly string[]): number {
     let sum = 0;
     for (const node of order) {
       if (node === this.#settings.node) break;
-      if (this.peers.isAlive(node)) sum += TURN.alive;
-      else sum += this.peers.hasMet(node) ? TURN.silent : TURN.unknown;
+      if (this.peers.isAlive(node)) sum += ACQUISITION_DELAY.alive;
+      else sum += this.peers.hasMet(node) ? ACQUISITION_DELAY.silent : ACQUISITION_DELAY.unknown;
     }
     return sum;
   }
 
-  #open(partitionCount: number): void {
+  #openOwnerships(partitionCount: number): void {
     const { node, clusterConfig } = this.#settings;
     const { borrowing, replicaGroups } = this.#settings.features;
-    const me = {
+    const localNode = {
       node,
       process: this.process,
       ...(borrowing === null ? {} : { takesClaimLists: true }),
@@ -164,16 +164,20 @@
       const order = this.#orderFor(partitionId);
       const resource = String(partitionId);
       // Given up because its workers do not reach this controller, it is left to others first.
-      const turn = (): number => this.#turn(order) + (this.#isLeftToOthers(partitionId) ? TURN.cutOff : 0);
-      this.#ownerships.set(resource, new Ownership(resource, clusterConfig, me, turn));
+      const acquisitionDelay = (): number =>
+        this.#acquisitionDelay(order) + (this.#isLeftToOthers(partitionId) ? ACQUISITION_DELAY.cutOff : 0);
+      this.#ownerships.set(resource, new Ownership(resource, clusterConfig, localNode, acquisitionDelay));
     }
     const nodes = this.#nodes();
-    this.#ownerships.set(LEAD, new Ownership(LEAD, clusterConfig, me, () => this.#turn(nodes)));
+    this.#ownerships.set(
+      LEADERSHIP,
+      new Ownership(LEADERSHIP, clusterConfig, localNode, () => this.#acquisitionDelay(nodes)),
+    );
   }
 
   // --- taking and resuming -----------------------------------------------------------------------------------------
 
-  async #take(ownership: Ownership, attempt: Takeover): Promise<void> {
+  async #acquire(ownership: Ownership, attempt: Acquisition): Promise<void> {
     const { shared } = this;
     const { conditions, changes } = attempt.transaction;
     const isWanted = (): boolean => !this.#stopped && ownership.isPending(attempt);
@@ -183,12 +187,12 @@
       ownership.failed(attempt);
       return;
     }
-    const tenure = ownership.taken(attempt, revision, doneAt, this.#clock.now(), this.#clock.wall());
-    if (tenure === null) return;
-    const clearInMs = Math.round(tenure.fencedUntil - this.#clock.now());
-    shared.log.info({ slot: tenure.resource, term: tenure.term, clearInMs }, 'taken');
-    this.listener.opened(tenure);
-    this.#confirmTime(tenure);
+    const ownershipTerm = ownership.acquired(attempt, revision, doneAt, this.#clock.now(), this.#clock.wall());
+    if (ownershipTerm === null) return;
+    const clearInMs = Math.round(ownershipTerm.fencedUntil - this.#clock.now());
+    shared.log.info({ slot: ownershipTerm.resource, term: ownershipTerm.term, clearInMs }, 'taken');
+    this.listener.opened(ownershipTerm);
+    this.#confirmAcquisition(ownershipTerm);
   }
 
   /** What the old owner wrote before it lost the resource has to be seen first: its membership above all. */
@@ -210,35 +214,35 @@
     return owner?.version === version;
   }
 
-  #confirmTime(tenure: Tenure): void {
-    const transaction = tenure.resource === LEAD ? null : tenure.confirmTime();
+  #confirmAcquisition(ownershipTerm: OwnershipTerm): void {
+    const transaction = ownershipTerm.resource === LEADERSHIP ? null : ownershipTerm.confirmAcquisition();
     if (transaction === null) return;
     const { conditions, changes } = transaction;
-    void this.shared.settle(URGENCY.assign, conditions, changes, () => tenure.isCurrent);
+    void this.shared.settle(URGENCY.assign, conditions, changes, () => ownershipTerm.isCurrent);
   }
 
   async #resume(ownership: Ownership, attempt: Resumption): Promise<void> {
     const { conditions, changes } = attempt.transaction;
     const isWanted = (): boolean => !this.#stopped && ownership.isPending(attempt);
     const revision = await this.shared.settle(URGENCY.renew, conditions, changes, isWanted);
-    const { tenure } = attempt;
+    const { ownershipTerm } = attempt;
     if (revision === 0) {
-      if (ownership.failed(attempt)) this.#ended(tenure);
+      if (ownership.failed(attempt)) this.#ended(ownershipTerm);
     } else if (ownership.resumed(attempt)) {
-      this.shared.log.info({ slot: tenure.resource, term: tenure.term }, 'resumed');
+      this.shared.log.info({ slot: ownershipTerm.resource, term: ownershipTerm.term }, 'resumed');
     }
   }
 
-  #ended(tenure: Tenure): void {
-    this.shared.log.info({ slot: tenure.resource, term: tenure.term }, 'released');
-    this.listener.ended(tenure);
+  #ended(ownershipTerm: OwnershipTerm): void {
+    this.shared.log.info({ slot: ownershipTerm.resource, term: ownershipTerm.term }, 'released');
+    this.listener.ended(ownershipTerm);
   }
 
   // --- giving up ---------------------------------------------------------------------------------------------------
 
   /** A worker has seen the token of a later owner. */
-  superseded(tenure: Tenure): void {
-    if (this.#ownerships.get(tenure.resource)?.stepDown(tenure) === true) this.#ended(tenure);
+  superseded(ownershipTerm: OwnershipTerm): void {
+    if (this.#ownerships.get(ownershipTerm.resource)?.stepDown(ownershipTerm) === true) this.#ended(ownershipTerm);
   }
 
   /**
@@ -249,7 +253,7 @@
     const ownership = this.#ownerships.get(String(partitionId));
     const ended = ownership?.renounceBefore(term) ?? null;
     if (ended !== null) this.#ended(ended);
-    return (ownership?.tenure ?? null) !== null;
+    return (ownership?.ownershipTerm ?? null) !== null;
   }
 
   #isLeftToOthers(partitionId: number): boolean {
@@ -260,31 +264,32 @@
    * Gives a partition whose workers have long been unable to reach this controller to one that they do reach. Relaying carries them
    * meanwhile, but each report takes a way that costs it seconds whenever it is tried directly again.
    */
-  releaseCutOff(owners: Iterable<PartitionOwner>, now: number): void {
+  releaseUnreachable(owners: Iterable<PartitionOwner>, now: number): void {
     if (!this.shared.fresh() || this.shared.replica.failures > 0) return;
-    for (const { partitionId, tenure, claimTable } of owners) {
-      if (tenure.state !== 'held' || !claimTable.cleared || !this.workerReach.isCutOff(partitionId, now)) continue;
+    for (const { partitionId, ownershipTerm, claimTable } of owners) {
+      if (ownershipTerm.state !== 'held' || !claimTable.cleared || !this.workerReach.isCutOff(partitionId, now))
+        continue;
       if (!this.#settings.peers.some(({ node }) => this.peers.isAlive(node))) continue;
-      const ownership = this.#ownerships.get(tenure.resource)!;
-      const attempt = ownership.release(this.shared.store.view(tenure.resource));
+      const ownership = this.#ownerships.get(ownershipTerm.resource)!;
+      const attempt = ownership.release(this.shared.store.view(ownershipTerm.resource));
       if (attempt === null) continue;
       this.shared.log.info({ partitionId }, 'workers can not reach this controller');
       this.#leftToOthersUntil.set(partitionId, now + this.shared.clusterConfig.workerLeaseMs);
-      this.#ended(tenure);
+      this.#ended(ownershipTerm);
       void this.#release(ownership, attempt);
     }
   }
 
   /** Gives up partitions whose terms run out of attempts: whoever takes them, mostly this controller, does so under a new term. */
-  renewTerms(owners: Iterable<PartitionOwner>): void {
+  releaseExhausted(owners: Iterable<PartitionOwner>): void {
     if (!this.shared.fresh()) return;
-    for (const { partitionId, tenure, claimTable } of owners) {
-      if (tenure.state !== 'held' || !claimTable.needsNewTerm) continue;
-      const ownership = this.#ownerships.get(tenure.resource)!;
-      const attempt = ownership.release(this.shared.store.view(tenure.resource));
+    for (const { partitionId, ownershipTerm, claimTable } of owners) {
+      if (ownershipTerm.state !== 'held' || !claimTable.needsNewTerm) continue;
+      const ownership = this.#ownerships.get(ownershipTerm.resource)!;
+      const attempt = ownership.release(this.shared.store.view(ownershipTerm.resource));
       if (attempt === null) continue;
-      this.shared.log.info({ partitionId, term: tenure.term }, 'term used up');
-      this.#ended(tenure);
+      this.shared.log.info({ partitionId, term: ownershipTerm.term }, 'term used up');
+      this.#ended(ownershipTerm);
       void this.#release(ownership, attempt);
     }
   }
@@ -294,20 +299,20 @@
    * owned most of the fleet, and its end cost the most. One at a time, and not while anything is wrong: workers of the
    * partition have to find their new owner.
    */
-  releaseOne(owners: Iterable<PartitionOwner>, now: number): void {
+  returnToHome(owners: Iterable<PartitionOwner>, now: number): void {
     const { workerLeaseMs } = this.shared.clusterConfig;
     if (now - this.#releasedAt < workerLeaseMs || !this.shared.fresh() || this.shared.replica.failures > 0) return;
-    for (const { partitionId, tenure, claimTable } of owners) {
+    for (const { partitionId, ownershipTerm, claimTable } of owners) {
       const home = this.#orderFor(partitionId)[0]!;
-      if (home === this.#settings.node || tenure.state !== 'held' || !claimTable.cleared) continue;
+      if (home === this.#settings.node || ownershipTerm.state !== 'held' || !claimTable.cleared) continue;
       // What its home gave up itself, for its workers did not reach it, it gets back later.
-      const patienceMs = tenure.releasedBy === home ? workerLeaseMs * CUT_OFF_RETURN_LEASES : workerLeaseMs;
-      if (now - tenure.takenAt < patienceMs || !this.peers.isWell(home, workerLeaseMs)) continue;
-      const ownership = this.#ownerships.get(tenure.resource)!;
-      const attempt = ownership.release(this.shared.store.view(tenure.resource));
+      const patienceMs = ownershipTerm.releasedBy === home ? workerLeaseMs * CUT_OFF_RETURN_LEASES : workerLeaseMs;
+      if (now - ownershipTerm.acquiredAt < patienceMs || !this.peers.isWell(home, workerLeaseMs)) continue;
+      const ownership = this.#ownerships.get(ownershipTerm.resource)!;
+      const attempt = ownership.release(this.shared.store.view(ownershipTerm.resource));
       if (attempt === null) continue;
       this.#releasedAt = now;
-      this.#ended(tenure);
+      this.#ended(ownershipTerm);
       void this.#release(ownership, attempt);
       return;
     }
@@ -317,7 +322,7 @@
     const { conditions, changes } = attempt.transaction;
     const revision = await this.shared.settle(URGENCY.renew, conditions, changes, () => !this.#stopped);
     ownership.released(attempt);
-    const { resource, term } = attempt.tenure;
+    const { resource, term } = attempt.ownershipTerm;
     this.shared.log.info({ slot: resource, term, done: revision > 0 }, 'given back');
   }
 }
--- a/packages/daemon/src/former-owners.ts
+++ b/packages/daemon/src/previous-owners.ts
@@ -10,7 +10,7 @@
   readonly at: number;
 }
 
-export class FormerOwnerQueries {
+export class PreviousOwnerQueries {
   readonly #open = new Map<string, OwnerQuery>();
   #askedAt = -Infinity;
 
@@ -24,20 +24,20 @@
     if (now - this.#askedAt < this.heartbeatIntervalMs / 2) return;
     this.#askedAt = now;
     for (const [id, query] of this.#open) if (now - query.at > this.heartbeatIntervalMs * 2) this.#open.delete(id);
-    for (const { partitionId, tenure, claimTable } of this.owners.values()) {
-      const { term, formerOwner } = tenure;
-      if (formerOwner === null || claimTable.cleared) continue;
+    for (const { partitionId, ownershipTerm, claimTable } of this.owners.values()) {
+      const { term, previousOwner } = ownershipTerm;
+      if (previousOwner === null || claimTable.cleared) continue;
       const id = this.peers.nextRequestId();
       this.#open.set(id, { partitionId, term, at: now });
-      this.peers.send(formerOwner.node, { kind: 'OwnershipQuery', id, partitionId, term });
+      this.peers.send(previousOwner.node, { kind: 'OwnershipQuery', id, partitionId, term });
     }
   }
 
   onAnswer(from: string, { id, owns }: PeerMessages['OwnershipAnswer'], now: number, wall: number): void {
     const query = this.#open.get(id);
     const owner = query === undefined ? undefined : this.owners.get(query.partitionId);
-    if (query === undefined || owns || owner?.tenure.term !== query.term) return;
-    owner.tenure.formerOwnerEnded(from, now, wall);
-    owner.claimTable.fencedUntil = owner.tenure.fencedUntil;
+    if (query === undefined || owns || owner?.ownershipTerm.term !== query.term) return;
+    owner.ownershipTerm.previousOwnerEnded(from, now, wall);
+    owner.claimTable.fencedUntil = owner.ownershipTerm.fencedUntil;
   }
 }
--- a/packages/daemon/src/status-publisher.ts
+++ b/packages/daemon/src/status-publisher.ts
@@ -1,5 +1,5 @@
 // When and to whom a controller tells how its partitions stand.
-import { LEAD } from '@gingerlock/wire';
+import { LEADERSHIP } from '@gingerlock/wire';
 import { type ClaimLists, claimListMessages, claimsOf } from './claim-lists';
 import { type GroupReports, groupReportMessages } from './group-reports';
 import type { PartitionOwner } from './owner';
@@ -46,7 +46,7 @@
     this.peers.broadcast({ kind: 'PeerHeartbeat', contactAgeMs, revision: replica.revision });
     // The leader divides by them and needs every one; the others show users what runs, and know images should they take
     // the part over.
-    const lead = store.owners.get(LEAD)?.record.node;
+    const lead = store.owners.get(LEADERSHIP)?.record.node;
     const forAll = now - this.#sentToAllAt > Math.min(clusterConfig.heartbeatIntervalMs, DISPLAY_LAG_MS / 2);
     if (forAll) this.#sentToAllAt = now;
     const to = this.peers.link.nodes.filter((node) => forAll || node === lead);
@@ -58,7 +58,7 @@
 
   /** Tells the leader how the members of replica groups are, if it takes that. */
   #tellGroups(owners: readonly PartitionOwner[], now: number): void {
-    const lead = this.shared.store.holds.get(LEAD)?.record;
+    const lead = this.shared.store.holds.get(LEADERSHIP)?.record;
     const { features, node } = this.shared.settings;
     if (features.replicaGroups === null || lead?.takesGroupReports !== true) return;
     const { frameBytes } = this.peers.link;
@@ -71,7 +71,7 @@
 
   /** Tells the leader what the machines of our parts hold, if it takes that. */
   #tellClaims(owners: readonly PartitionOwner[], now: number): void {
-    const lead = this.shared.store.holds.get(LEAD)?.record;
+    const lead = this.shared.store.holds.get(LEADERSHIP)?.record;
     const { features, node, clusterConfig } = this.shared.settings;
     if (features.borrowing === null || lead?.takesClaimLists !== true) return;
     if (now - this.#claimsSentAt < clusterConfig.heartbeatIntervalMs / CLAIM_LISTS_PER_REPORT) return;
--- a/packages/daemon/src/store.ts
+++ b/packages/daemon/src/store.ts
@@ -31,7 +31,7 @@
   readonly owners = new Map<string, Versioned<OwnerRecord>>();
   readonly holds = new Map<string, Versioned<HoldRecord>>();
   /** By slot: the last term of which the time of the takeover is known to be right. */
-  readonly timed = new Map<string, number>();
+  readonly confirmedTerms = new Map<string, number>();
   /** By part: the machines that may hold a claim there, with their addresses. */
   readonly memberships = new Map<number, Map<string, string>>();
   /** By part and id. */
@@ -66,7 +66,7 @@
       owner: this.owners.get(resource) ?? null,
       hold: this.holds.get(resource) ?? null,
       term: this.term,
-      timedTerm: this.timed.get(resource) ?? 0,
+      confirmedTerm: this.confirmedTerms.get(resource) ?? 0,
     };
   }
 
@@ -117,8 +117,8 @@
         if (value === undefined) this.holds.delete(k.resource);
         else this.holds.set(k.resource, { record: holdRecord.read(value), version });
         return;
-      case 'timed':
-        if (value !== undefined) this.timed.set(k.resource, termRecord.read(value));
+      case 'confirmedTerm':
+        if (value !== undefined) this.confirmedTerms.set(k.resource, termRecord.read(value));
         return;
       case 'membership':
         if (value === undefined) this.membership(k.partitionId).delete(k.machine);
--- a/packages/testkit/src/group-audit.ts
+++ b/packages/testkit/src/group-audit.ts
@@ -76,7 +76,7 @@
     if (entry === undefined) return undefined;
     const { node, term } = ownerRecord.read(entry.value);
     const controller = nodes.find(({ name }) => name === node)?.controller;
-    return controller?.owned().find((owner) => owner.partitionId === partitionId && owner.tenure.term === term);
+    return controller?.owned().find((owner) => owner.partitionId === partitionId && owner.ownershipTerm.term === term);
   }
 
   /** A start command that was not known yet has come to a worker. */
--- a/packages/testkit/src/ownership-audit.ts
+++ b/packages/testkit/src/ownership-audit.ts
@@ -23,15 +23,18 @@
 
   /** A worker is being answered with 200 by a controller that takes itself for the owner of the worker's partition. */
   answered(node: string, owner: PartitionOwner): void {
-    const { tenure, shared } = owner;
-    const copy = shared.store.owners.get(tenure.resource);
-    if (copy?.version === tenure.version) return;
-    this.world.breach('deposed_owner', `${node} answers for partition ${owner.partitionId} under term ${tenure.term}`);
+    const { ownershipTerm, shared } = owner;
+    const copy = shared.store.owners.get(ownershipTerm.resource);
+    if (copy?.version === ownershipTerm.version) return;
+    this.world.breach(
+      'deposed_owner',
+      `${node} answers for partition ${owner.partitionId} under term ${ownershipTerm.term}`,
+    );
   }
 
   #checkClaims(owner: PartitionOwner): void {
-    const { tenure, claimTable } = owner;
-    const isOwner = this.world.state.data.get(KEYS.owner(tenure.resource))?.version === tenure.version;
+    const { ownershipTerm, claimTable } = owner;
+    const isOwner = this.world.state.data.get(KEYS.owner(ownershipTerm.resource))?.version === ownershipTerm.version;
     for (const tasksByIndex of claimTable.tasksByJob.values()) {
       for (const task of tasksByIndex.values()) {
         if (task.state === 'waiting') this.#checkPlace(owner, task);
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -12,7 +12,15 @@
 } from '@gingerlock/daemon';
 import { type Resources, NO_RESOURCES } from '@gingerlock/core';
 import type { PeerMessage } from '@gingerlock/peer';
-import { decodeReport, type JobSpec, holdRecord, KEYS, LEAD, type MachineType, parseTaskName } from '@gingerlock/wire';
+import {
+  decodeReport,
+  type JobSpec,
+  holdRecord,
+  KEYS,
+  LEADERSHIP,
+  type MachineType,
+  parseTaskName,
+} from '@gingerlock/wire';
 import {
   holdBoundMs,
   isGroupSpec,
@@ -228,7 +236,7 @@
 
   /** The controller that has the lead, as the state service says. */
   leader(): string | null {
-    const hold = this.state.data.get(KEYS.hold(LEAD));
+    const hold = this.state.data.get(KEYS.hold(LEADERSHIP));
     return hold === undefined ? null : holdRecord.read(hold.value).node;
   }
 
--- a/packages/testkit/test/borrowing-off.test.ts
+++ b/packages/testkit/test/borrowing-off.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type Fault, playDay, World } from '../src/index';
-import { holdRecord, KEYS, LEAD } from '@gingerlock/wire';
+import { holdRecord, KEYS, LEADERSHIP } from '@gingerlock/wire';
 
 const FAULTS: readonly { readonly at: number; readonly fault: Fault }[] = [
   { at: 5000, fault: { kind: 'batch wave', team: 1, tasks: 40, estimateS: 15 } },
@@ -30,7 +30,7 @@
   world.network.onSent = (from, addr, path, body) => trace.push(`${from} ${addr} ${path} ${body.toString('hex')}`);
   world.state.onStored = (key) => keys.add(key.split('/').slice(0, 2).join('/'));
   await playDay(world, { seed: 71, forMs: 90_000, faults: FAULTS });
-  const lead = holdRecord.read(world.state.data.get(KEYS.hold(LEAD))!.value);
+  const lead = holdRecord.read(world.state.data.get(KEYS.hold(LEADERSHIP))!.value);
   assert.equal(lead.takesClaimLists, undefined);
   return { trace, kinds, keys: [...keys].sort() };
 }
--- a/packages/testkit/test/large-fleet.test.ts
+++ b/packages/testkit/test/large-fleet.test.ts
@@ -1,7 +1,7 @@
 // Bounds that only a large fleet or a long day would reach, made so small that a few machines cross them.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { LEAD } from '@gingerlock/wire';
+import { LEADERSHIP } from '@gingerlock/wire';
 import { type Fault, playDay, World, type WorldOptions } from '../src/index';
 
 interface TimedFault {
@@ -51,7 +51,7 @@
   assert.deepEqual(world.users.open(), []);
   const terms = world.nodes
     .flatMap((node) => [...node.controller!.store.owners])
-    .filter(([resource]) => resource !== LEAD)
+    .filter(([resource]) => resource !== LEADERSHIP)
     .map(([, { record }]) => record.term);
   // Five partitions, the lead and what the crash cost: the terms beyond are those that were used up.
   assert.ok(Math.max(...terms) > 15, `terms up to ${Math.max(...terms)}`);
--- a/packages/testkit/test/mutants.test.ts
+++ b/packages/testkit/test/mutants.test.ts
@@ -358,7 +358,7 @@
         'isOwner',
         () =>
           function (this: PartitionOwner) {
-            return this.tenure.isCurrent;
+            return this.ownershipTerm.isCurrent;
           },
       );
       return () => {
--- a/packages/testkit/test/replica-groups-off.test.ts
+++ b/packages/testkit/test/replica-groups-off.test.ts
@@ -1,7 +1,7 @@
 // Off, replica groups change nothing: no key, no message and no request of a whole day differs, and none is of their kinds.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { holdRecord, KEYS, LEAD } from '@gingerlock/wire';
+import { holdRecord, KEYS, LEADERSHIP } from '@gingerlock/wire';
 import { type Fault, GROUP_CLASS, playDay, World } from '../src/index';
 
 const FAULTS: readonly { readonly at: number; readonly fault: Fault }[] = [
@@ -44,7 +44,7 @@
       [...world.state.data.keys()].filter((key) => key.startsWith('g/g/')),
       [],
     );
-    const lead = holdRecord.read(world.state.data.get(KEYS.hold(LEAD))!.value);
+    const lead = holdRecord.read(world.state.data.get(KEYS.hold(LEADERSHIP))!.value);
     assert.equal(lead.takesGroupReports, undefined);
   }
 });
--- a/packages/wire/src/records.ts
+++ b/packages/wire/src/records.ts
@@ -15,7 +15,7 @@
   owner: (resource: string) => `g/own/${resource}`,
   hold: (resource: string) => `g/hold/${resource}`,
   /** A term record: the owner of that term knows that the `movedAt` of its record bounds its takeover. */
-  timed: (resource: string) => `g/timed/${resource}`,
+  confirmedTerm: (resource: string) => `g/timed/${resource}`,
   job: (id: string) => `g/j/${id}`,
   finished: (id: string, partitionId: number, page: number) => `g/f/${id}/${partitionId}/${page}`,
   /** A page of finished tasks that begins at task `first`; see `finishedPageFor`. */
@@ -27,11 +27,11 @@
 } as const;
 
 /** The slot of the leader; the slot of a part is its number. */
-export const LEAD = 'lead';
+export const LEADERSHIP = 'lead';
 
 export type ParsedKey =
   | { readonly kind: 'meta' | 'term' | 'types' | 'other' }
-  | { readonly kind: 'owner' | 'hold' | 'timed'; readonly resource: string }
+  | { readonly kind: 'owner' | 'hold' | 'confirmedTerm'; readonly resource: string }
   | { readonly kind: 'job'; readonly id: string }
   | { readonly kind: 'finished'; readonly id: string; readonly partitionId: number; readonly page: number }
   | { readonly kind: 'finishedFrom'; readonly id: string; readonly partitionId: number; readonly first: number }
@@ -51,7 +51,7 @@
     case 'hold':
       return { kind: 'hold', resource: words[2] ?? '' };
     case 'timed':
-      return { kind: 'timed', resource: words[2] ?? '' };
+      return { kind: 'confirmedTerm', resource: words[2] ?? '' };
     case 'j':
       return { kind: 'job', id: words[2] ?? '' };
     case 'f':
@@ -111,7 +111,7 @@
   readonly term: number;
   readonly node: string;
   /** Time of day (ms) of the last takeover from another controller that may have gone on; 0 if there never was one. */
-  readonly movedAt: number;
+  readonly failoverAt: number;
   /** Given back: this owner has answered nobody since before this was written. */
   readonly released: boolean;
 }
@@ -125,10 +125,10 @@
   }),
 );
 export const ownerRecord = {
-  write: (o: OwnerRecord): unknown => ({ t: o.term, n: o.node, at: o.movedAt, ...(o.released ? { r: 1 } : {}) }),
+  write: (o: OwnerRecord): unknown => ({ t: o.term, n: o.node, at: o.failoverAt, ...(o.released ? { r: 1 } : {}) }),
   read: (value: unknown): OwnerRecord => {
     const o = checkOwner(value);
-    return { term: o.t, node: o.n, movedAt: o.at, released: o.r === 1 };
+    return { term: o.t, node: o.n, failoverAt: o.at, released: o.r === 1 };
   },
 };
 
--- a/packages/wire/test/production-format.test.ts
+++ b/packages/wire/test/production-format.test.ts
@@ -15,7 +15,7 @@
   term: wire.termRecord,
   owner: wire.ownerRecord,
   hold: wire.holdRecord,
-  timed: wire.termRecord,
+  confirmedTerm: wire.termRecord,
   job: wire.jobRecord,
   finished: wire.finishedRecord,
   membership: wire.membershipRecord,
