--- a/packages/borrowing/src/execution.ts
+++ b/packages/borrowing/src/execution.ts
@@ -90,7 +90,7 @@
       return [];
     }
     const machine = table.machines.get(this.record.machine);
-    if (isYetUnheard(table, this.record.machine)) return [];
+    if (isUnconfirmed(table, this.record.machine)) return [];
     if (machine === undefined || !table.takesWork(machine, now)) {
       this.#withdraw('its machine takes no work');
       return [];
@@ -146,9 +146,12 @@
 }
 
 /** A new owner has yet to hear the machine. */
-function isYetUnheard(table: ClaimTable, name: string): boolean {
+function isUnconfirmed(table: ClaimTable, name: string): boolean {
   const machine = table.machines.get(name);
-  return table.unheard.has(name) || (machine !== undefined && !machine.synchronised && machine.answeredAt !== null);
+  return (
+    table.unconfirmedMachines.has(name) ||
+    (machine !== undefined && !machine.hasCurrentToken && machine.answeredAt !== null)
+  );
 }
 
 function longestGraceS(victims: readonly TaskEntry[]): number {
--- a/packages/borrowing/test/execution.test.ts
+++ b/packages/borrowing/test/execution.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ClaimTable, JobTable, type TaskEntry } from '@gingerlock/core';
-import { jobRecord, type ReclaimRecord, type ReportedTask, type WorkerReport } from '@gingerlock/wire';
+import { jobRecord, type ReclaimRecord, type ReportedTask, type Heartbeat } from '@gingerlock/wire';
 import { PartitionReclaims, type Reclaim, reclaimBoundMs } from '../src/index';
 import { clusterConfigOf, jobOf, teamOf } from './fixtures';
 
@@ -28,7 +28,7 @@
   readonly moves: string[] = [];
   readonly reclaims = new PartitionReclaims({ moved: (reclaim) => this.moves.push(moveOf(reclaim)) });
   now = 1000;
-  #seq = 0;
+  #sequenceNumber = 0;
   #tasks: ReportedTask[] = [];
 
   constructor(readonly saves = 0) {
@@ -73,19 +73,19 @@
   /** The machine reports all it has, and does as the answer says. */
   report(): void {
     this.now += 100;
-    const report: WorkerReport = {
+    const heartbeat: Heartbeat = {
       machine: 'm',
       addr: 'm:1',
       type: 'box',
       zone: 'a',
       spot: false,
-      session: 1,
-      seq: ++this.#seq,
-      token: this.#seq === 1 ? 0 : this.table.token(this.table.machines.get('m')),
+      agentEpoch: 1,
+      sequenceNumber: ++this.#sequenceNumber,
+      fencingToken: this.#sequenceNumber === 1 ? 0 : this.table.fencingToken(this.table.machines.get('m')),
       noticeS: null,
       tasks: this.#tasks,
     };
-    const outcome = this.table.report(report, this.now, true);
+    const outcome = this.table.handleHeartbeat(heartbeat, this.now, true);
     assert.equal(outcome.kind, 'answer');
     for (const command of outcome.kind === 'answer' ? outcome.commands : []) {
       const isIt = (t: ReportedTask): boolean => t.task === command.task && t.attempt === command.attempt;
--- a/packages/borrowing/test/fixtures.ts
+++ b/packages/borrowing/test/fixtures.ts
@@ -57,7 +57,7 @@
     type: 'box',
     zone: 'a',
     spot: false,
-    session: 1,
+    agentEpoch: 1,
     free: NO_RESOURCES,
     byRank: [NO_RESOURCES, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES],
     images: [],
--- a/packages/core/src/assignment.ts
+++ b/packages/core/src/assignment.ts
@@ -26,7 +26,7 @@
   readonly zone: string;
   readonly spot: boolean;
   /** What its worker called its session last: a new owner needs it to show its term. */
-  readonly session: number;
+  readonly agentEpoch: number;
   /** Left after its claims and after the waiting tasks that the owner expects to bind here. */
   readonly free: Resources;
   /** What stopping its claims of each rank would free, and what waiting tasks of that rank are expected to take. */
--- a/packages/core/src/claim-queries.ts
+++ b/packages/core/src/claim-queries.ts
@@ -106,10 +106,10 @@
  * for that first cost a boot more of every long cut, and a short one may be over before.
  */
 export function missingServices(table: ClaimView, now: number): Resources {
-  const { clusterConfig, machines, unheard, openedAt, fencedUntil } = table;
-  if (table.cleared) return NO_RESOURCES;
-  const synchronised = [...machines.values()].filter((m) => m.synchronised).length;
-  if (unheard.size > synchronised) {
+  const { clusterConfig, machines, unconfirmedMachines, openedAt, fencedUntil } = table;
+  if (table.isFencingOver) return NO_RESOURCES;
+  const synchronisedMachines = [...machines.values()].filter((m) => m.hasCurrentToken).length;
+  if (unconfirmedMachines.size > synchronisedMachines) {
     const bootMs = Math.max(0, ...[...table.types.values()].map(bootMsOf));
     if (now < Math.max(openedAt + clusterConfig.heartbeatIntervalMs * CUT_INTERVALS, fencedUntil - bootMs))
       return NO_RESOURCES;
--- a/packages/core/src/claim-view.ts
+++ b/packages/core/src/claim-view.ts
@@ -15,12 +15,12 @@
   readonly failures: { isExcluded(job: string, machine: string, now: number): boolean };
   readonly machines: ReadonlyMap<string, Machine>;
   /** Machines of the membership that may run tasks of an earlier owner. */
-  readonly unheard: ReadonlyMap<string, string>;
+  readonly unconfirmedMachines: ReadonlyMap<string, string>;
   /** By job and number. */
   readonly tasksByJob: ReadonlyMap<string, ReadonlyMap<number, TaskEntry>>;
   readonly types: ReadonlyMap<string, MachineType>;
   /** Whether no machine can hold a task of an earlier owner any more. */
-  readonly cleared: boolean;
+  readonly isFencingOver: boolean;
   /** When this owner took the partition over, and when it is cleared at the latest; steady milliseconds. */
   readonly openedAt: number;
   readonly fencedUntil: number;
--- a/packages/core/src/claims.ts
+++ b/packages/core/src/claims.ts
@@ -3,7 +3,7 @@
 //
 // Nothing here is ever guessed. A claim ends only when the worker's own later report, a later session, its lease run out
 // under this very owner, or the cloud's word proves that the task is off the machine.
-import { type MachineType, parseTaskName, type WorkerCommand, type WorkerReport } from '@gingerlock/wire';
+import { type MachineType, parseTaskName, type WorkerCommand, type Heartbeat } from '@gingerlock/wire';
 import {
   type Resources,
   type ClusterConfig,
@@ -16,7 +16,7 @@
 import { missingServices, returnableTasks, runningTasks, tasksToFinish } from './claim-queries';
 import { type JobEvidence, FailureAttribution } from './failure-attribution';
 import { evidenceOn } from './job-evidence';
-import { Fence } from './fence';
+import { FencingPeriod } from './fencing-period';
 import { GrantCapacity } from './grant-capacity';
 import { bindable } from './granting';
 import { ImageCache } from './image-cache';
@@ -24,13 +24,13 @@
 import type { Job, JobTable } from './jobs';
 import { type MemberPolicy, NO_MEMBERS } from './members';
 import { NO_RESERVATIONS, type Reservations } from './reservations';
-import { ReportIntake } from './report-intake';
+import { HeartbeatReconciler } from './heartbeat-reconciler';
 import { TaskTable } from './task-table';
 import { type Machine, newMachine, type TaskEntry } from './task-entry';
-import { CALLS_PER_TERM, mayCall, reportsInMs, termOfToken } from './tokens';
+import { CALLS_PER_TERM, mayCall, reportsInMs, termOfToken } from './fencing-tokens';
 
-export type ReportOutcome =
-  | { readonly kind: 'answer'; readonly token: number; readonly commands: WorkerCommand[] }
+export type HeartbeatOutcome =
+  | { readonly kind: 'answer'; readonly fencingToken: number; readonly commands: WorkerCommand[] }
   /** An older copy, or one that must not be answered: it changes nothing and renews nothing. */
   | { readonly kind: 'refuse'; readonly why: string }
   /** The worker has seen a higher token: somebody else owns this part. */
@@ -43,7 +43,7 @@
 const NEW_TERM_SHARE = 0.75;
 
 /** A worker that may hold earlier tasks and does not take the owner's token is answered so many times. */
-const MOST_UNSYNCHRONISED_ANSWERS = 4;
+const MAX_STALE_TOKEN_ANSWERS = 4;
 
 export interface ClaimTableOptions {
   readonly clusterConfig: ClusterConfig;
@@ -77,8 +77,8 @@
   readonly openedAt: number;
   readonly machines = new Map<string, Machine>();
   readonly #tasks: TaskTable;
-  readonly #intake: ReportIntake;
-  readonly #fence: Fence;
+  readonly #reconciler: HeartbeatReconciler;
+  readonly #fencingPeriod: FencingPeriod;
   readonly #goneNames = new Set<string>();
   readonly #images: ReadonlyMap<string, readonly string[]>;
   readonly #jobs: JobTable;
@@ -101,7 +101,7 @@
     this.openedAt = options.openedAt;
     this.#jobs = options.jobs;
     this.#types = options.types;
-    this.#fence = new Fence(options.clusterConfig, options.membership, options.fencedUntil);
+    this.#fencingPeriod = new FencingPeriod(options.clusterConfig, options.membership, options.fencedUntil);
     this.#images = options.images ?? new Map();
     this.reservations = options.reservations ?? NO_RESERVATIONS;
     this.members = options.members ?? NO_MEMBERS;
@@ -114,11 +114,11 @@
       partitionId: options.partitionId,
       term: options.term,
       jobs: options.jobs,
-      isCleared: () => this.cleared,
+      isFencingOver: () => this.isFencingOver,
       log: this.log,
       alarm: this.alarm,
     });
-    this.#intake = new ReportIntake(
+    this.#reconciler = new HeartbeatReconciler(
       this.clusterConfig,
       this.#tasks,
       this.failures,
@@ -127,21 +127,21 @@
     );
   }
 
-  get cleared(): boolean {
-    return this.#fence.cleared;
+  get isFencingOver(): boolean {
+    return this.#fencingPeriod.isOver;
   }
 
   /** Machines of the membership that may run tasks of an earlier owner. */
-  get unheard(): ReadonlyMap<string, string> {
-    return this.#fence.unheard;
+  get unconfirmedMachines(): ReadonlyMap<string, string> {
+    return this.#fencingPeriod.unconfirmedMachines;
   }
 
   get fencedUntil(): number {
-    return this.#fence.until;
+    return this.#fencingPeriod.until;
   }
 
   set fencedUntil(until: number) {
-    this.#fence.until = until;
+    this.#fencingPeriod.until = until;
   }
 
   /** Whether so many tasks were granted under this term that the next one should begin before the numbers run out. */
@@ -205,7 +205,7 @@
   /** The cloud's word that a machine and all that was on it are gone. */
   gone(name: string, now: number): void {
     this.#goneNames.add(name);
-    this.#fence.heard(name);
+    this.#fencingPeriod.confirm(name);
     const machine = this.machines.get(name);
     if (machine === undefined) return;
     this.#endClaims(machine, now, 'machine gone');
@@ -240,7 +240,7 @@
   resumedAfterStall(now: number): void {
     this.#listeningSince = now;
     // Answers from before the stall have come too late, whatever became of them.
-    for (const machine of this.machines.values()) machine.lostAnswers = 0;
+    for (const machine of this.machines.values()) machine.unacknowledgedAnswers = 0;
   }
 
   /** A machine on which several jobs failed that run elsewhere is itself at fault. */
@@ -276,7 +276,7 @@
     if (type === undefined) return NO_RESOURCES;
     let available: Resources = { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb };
     for (const task of machine.claims.values()) available = subtractResources(available, task.job.spec);
-    for (const reported of machine.reported) {
+    for (const reported of machine.reportedTasks) {
       if (reported.state === 'exited' || machine.claims.has(reported.task)) continue;
       const parsed = parseTaskName(reported.task);
       const spec = parsed === null ? undefined : this.#jobs.live.get(parsed.job)?.spec;
@@ -290,18 +290,18 @@
   /** Whether new work may be bound to the machine at all. */
   takesWork(machine: Machine, now: number): boolean {
     return (
-      machine.synchronised &&
+      machine.hasCurrentToken &&
       !machine.draining &&
       !machine.evictionNotice &&
       !this.isUnhealthy(machine) &&
       !this.failures.isOnProbation(machine.name, now) &&
-      now >= machine.deafUntil &&
+      now >= machine.unreachableUntil &&
       !this.isSuspect(machine, now)
     );
   }
 
   /** The token of every message to this machine now. */
-  token(machine: Machine | undefined): number {
+  fencingToken(machine: Machine | undefined): number {
     return this.term * CALLS_PER_TERM + (machine?.calls ?? 0);
   }
 
@@ -317,7 +317,7 @@
   call(machine: Machine, now: number): number {
     machine.calls++;
     machine.calledAt = now;
-    return this.token(machine);
+    return this.fencingToken(machine);
   }
 
   // --- reports -----------------------------------------------------------------------------------------------------
@@ -326,40 +326,47 @@
    * Takes a report received at `now`. `mayGrant` says whether this owner is surely entitled to start tasks now; the
    * caller has made sure that it may answer at all.
    */
-  report(r: WorkerReport, now: number, mayGrant: boolean): ReportOutcome {
-    const term = termOfToken(r.token);
+  handleHeartbeat(heartbeat: Heartbeat, now: number, mayGrant: boolean): HeartbeatOutcome {
+    const term = termOfToken(heartbeat.fencingToken);
     if (term > this.term) return { kind: 'superseded' };
-    const known = this.machines.get(r.machine);
-    const why = this.#whyRefused(r, known);
+    const known = this.machines.get(heartbeat.machine);
+    const why = this.#refusalReason(heartbeat, known);
     if (why !== null) return { kind: 'refuse', why };
-    const m = known ?? this.#addMachine(r, now);
+    const m = known ?? this.#addMachine(heartbeat, now);
     // The worker's lease expired in between: it has killed and forgotten all that ran before.
-    if (r.session > m.session) this.#endClaims(m, now, 'new session');
-    m.addr = r.addr;
-    m.session = r.session;
-    m.seq = r.seq;
-    m.evictionNotice = r.noticeS !== null;
-    m.reported = r.tasks;
+    if (heartbeat.agentEpoch > m.agentEpoch) this.#endClaims(m, now, 'new session');
+    m.addr = heartbeat.addr;
+    m.agentEpoch = heartbeat.agentEpoch;
+    m.sequenceNumber = heartbeat.sequenceNumber;
+    m.evictionNotice = heartbeat.noticeS !== null;
+    m.reportedTasks = heartbeat.tasks;
     this.noteChange();
     // An earlier process of ours under this very term can't be: every process takes a partition under a term of its own.
-    return term < this.term ? this.#answerUnsynchronised(m, now) : this.#answerSynchronised(m, r, now, mayGrant);
+    return term < this.term ? this.#answerStaleToken(m, now) : this.#answerWithCommands(m, heartbeat, now, mayGrant);
   }
 
   /** Why a report is not to be answered: it changes nothing and renews nothing; null: it is taken. */
-  #whyRefused(r: WorkerReport, known: Machine | undefined): string | null {
-    if (this.#goneNames.has(r.machine)) return 'machine was returned';
+  #refusalReason(heartbeat: Heartbeat, known: Machine | undefined): string | null {
+    if (this.#goneNames.has(heartbeat.machine)) return 'machine was returned';
     if (known === undefined) return null;
-    if (r.session < known.session || (r.session === known.session && r.seq <= known.seq)) {
+    if (
+      heartbeat.agentEpoch < known.agentEpoch ||
+      (heartbeat.agentEpoch === known.agentEpoch && heartbeat.sequenceNumber <= known.sequenceNumber)
+    ) {
       return 'older copy of a report';
     }
-    if (r.type === known.type && r.zone === known.zone && r.spot === known.spot) return null;
-    this.alarm('a report contradicts earlier ones of its machine', { machine: r.machine });
+    if (heartbeat.type === known.type && heartbeat.zone === known.zone && heartbeat.spot === known.spot) return null;
+    this.alarm('a report contradicts earlier ones of its machine', { machine: heartbeat.machine });
     return 'contradicts earlier reports';
   }
 
-  #addMachine(r: WorkerReport, now: number): Machine {
-    const machine = newMachine(r, { isMember: this.unheard.has(r.machine), cache: this.#inherited(r.machine) }, now);
-    this.machines.set(r.machine, machine);
+  #addMachine(heartbeat: Heartbeat, now: number): Machine {
+    const machine = newMachine(
+      heartbeat,
+      { isMember: this.unconfirmedMachines.has(heartbeat.machine), cache: this.#inherited(heartbeat.machine) },
+      now,
+    );
+    this.machines.set(heartbeat.machine, machine);
     return machine;
   }
 
@@ -368,25 +375,25 @@
    * would keep its lease in doubt for ever, and with it every uncertain task of this partition. A machine that can't hold any of
    * those is answered: one that came up deaf while a partition changed hands was once refused ever after.
    */
-  #answerUnsynchronised(m: Machine, now: number): ReportOutcome {
-    m.synchronised = false;
-    if (this.unheard.has(m.name) && ++m.unsynchronisedAnswers > MOST_UNSYNCHRONISED_ANSWERS) {
+  #answerStaleToken(m: Machine, now: number): HeartbeatOutcome {
+    m.hasCurrentToken = false;
+    if (this.unconfirmedMachines.has(m.name) && ++m.staleTokenAnswers > MAX_STALE_TOKEN_ANSWERS) {
       return { kind: 'refuse', why: 'does not take our token' };
     }
     m.answeredAt = now;
-    return { kind: 'answer', token: this.token(m), commands: [] };
+    return { kind: 'answer', fencingToken: this.fencingToken(m), commands: [] };
   }
 
-  #answerSynchronised(m: Machine, r: WorkerReport, now: number, mayGrant: boolean): ReportOutcome {
-    m.synchronised = true;
-    m.unsynchronisedAnswers = 0;
+  #answerWithCommands(m: Machine, heartbeat: Heartbeat, now: number, mayGrant: boolean): HeartbeatOutcome {
+    m.hasCurrentToken = true;
+    m.staleTokenAnswers = 0;
     m.answeredAt = now;
-    const commands = this.#intake.take(m, r, now);
-    this.#fence.heard(m.name);
-    this.#clear(now);
+    const commands = this.#reconciler.reconcile(m, heartbeat, now);
+    this.#fencingPeriod.confirm(m.name);
+    this.#endFencing(now);
     if (mayGrant) this.#grant(m, now, commands);
-    if (m.claims.size > 0 || r.tasks.some((t) => t.state !== 'exited')) m.emptySince = now;
-    return { kind: 'answer', token: this.token(m), commands };
+    if (m.claims.size > 0 || heartbeat.tasks.some((t) => t.state !== 'exited')) m.emptySince = now;
+    return { kind: 'answer', fencingToken: this.fencingToken(m), commands };
   }
 
   /** What an earlier owner knew of a machine's cache. It is a guess like our own: a wrong one costs a fetch. */
@@ -418,7 +425,7 @@
     this.#tasks.transition(task, 'claimed', now, {
       machine: m,
       attempt,
-      session: m.session,
+      agentEpoch: m.agentEpoch,
       grantedAt: now,
       stage: 'granted',
       runningSince: null,
@@ -427,14 +434,15 @@
     task.moving = false;
     task.startedIn = this.members.generationOf(task.job);
     this.log('task bound', { task: task.name, machine: m.name, attempt, cached, waitedMs });
-    this.#intake.useImage(m, task.job);
+    this.#reconciler.useImage(m, task.job);
     return { op: 'start', task: task.name, attempt };
   }
 
   // --- time --------------------------------------------------------------------------------------------------------
 
-  #clear(now: number): void {
-    if (this.cleared || !this.#fence.clear(now, (name) => this.machines.get(name)?.answeredAt ?? null)) return;
+  #endFencing(now: number): void {
+    if (this.isFencingOver || !this.#fencingPeriod.tryEnd(now, (name) => this.machines.get(name)?.answeredAt ?? null))
+      return;
     for (const tasksByIndex of this.tasksByJob.values()) {
       for (const task of tasksByIndex.values())
         if (task.state === 'uncertain') this.#tasks.transition(task, 'waiting', now);
@@ -444,21 +452,21 @@
 
   /** Ends what time alone ends; returns the machines whose lease has run out, or that surely hold nothing since the fencing period. */
   tick(now: number): string[] {
-    const lapsed: string[] = [];
+    const expired: string[] = [];
     const bound = workerLeaseBoundMs(this.clusterConfig);
     for (const m of this.machines.values()) {
       if (m.answeredAt === null || now <= m.answeredAt + bound) continue;
       m.answeredAt = null;
-      m.reported = [];
-      if (m.synchronised) {
+      m.reportedTasks = [];
+      if (m.hasCurrentToken) {
         this.#endClaims(m, now, 'lease ran out');
-        this.#fence.heard(m.name);
-        lapsed.push(m.name);
+        this.#fencingPeriod.confirm(m.name);
+        expired.push(m.name);
       }
     }
-    this.#clear(now);
+    this.#endFencing(now);
     this.failures.review((job) => this.#evidenceOn(job, now));
-    return [...lapsed, ...this.#fence.takeDeparted()];
+    return [...expired, ...this.#fencingPeriod.takeExpiredMachines()];
   }
 
   /** The tasks that can be given back to the leader, by job; see `returnableTasks`. */
--- a/packages/core/src/tokens.ts
+++ b/packages/core/src/fencing-tokens.ts
@@ -5,8 +5,8 @@
 /** A token is its owner's term times this, plus how often the owner has called the machine. */
 export const CALLS_PER_TERM = 2 ** 20;
 
-export function termOfToken(token: number): number {
-  return Math.floor(token / CALLS_PER_TERM);
+export function termOfToken(fencingToken: number): number {
+  return Math.floor(fencingToken / CALLS_PER_TERM);
 }
 
 /** A worker takes a higher token as a cause to report once in half of its lease; a little more, for drift. */
--- a/packages/core/src/report-intake.ts
+++ b/packages/core/src/heartbeat-reconciler.ts
@@ -1,5 +1,5 @@
 // What a worker's report says of its tasks, and what it has to stop and forget for it.
-import type { ExitCause, MachineType, ReportedTask, TaskState, WorkerCommand, WorkerReport } from '@gingerlock/wire';
+import type { ExitCause, MachineType, ReportedTask, TaskState, WorkerCommand, Heartbeat } from '@gingerlock/wire';
 import type { ClusterConfig } from './facts';
 import type { FailureAttribution } from './failure-attribution';
 import type { Job } from './jobs';
@@ -10,13 +10,13 @@
  * A machine that did not get so many answers in a row that had starts in them gets no more for a lease. The starts of one lost answer
  * were once counted one by one: a machine that missed a single answer with two starts was left idle for a whole lease.
  */
-const DEAF_ANSWERS = 2;
+const UNREACHABLE_AFTER_ANSWERS = 2;
 
 /** States of a task that the machine has not done with. */
 type HeldState = Exclude<TaskState, 'exited'>;
 
 /** Takes the reports of machines that are synchronised with the owner. */
-export class ReportIntake {
+export class HeartbeatReconciler {
   constructor(
     readonly clusterConfig: ClusterConfig,
     readonly tasks: TaskTable,
@@ -26,16 +26,16 @@
   ) {}
 
   /** Takes what a synchronised worker says of its tasks; returns what it has to stop and forget. */
-  take(m: Machine, r: WorkerReport, now: number): WorkerCommand[] {
-    this.#endUnlisted(m, r, now);
+  reconcile(m: Machine, heartbeat: Heartbeat, now: number): WorkerCommand[] {
+    this.#endUnlisted(m, heartbeat, now);
     const forget: WorkerCommand[] = [];
-    for (const reported of r.tasks) {
+    for (const reported of heartbeat.tasks) {
       if (reported.state !== 'exited' || this.#exited(m, reported, now)) continue;
       forget.push({ op: 'forget', task: reported.task, attempt: reported.attempt });
     }
     const stop: WorkerCommand[] = [];
-    for (const reported of r.tasks) {
-      const graceS = reported.state === 'exited' ? null : this.#takeHeld(m, reported, reported.state, now);
+    for (const reported of heartbeat.tasks) {
+      const graceS = reported.state === 'exited' ? null : this.#reconcileHeld(m, reported, reported.state, now);
       if (graceS !== null) stop.push({ op: 'stop', task: reported.task, attempt: reported.attempt, graceS });
     }
     return [...forget, ...stop];
@@ -45,8 +45,8 @@
    * Ends the claims that the report lacks. One report is in flight at a time, and an answer is dropped after its time: what the last answer
    * started and this later report lacks has not started and will not.
    */
-  #endUnlisted(m: Machine, r: WorkerReport, now: number): void {
-    const listed = new Set(r.tasks.map((reported) => `${reported.task} ${reported.attempt}`));
+  #endUnlisted(m: Machine, heartbeat: Heartbeat, now: number): void {
+    const listed = new Set(heartbeat.tasks.map((reported) => `${reported.task} ${reported.attempt}`));
     let hasLostStarts = false;
     for (const task of [...m.claims.values()]) {
       if (listed.has(`${task.name} ${task.claim!.attempt}`)) continue;
@@ -54,17 +54,18 @@
       hasLostStarts ||= lost;
       this.tasks.claimEnded(task, lost ? 'start was lost' : 'not reported any more', now);
     }
-    if (hasLostStarts && ++m.lostAnswers >= DEAF_ANSWERS) m.deafUntil = now + this.clusterConfig.workerLeaseMs;
+    if (hasLostStarts && ++m.unacknowledgedAnswers >= UNREACHABLE_AFTER_ANSWERS)
+      m.unreachableUntil = now + this.clusterConfig.workerLeaseMs;
   }
 
   /** Takes a task that the machine holds; returns the time that it gets for saving if it is to be stopped, null if it goes on. */
-  #takeHeld(m: Machine, reported: ReportedTask, state: HeldState, now: number): number | null {
+  #reconcileHeld(m: Machine, reported: ReportedTask, state: HeldState, now: number): number | null {
     const task = this.tasks.findTask(reported.task);
     if (task !== undefined && task.claim === null && task.state !== 'finishing')
       this.#adopt(m, task, reported, state, now);
     if (task?.claim?.machine !== m || task.claim.attempt !== reported.attempt) return 0;
     const { claim } = task;
-    if (claim.stage === 'granted') m.lostAnswers = 0;
+    if (claim.stage === 'granted') m.unacknowledgedAnswers = 0;
     if (claim.stage !== state) {
       claim.stage = state;
       if (state === 'running') claim.runningSince ??= now;
@@ -80,7 +81,7 @@
     this.tasks.transition(task, 'claimed', now, {
       machine: m,
       attempt: reported.attempt,
-      session: m.session,
+      agentEpoch: m.agentEpoch,
       grantedAt: now,
       stage: state,
       runningSince: state === 'running' ? now : null,
@@ -102,12 +103,12 @@
       return true;
     }
     if (!ours) return false;
-    this.#blame(m, task, reported.cause ?? 'unrecognised', now);
+    this.#attributeFailure(m, task, reported.cause ?? 'unrecognised', now);
     this.tasks.claimEnded(task, `exited: ${reported.cause}`, now);
     return false;
   }
 
-  #blame(m: Machine, task: TaskEntry, cause: ExitCause, now: number): void {
+  #attributeFailure(m: Machine, task: TaskEntry, cause: ExitCause, now: number): void {
     // It says neither that the task failed nor why: the task is tried again, and nobody is at fault for it.
     if (cause === 'unrecognised')
       this.alarm('unknown cause of an exit', { field: 'cause', task: task.name, machine: m.name });
@@ -120,7 +121,7 @@
       const backoff = this.clusterConfig.heartbeatIntervalMs * 2 ** Math.min(task.failures - 2, 4);
       task.notBefore = task.failures < 2 ? now : now + backoff;
     } else if (cause === 'no_room') {
-      m.deafUntil = now + this.clusterConfig.heartbeatIntervalMs * 2;
+      m.unreachableUntil = now + this.clusterConfig.heartbeatIntervalMs * 2;
     }
   }
 
--- a/packages/core/src/task-entry.ts
+++ b/packages/core/src/task-entry.ts
@@ -1,5 +1,5 @@
 // What a claim table keeps of tasks and machines.
-import type { ReportedTask, WorkerReport } from '@gingerlock/wire';
+import type { ReportedTask, Heartbeat } from '@gingerlock/wire';
 import type { Resources } from './facts';
 import type { ImageCache } from './image-cache';
 import type { Job } from './jobs';
@@ -25,7 +25,7 @@
 export interface Claim {
   readonly machine: Machine;
   readonly attempt: number;
-  readonly session: number;
+  readonly agentEpoch: number;
   readonly grantedAt: number;
   /** What the worker said last; `granted` until it has said anything. */
   stage: 'granted' | 'fetching' | 'running' | 'saving';
@@ -86,12 +86,12 @@
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
-  seq: number;
+  agentEpoch: number;
+  sequenceNumber: number;
   /** A report that carries this owner's term has come: no older command can run there any more. */
-  synchronised: boolean;
+  hasCurrentToken: boolean;
   /** Answers given in a row to reports that did not carry our term. */
-  unsynchronisedAnswers: number;
+  staleTokenAnswers: number;
   /** When the last report that was answered was received; null: none was, or its lease has run out since. */
   answeredAt: number | null;
   /** How often it was called under this term, and when last: see `call`. */
@@ -101,42 +101,42 @@
   /** Its name is in the state service's membership, so that a new owner knows to ask for it. */
   isMember: boolean;
   draining: boolean;
-  reported: readonly ReportedTask[];
+  reportedTasks: readonly ReportedTask[];
   readonly claims: Map<string, TaskEntry>;
   readonly cache: ImageCache;
   emptySince: number;
   /** Answers with starts in a row of which the next report showed none. */
-  lostAnswers: number;
-  deafUntil: number;
+  unacknowledgedAnswers: number;
+  unreachableUntil: number;
 }
 
 /** A machine whose first report under this owner has come. */
 export function newMachine(
-  report: WorkerReport,
+  heartbeat: Heartbeat,
   known: { readonly isMember: boolean; readonly cache: ImageCache },
   now: number,
 ): Machine {
   return {
-    name: report.machine,
-    addr: report.addr,
-    type: report.type,
-    zone: report.zone,
-    spot: report.spot,
-    session: report.session,
-    seq: report.seq,
-    synchronised: false,
-    unsynchronisedAnswers: 0,
+    name: heartbeat.machine,
+    addr: heartbeat.addr,
+    type: heartbeat.type,
+    zone: heartbeat.zone,
+    spot: heartbeat.spot,
+    agentEpoch: heartbeat.agentEpoch,
+    sequenceNumber: heartbeat.sequenceNumber,
+    hasCurrentToken: false,
+    staleTokenAnswers: 0,
     answeredAt: null,
     calls: 0,
     calledAt: -Infinity,
     evictionNotice: false,
     isMember: known.isMember,
     draining: false,
-    reported: [],
+    reportedTasks: [],
     claims: new Map(),
     cache: known.cache,
     emptySince: now,
-    lostAnswers: 0,
-    deafUntil: 0,
+    unacknowledgedAnswers: 0,
+    unreachableUntil: 0,
   };
 }
--- a/packages/core/src/task-table.ts
+++ b/packages/core/src/task-table.ts
@@ -10,7 +10,7 @@
   readonly term: number;
   readonly jobs: JobTable;
   /** Whether no machine can hold a task of an earlier owner any more. */
-  readonly isCleared: () => boolean;
+  readonly isFencingOver: () => boolean;
   readonly log: (message: string, detail: Record<string, unknown>) => void;
   readonly alarm: (message: string, detail: Record<string, unknown>) => void;
 }
@@ -109,7 +109,7 @@
     };
     tasksByIndex.set(index, task);
     // A task assigned under this owner's term can be held by nobody yet.
-    if (term === this.options.term || this.options.isCleared()) this.transition(task, 'waiting', now);
+    if (term === this.options.term || this.options.isFencingOver()) this.transition(task, 'waiting', now);
   }
 
   #remove(task: TaskEntry, tasksByIndex: Map<number, TaskEntry>): void {
--- a/packages/core/test/claims.test.ts
+++ b/packages/core/test/claims.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { jobRecord, type MachineType, PRIORITIES, type AssignedRange, type WorkerReport } from '@gingerlock/wire';
+import { jobRecord, type MachineType, PRIORITIES, type AssignedRange, type Heartbeat } from '@gingerlock/wire';
 import { CALLS_PER_TERM, ClaimTable, JobTable, pack, plannedByRank, type TaskEntry } from '../src/index';
 import { CLUSTER_CONFIG, specOf } from './fixtures';
 
@@ -58,16 +58,16 @@
   return claimTable;
 }
 
-function report(machine: string, seq: number, token: number): WorkerReport {
+function heartbeat(machine: string, sequenceNumber: number, fencingToken: number): Heartbeat {
   return {
     machine,
     addr: `${machine}:1`,
     type: type.name,
     zone: 'a',
     spot: false,
-    session: 1,
-    seq,
-    token,
+    agentEpoch: 1,
+    sequenceNumber,
+    fencingToken,
     noticeS: null,
     tasks: [],
   };
@@ -78,9 +78,9 @@
   assert.equal(claimTable.missing(3500).gpus, 0);
   for (const name of ['m-1', 'm-2']) {
     // The first answer shows it our term; the next report proves that it knows it.
-    claimTable.report(report(name, 1, CALLS_PER_TERM), 3500, true);
+    claimTable.handleHeartbeat(heartbeat(name, 1, CALLS_PER_TERM), 3500, true);
     assert.equal(claimTable.missing(3600).gpus, 0);
-    claimTable.report(report(name, 2, 2 * CALLS_PER_TERM), 3700, true);
+    claimTable.handleHeartbeat(heartbeat(name, 2, 2 * CALLS_PER_TERM), 3700, true);
   }
   assert.equal(claimTable.missing(3800).gpus, 4);
 });
@@ -100,7 +100,7 @@
 test('a machine that can hold no earlier task is answered however often it has not taken the token', () => {
   const claimTable = taken();
   const answers = (machine: string): string[] =>
-    Array.from({ length: 8 }, (_, i) => claimTable.report(report(machine, i + 1, 0), 1000 + i, true).kind);
+    Array.from({ length: 8 }, (_, i) => claimTable.handleHeartbeat(heartbeat(machine, i + 1, 0), 1000 + i, true).kind);
   assert.deepEqual(new Set(answers('m-new')), new Set(['answer']));
   assert.equal(answers('m-1').at(-1), 'refuse');
 });
@@ -110,7 +110,7 @@
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 0, []);
   claimTable.tick(1);
-  assert.ok(claimTable.cleared);
+  assert.ok(claimTable.isFencingOver);
   const assignment = (term: number, version: number): void => {
     assigned(jobs, term, version);
     claimTable.syncJob(spec.id, 2);
@@ -126,9 +126,13 @@
   assigned(jobs, 2, 5);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
   claimTable.syncJob(spec.id, 0);
-  const token = 2 * CALLS_PER_TERM;
-  const starts = (seq: number, tasks: WorkerReport['tasks'] = []): string[] => {
-    const outcome = claimTable.report({ ...report('m-1', seq, token), tasks }, seq * 1000, true);
+  const fencingToken = 2 * CALLS_PER_TERM;
+  const starts = (sequenceNumber: number, tasks: Heartbeat['tasks'] = []): string[] => {
+    const outcome = claimTable.handleHeartbeat(
+      { ...heartbeat('m-1', sequenceNumber, fencingToken), tasks },
+      sequenceNumber * 1000,
+      true,
+    );
     return outcome.kind === 'answer' ? outcome.commands.map((c) => c.op) : [];
   };
   assert.deepEqual(starts(1), ['start', 'start', 'start', 'start']);
@@ -146,7 +150,7 @@
 // tasks back for it until its fencing period.
 test('machines that were not heard until the clearing leave the membership, and those that were heard stay', () => {
   const claimTable = taken();
-  claimTable.report(report('m-1', 1, 2 * CALLS_PER_TERM), claimTable.fencedUntil - 1000, true);
+  claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * CALLS_PER_TERM), claimTable.fencedUntil - 1000, true);
   assert.deepEqual(claimTable.tick(claimTable.fencedUntil - 1), []);
   assert.deepEqual(claimTable.tick(claimTable.fencedUntil), ['m-2', 'm-3']);
   assert.deepEqual(claimTable.tick(claimTable.fencedUntil + 1), []);
@@ -184,7 +188,7 @@
   claimTable.leaving([...claimTable.tasksByJob.get(spec.id)!.values()], 1000);
   reassign(jobs, claimTable, [rangeOf(0, 4, 'b')], 7);
   const starts = (machine: string, zone: string): number => {
-    const outcome = claimTable.report({ ...report(machine, 1, 2 * CALLS_PER_TERM), zone }, 9000, true);
+    const outcome = claimTable.handleHeartbeat({ ...heartbeat(machine, 1, 2 * CALLS_PER_TERM), zone }, 9000, true);
     assert.ok(outcome.kind === 'answer');
     return outcome.commands.filter((c) => c.op === 'start').length;
   };
@@ -198,9 +202,13 @@
   const jobs = new JobTable(() => 64);
   const alarms: string[] = [];
   const claimTable = claimTableOf(jobs, 0, ['m-1', 'm-2'], (message) => alarms.push(message));
-  const token = 2 * CALLS_PER_TERM;
-  const commands = (machine: string, seq: number, tasks: WorkerReport['tasks']): string[] => {
-    const outcome = claimTable.report({ ...report(machine, seq, token), tasks }, 5000 + seq * 2000, true);
+  const fencingToken = 2 * CALLS_PER_TERM;
+  const commands = (machine: string, sequenceNumber: number, tasks: Heartbeat['tasks']): string[] => {
+    const outcome = claimTable.handleHeartbeat(
+      { ...heartbeat(machine, sequenceNumber, fencingToken), tasks },
+      5000 + sequenceNumber * 2000,
+      true,
+    );
     return outcome.kind === 'answer' ? outcome.commands.map((c) => `${c.op} ${c.task}`) : [];
   };
   reassign(jobs, claimTable, [rangeOf(0, 1, null)], 5);
@@ -224,21 +232,21 @@
 test('a report that contradicts earlier ones of its machine is refused and changes nothing', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
-  const token = 2 * CALLS_PER_TERM;
-  assert.equal(claimTable.report(report('m-1', 1, token), 1000, true).kind, 'answer');
+  const fencingToken = 2 * CALLS_PER_TERM;
+  assert.equal(claimTable.handleHeartbeat(heartbeat('m-1', 1, fencingToken), 1000, true).kind, 'answer');
   for (const change of [{ zone: 'b' }, { type: 'other' }, { spot: true }]) {
-    const outcome = claimTable.report({ ...report('m-1', 9, token), ...change }, 2000, true);
+    const outcome = claimTable.handleHeartbeat({ ...heartbeat('m-1', 9, fencingToken), ...change }, 2000, true);
     assert.equal(outcome.kind, 'refuse');
   }
-  assert.equal(claimTable.machines.get('m-1')?.seq, 1);
-  assert.equal(claimTable.report(report('m-1', 2, token), 3000, true).kind, 'answer');
+  assert.equal(claimTable.machines.get('m-1')?.sequenceNumber, 1);
+  assert.equal(claimTable.handleHeartbeat(heartbeat('m-1', 2, fencingToken), 3000, true).kind, 'answer');
 });
 
 // A controller that stood still found all its machines silent on going on: they got no work and their room was rented anew.
 test('machines are not silent because their owner stood still, and their leases run out all the same', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
-  claimTable.report(report('m-1', 1, 2 * CALLS_PER_TERM), 1000, true);
+  claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * CALLS_PER_TERM), 1000, true);
   const machine = claimTable.machines.get('m-1')!;
   const resumedAt = 1000 + clusterConfig.heartbeatIntervalMs * 4;
   assert.equal(claimTable.isSuspect(machine, resumedAt), true);
@@ -255,8 +263,12 @@
   assigned(jobs, 2, 5);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
   claimTable.syncJob(spec.id, 0);
-  const starts = (seq: number): number => {
-    const outcome = claimTable.report(report('m-1', seq, 2 * CALLS_PER_TERM), seq * 1000, true);
+  const starts = (sequenceNumber: number): number => {
+    const outcome = claimTable.handleHeartbeat(
+      heartbeat('m-1', sequenceNumber, 2 * CALLS_PER_TERM),
+      sequenceNumber * 1000,
+      true,
+    );
     return outcome.kind === 'answer' ? outcome.commands.filter((c) => c.op === 'start').length : -1;
   };
   // Each answer with starts is lost, as the next report shows: the tasks are started anew.
@@ -270,7 +282,13 @@
 });
 
 /** Reports of a machine that carries the owner's token, at the time of its count in seconds. */
-function failedOn(claimTable: ClaimTable, machine: string, seq: number, attempt: number, task = 0): string[] {
+function failedOn(
+  claimTable: ClaimTable,
+  machine: string,
+  sequenceNumber: number,
+  attempt: number,
+  task = 0,
+): string[] {
   const failed = {
     task: `${spec.id}/${task}`,
     attempt,
@@ -278,7 +296,11 @@
     cause: 'error' as const,
     saved: false,
   };
-  const outcome = claimTable.report({ ...report(machine, seq, 2 * CALLS_PER_TERM), tasks: [failed] }, seq * 1000, true);
+  const outcome = claimTable.handleHeartbeat(
+    { ...heartbeat(machine, sequenceNumber, 2 * CALLS_PER_TERM), tasks: [failed] },
+    sequenceNumber * 1000,
+    true,
+  );
   return outcome.kind === 'answer' ? outcome.commands.map((c) => c.op) : [];
 }
 
@@ -289,15 +311,15 @@
   const claimTable = claimTableOf(jobs, 20_000, ['m-1', 'm-2']);
   claimTable.syncJob(spec.id, 0);
   const attemptOf = (task: number): number => claimTable.tasksByJob.get(spec.id)!.get(task)!.claim!.attempt;
-  claimTable.report(report('m-1', 1, 2 * CALLS_PER_TERM), 1000, true);
+  claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * CALLS_PER_TERM), 1000, true);
   failedOn(claimTable, 'm-1', 2, attemptOf(0));
   // The other three are not reported any more: they wait, as does the one that failed.
-  claimTable.report(report('m-2', 3, 2 * CALLS_PER_TERM), 3000, true);
+  claimTable.handleHeartbeat(heartbeat('m-2', 3, 2 * CALLS_PER_TERM), 3000, true);
   failedOn(claimTable, 'm-2', 4, attemptOf(1), 1);
   claimTable.tick(4100);
   const job = jobs.live.get(spec.id)!;
   assert.equal(claimTable.isFailing(job), true);
-  const outcome = claimTable.report(report('m-1', 5, 2 * CALLS_PER_TERM), 5000, true);
+  const outcome = claimTable.handleHeartbeat(heartbeat('m-1', 5, 2 * CALLS_PER_TERM), 5000, true);
   assert.ok(outcome.kind === 'answer' && outcome.commands.every((c) => c.op !== 'start'));
   const { stuck } = pack(claimTable, 5200);
   assert.deepEqual(stuck, []);
@@ -319,8 +341,12 @@
     );
     claimTable.syncJob(spec.id, version * 100);
   };
-  const starts = (seq: number): number => {
-    const outcome = claimTable.report(report('m-1', seq, 2 * CALLS_PER_TERM), seq * 1000, true);
+  const starts = (sequenceNumber: number): number => {
+    const outcome = claimTable.handleHeartbeat(
+      heartbeat('m-1', sequenceNumber, 2 * CALLS_PER_TERM),
+      sequenceNumber * 1000,
+      true,
+    );
     return outcome.kind === 'answer' ? outcome.commands.filter((c) => c.op === 'start').length : -1;
   };
   assign(4, 5);
@@ -352,9 +378,9 @@
     jobs.applyJob(id, jobRecord.write(record), version);
     claimTable.syncJob(id, 0);
   };
-  const complete = (id: string, seq: number, now: number): void => {
+  const complete = (id: string, sequenceNumber: number, now: number): void => {
     const done = { task: `${id}/0`, attempt: 9, state: 'exited' as const, cause: 'done' as const, saved: false };
-    claimTable.report({ ...report('m-1', seq, 2 * CALLS_PER_TERM), tasks: [done] }, now, false);
+    claimTable.handleHeartbeat({ ...heartbeat('m-1', sequenceNumber, 2 * CALLS_PER_TERM), tasks: [done] }, now, false);
   };
   const order = (now: number): string[] => [...claimTable.finishing(now, 0).keys()];
   accept(ids.late, 'low', 5);
@@ -373,7 +399,7 @@
   const claimTable = claimTableOf(jobs, 0, ['m-1'], (message) => alarms.push(message));
   assigned(jobs, 2, 5);
   claimTable.syncJob(spec.id, 0);
-  claimTable.report(report('m-1', 1, 2 * CALLS_PER_TERM), 1000, true);
+  claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * CALLS_PER_TERM), 1000, true);
   const { attempt } = claimTable.tasksByJob.get(spec.id)!.get(0)!.claim!;
   const exit = {
     task: `${spec.id}/0`,
@@ -383,7 +409,11 @@
     saved: false,
   };
   const strange = { ...exit, task: 'j-999999/0' };
-  const outcome = claimTable.report({ ...report('m-1', 2, 2 * CALLS_PER_TERM), tasks: [exit, strange] }, 2000, true);
+  const outcome = claimTable.handleHeartbeat(
+    { ...heartbeat('m-1', 2, 2 * CALLS_PER_TERM), tasks: [exit, strange] },
+    2000,
+    true,
+  );
   assert.deepEqual(alarms, ['unknown cause of an exit']);
   assert.ok(outcome.kind === 'answer' && outcome.commands.filter((c) => c.op === 'forget').length === 2);
   assert.equal(claimTable.failures.verdictOn(spec.id), null);
@@ -394,7 +424,7 @@
 test('what waiting tasks are expected to take is told by their rank, until they are bound', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
-  claimTable.report(report('m-1', 1, 2 * CALLS_PER_TERM), 100, true);
+  claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * CALLS_PER_TERM), 100, true);
   assigned(jobs, 2, 5);
   claimTable.syncJob(spec.id, 200);
   const machine = claimTable.machines.get('m-1')!;
--- a/packages/core/test/cost.test.ts
+++ b/packages/core/test/cost.test.ts
@@ -1,7 +1,7 @@
 // What a report and a packing cost, counted in looks at machines: each look asks for the machine's type.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { jobRecord, type MachineType, type WorkerReport } from '@gingerlock/wire';
+import { jobRecord, type MachineType, type Heartbeat } from '@gingerlock/wire';
 import { CALLS_PER_TERM, JobTable, pack, ClaimTable } from '../src/index';
 import { CLUSTER_CONFIG, specOf } from './fixtures';
 
@@ -48,15 +48,15 @@
     membership: [],
   });
   const id = (m: number): string => `j-${String(m).padStart(6, '0')}`;
-  const report = (m: number, seq: number): WorkerReport => ({
+  const heartbeat = (m: number, sequenceNumber: number): Heartbeat => ({
     machine: `m-${m}`,
     addr: `m-${m}:1`,
     type: type.name,
     zone: 'a',
     spot: false,
-    session: 1,
-    seq,
-    token: 2 * CALLS_PER_TERM,
+    agentEpoch: 1,
+    sequenceNumber,
+    fencingToken: 2 * CALLS_PER_TERM,
     noticeS: null,
     tasks: Array.from({ length: TASKS }, (_, i) => ({
       task: `${id(m)}/${i}`,
@@ -69,7 +69,7 @@
   for (let m = 0; m < count; m++) {
     job(id(m), TASKS);
     claimTable.syncJob(id(m), 0);
-    claimTable.report(report(m, 1), 1, false);
+    claimTable.handleHeartbeat(heartbeat(m, 1), 1, false);
     claimTable.setMember(`m-${m}`, true);
   }
   if (waiting > 0) {
@@ -77,8 +77,8 @@
     claimTable.syncJob('j-999999', 1);
   }
   looks = 0;
-  const outcome = claimTable.report(report(0, 2), 2, false);
-  assert.deepEqual(outcome, { kind: 'answer', token: 2 * CALLS_PER_TERM, commands: [] });
+  const outcome = claimTable.handleHeartbeat(heartbeat(0, 2), 2, false);
+  assert.deepEqual(outcome, { kind: 'answer', fencingToken: 2 * CALLS_PER_TERM, commands: [] });
   const ofReport = looks;
   looks = 0;
   const { stuck } = pack(claimTable, 3);
--- a/packages/core/test/fixtures.ts
+++ b/packages/core/test/fixtures.ts
@@ -20,7 +20,7 @@
     type: 'box',
     zone: 'a',
     spot: false,
-    session: 1,
+    agentEpoch: 1,
     free: { cpus: 8, gpus: 4, memoryGb: 32 },
     byRank: [NO_RESOURCES, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES],
     images: [],
--- a/packages/daemon/src/controller.ts
+++ b/packages/daemon/src/controller.ts
@@ -11,13 +11,13 @@
 import type { PeerLink, PeerMessage } from '@gingerlock/peer';
 import { isGroupSpec } from '@gingerlock/replica-groups';
 import {
-  decodeReport,
-  encodeOrders,
-  encodeReportTo,
+  decodeHeartbeat,
+  encodeHeartbeatAnswer,
+  encodeRedirect,
   LEADERSHIP,
   Malformed,
   PREFIX,
-  type WorkerReport,
+  type Heartbeat,
 } from '@gingerlock/wire';
 import { BudgetSharing } from './budget-sharing';
 import { ClaimLists } from './claim-lists';
@@ -34,7 +34,7 @@
 import { PeerHealth } from './peer-health';
 import { Rendezvous } from './rendezvous';
 import { refusal, type Reply } from './reply';
-import { ReportRelay } from './report-relay';
+import { HeartbeatRelay } from './heartbeat-relay';
 import type { Settings } from './settings';
 import { type ControllerLimits, Shared } from './shared';
 import { Store } from './store';
@@ -73,7 +73,7 @@
   readonly #claimLists = new ClaimLists();
   readonly #groupReports = new GroupReports();
   readonly #publisher: StatusPublisher;
-  readonly #relay: ReportRelay;
+  readonly #relay: HeartbeatRelay;
   readonly #workerReach: WorkerReach;
   readonly #confirmation: PeerConfirmation;
   readonly #budgetSharing: BudgetSharing;
@@ -155,11 +155,11 @@
     this.#budgetSharing = new BudgetSharing(this.#budget, this.#peers, ports.clock, clusterConfig.heartbeatIntervalMs);
     this.#confirmation = new PeerConfirmation(this.state, this.replica, this.#peers, clusterConfig.heartbeatIntervalMs);
     this.#previousOwners = new PreviousOwnerQueries(this.#owners, this.#peers, clusterConfig.heartbeatIntervalMs);
-    this.#relay = new ReportRelay(this.settings, ports.clock, this.#peers, {
-      partitionOf: (report) => this.store.partitioner?.partitionOf(report.machine, report.zone),
+    this.#relay = new HeartbeatRelay(this.settings, ports.clock, this.#peers, {
+      partitionOf: (heartbeat) => this.store.partitioner?.partitionOf(heartbeat.machine, heartbeat.zone),
       ownerOf: (partitionId) => this.#ownerOf(partitionId),
       owns: (partitionId) => this.#owners.has(partitionId),
-      answer: (partitionId, report) => this.#answer(partitionId, report),
+      answer: (partitionId, heartbeat) => this.#answer(partitionId, heartbeat),
       onRelayed: (partitionId) => this.#workerReach.relayed(partitionId, this.clock.now()),
       missedByOwner: (partitionId, machine) => this.#missedByOwner(partitionId, machine),
     });
@@ -313,21 +313,21 @@
   }
 
   async checkin(body: Buffer): Promise<Reply> {
-    let report: WorkerReport;
+    let heartbeat: Heartbeat;
     try {
-      report = decodeReport(body);
+      heartbeat = decodeHeartbeat(body);
     } catch (error) {
       return refusal(400, error instanceof Malformed ? error.message : 'malformed');
     }
     this.#workerReach.direct(this.clock.now());
     const { partitioner } = this.store;
     if (partitioner === null) return refusal(503, 'starting');
-    const partitionId = partitioner.partitionOf(report.machine, report.zone);
-    if (this.#owners.has(partitionId)) return this.#answer(partitionId, report);
-    return this.#relay.forward(partitionId, report, body);
+    const partitionId = partitioner.partitionOf(heartbeat.machine, heartbeat.zone);
+    if (this.#owners.has(partitionId)) return this.#answer(partitionId, heartbeat);
+    return this.#relay.forward(partitionId, heartbeat, body);
   }
 
-  #answer(partitionId: number, report: WorkerReport): Reply {
+  #answer(partitionId: number, heartbeat: Heartbeat): Reply {
     const owner = this.#owners.get(partitionId)!;
     const now = this.clock.now();
     // Between the two requests of a full reload the records may show the next owner before that is acted upon.
@@ -335,17 +335,17 @@
     // The bound within which a part's next owner, and users who cancel, may count on our silence.
     if (now > this.#contactAt() + maxAnswerContactAgeMs(this.settings.clusterConfig))
       return refusal(503, 'no contact with the state service');
-    const outcome = owner.claimTable.report(report, now, owner.mayGrant(now));
+    const outcome = owner.claimTable.handleHeartbeat(heartbeat, now, owner.mayGrant(now));
     switch (outcome.kind) {
       case 'answer':
-        return { status: 200, body: encodeOrders(outcome.token, outcome.commands) };
+        return { status: 200, body: encodeHeartbeatAnswer(outcome.fencingToken, outcome.commands) };
       case 'refuse':
-        this.log.debug({ machine: report.machine, why: outcome.why }, 'report refused');
+        this.log.debug({ machine: heartbeat.machine, why: outcome.why }, 'report refused');
         return refusal(503, outcome.why);
       case 'superseded':
-        this.log.info({ partitionId, machine: report.machine, token: report.token }, 'superseded');
+        this.log.info({ partitionId, machine: heartbeat.machine, fencingToken: heartbeat.fencingToken }, 'superseded');
         this.#ownership.superseded(owner.ownershipTerm);
-        return { status: 421, body: encodeReportTo(null) };
+        return { status: 421, body: encodeRedirect(null) };
     }
   }
 
--- a/packages/daemon/src/report-relay.ts
+++ b/packages/daemon/src/heartbeat-relay.ts
@@ -2,7 +2,7 @@
 // The owner is still the only one who decides.
 import { type Clock, sleep } from '@gingerlock/clients';
 import type { PeerMessage, PeerMessages } from '@gingerlock/peer';
-import { decodeReport, encodeReportTo, type WorkerReport } from '@gingerlock/wire';
+import { decodeHeartbeat, encodeRedirect, type Heartbeat } from '@gingerlock/wire';
 import type { PeerChannel } from './peer-channel';
 import { refusal, type Reply } from './reply';
 import type { Settings } from './settings';
@@ -30,20 +30,20 @@
 /** What the relay needs to know of partitions and their owners. */
 export interface PartitionRouting {
   /** The partition of the machine; undefined: not known yet. */
-  partitionOf(report: WorkerReport): number | undefined;
+  partitionOf(heartbeat: Heartbeat): number | undefined;
   /** Who owns the partition, as far as we know; null: nobody now. */
   ownerOf(partitionId: number): string | null;
   /** Whether this controller owns it. */
   owns(partitionId: number): boolean;
   /** Answers a report as the owner. */
-  answer(partitionId: number, report: WorkerReport): Reply;
+  answer(partitionId: number, heartbeat: Heartbeat): Reply;
   /** A report has come for a partition of ours that its worker could not bring here itself. */
   onRelayed(partitionId: number): void;
   /** Whether the owner says that it has not heard the machine for a while. */
   missedByOwner(partitionId: number, machine: string): boolean;
 }
 
-export class ReportRelay {
+export class HeartbeatRelay {
   readonly #redirected = new Map<string, Redirection>();
   /** Relayed reports that wait for the owner's answer. */
   readonly #waiting = new Map<string, (reply: Reply) => void>();
@@ -70,34 +70,34 @@
    * try the next controller, which may be dead or cut off too: that costs it seconds of its lease at each. So its report
    * waits here for as long as it waits itself, until the partition has an owner that it can be sent to.
    */
-  async forward(partitionId: number, report: WorkerReport, body: Buffer): Promise<Reply> {
+  async forward(partitionId: number, heartbeat: Heartbeat, body: Buffer): Promise<Reply> {
     const { clock, routing } = this;
     const until = clock.now() + WORKER_PATIENCE_MS * HOLD_SHARE;
     for (;;) {
       const before = routing.ownerOf(partitionId);
-      const reply = await this.#pointTo(before, partitionId, report, body);
+      const reply = await this.#pointTo(before, partitionId, heartbeat, body);
       if (reply.status !== 503) return reply;
       do {
         if (clock.now() >= until || this.#stopped) return reply;
         await sleep(clock, this.settings.clusterConfig.heartbeatIntervalMs / 10);
-        if (routing.owns(partitionId)) return routing.answer(partitionId, report);
+        if (routing.owns(partitionId)) return routing.answer(partitionId, heartbeat);
       } while (routing.ownerOf(partitionId) === before);
     }
   }
 
-  async #pointTo(owner: string | null, partitionId: number, report: WorkerReport, body: Buffer): Promise<Reply> {
+  async #pointTo(owner: string | null, partitionId: number, heartbeat: Heartbeat, body: Buffer): Promise<Reply> {
     const { clusterConfig, node } = this.settings;
     if (owner === null || owner === node) return refusal(503, 'part has no owner now');
     const now = this.clock.now();
-    const last = this.#redirected.get(report.machine);
+    const last = this.#redirected.get(heartbeat.machine);
     const relayedSince = last?.relayedSince ?? null;
     const relayed = relayedSince === null || now - relayedSince < clusterConfig.workerLeaseMs * RELAY_LEASES;
-    if (relayed && this.#isCutOff(owner, partitionId, report.machine, last, now)) {
-      this.#redirected.set(report.machine, { owner, at: now, relayedSince: relayedSince ?? now });
+    if (relayed && this.#isCutOff(owner, partitionId, heartbeat.machine, last, now)) {
+      this.#redirected.set(heartbeat.machine, { owner, at: now, relayedSince: relayedSince ?? now });
       return this.#relay(owner, body);
     }
-    this.#redirected.set(report.machine, { owner, at: now, relayedSince: null });
-    return { status: 421, body: encodeReportTo(owner) };
+    this.#redirected.set(heartbeat.machine, { owner, at: now, relayedSince: null });
+    return { status: 421, body: encodeRedirect(owner) };
   }
 
   /**
@@ -154,11 +154,11 @@
 
   #replyAsOwner(body: Buffer): Reply {
     try {
-      const report = decodeReport(body);
-      const partitionId = this.routing.partitionOf(report);
+      const heartbeat = decodeHeartbeat(body);
+      const partitionId = this.routing.partitionOf(heartbeat);
       if (partitionId === undefined || !this.routing.owns(partitionId)) return refusal(503, 'not the owner');
       this.routing.onRelayed(partitionId);
-      return this.routing.answer(partitionId, report);
+      return this.routing.answer(partitionId, heartbeat);
     } catch {
       return refusal(400, 'malformed');
     }
--- a/packages/daemon/src/owner-writes.ts
+++ b/packages/daemon/src/owner-writes.ts
@@ -71,7 +71,7 @@
     const writes: Write[] = [];
     const membership = store.membership(this.partitionId);
     for (const m of this.claimTable.machines.values()) {
-      if (!m.synchronised || m.answeredAt === null || m.isMember || this.membershipRemovals.has(m.name)) continue;
+      if (!m.hasCurrentToken || m.answeredAt === null || m.isMember || this.membershipRemovals.has(m.name)) continue;
       if (membership.has(m.name)) {
         // Heard only after the fencing period, or again before its removal: no change of that is under way here.
         this.claimTable.setMember(m.name, true);
--- a/packages/daemon/src/owner.ts
+++ b/packages/daemon/src/owner.ts
@@ -94,13 +94,13 @@
     if (this.#toCall.length === 0 && now - this.#calledAt > clusterConfig.heartbeatIntervalMs) {
       if (this.#calledAt !== -Infinity) this.#before = new Map();
       this.#calledAt = now;
-      this.#toCall = [...this.claimTable.unheard.keys()];
+      this.#toCall = [...this.claimTable.unconfirmedMachines.keys()];
       const ticks = Math.max(1, Math.floor((clusterConfig.workerLeaseMs * CALL_ROUND_LEASES) / tickMs));
       this.#callsPerTick = Math.max(LEAST_CALLS_PER_TICK, Math.ceil(this.#toCall.length / ticks));
     }
     for (const name of this.#toCall.splice(0, this.#callsPerTick)) {
-      const addr = this.claimTable.unheard.get(name);
-      if (addr !== undefined) void this.#messages.showTerm(name, addr, this.#before.get(name)?.session);
+      const addr = this.claimTable.unconfirmedMachines.get(name);
+      if (addr !== undefined) void this.#messages.showTerm(name, addr, this.#before.get(name)?.agentEpoch);
     }
   }
 
--- a/packages/daemon/src/ownership-manager.ts
+++ b/packages/daemon/src/ownership-manager.ts
@@ -267,7 +267,7 @@
   releaseUnreachable(owners: Iterable<PartitionOwner>, now: number): void {
     if (!this.shared.fresh() || this.shared.replica.failures > 0) return;
     for (const { partitionId, ownershipTerm, claimTable } of owners) {
-      if (ownershipTerm.state !== 'held' || !claimTable.cleared || !this.workerReach.isCutOff(partitionId, now))
+      if (ownershipTerm.state !== 'held' || !claimTable.isFencingOver || !this.workerReach.isCutOff(partitionId, now))
         continue;
       if (!this.#settings.peers.some(({ node }) => this.peers.isAlive(node))) continue;
       const ownership = this.#ownerships.get(ownershipTerm.resource)!;
@@ -304,7 +304,7 @@
     if (now - this.#releasedAt < workerLeaseMs || !this.shared.fresh() || this.shared.replica.failures > 0) return;
     for (const { partitionId, ownershipTerm, claimTable } of owners) {
       const home = this.#orderFor(partitionId)[0]!;
-      if (home === this.#settings.node || ownershipTerm.state !== 'held' || !claimTable.cleared) continue;
+      if (home === this.#settings.node || ownershipTerm.state !== 'held' || !claimTable.isFencingOver) continue;
       // What its home gave up itself, for its workers did not reach it, it gets back later.
       const patienceMs = ownershipTerm.releasedBy === home ? workerLeaseMs * CUT_OFF_RETURN_LEASES : workerLeaseMs;
       if (now - ownershipTerm.acquiredAt < patienceMs || !this.peers.isWell(home, workerLeaseMs)) continue;
--- a/packages/daemon/src/partition-status.ts
+++ b/packages/daemon/src/partition-status.ts
@@ -59,7 +59,7 @@
     type: m.type,
     zone: m.zone,
     spot: m.spot,
-    session: m.session,
+    agentEpoch: m.agentEpoch,
     free: available ?? NO_RESOURCES,
     byRank,
     images: m.cache.images(),
@@ -67,7 +67,7 @@
     draining: m.draining,
     evictionNotice: m.evictionNotice,
     unhealthy: claimTable.isUnhealthy(m),
-    empty: m.claims.size === 0 && m.synchronised && m.reported.length === 0 && m.answeredAt !== null,
+    empty: m.claims.size === 0 && m.hasCurrentToken && m.reportedTasks.length === 0 && m.answeredAt !== null,
     emptyMs: now - m.emptySince,
     silentMs: Math.min(claimTable.silentMs(m, now), NEVER_HEARD_MS),
   };
--- a/packages/daemon/src/previous-owners.ts
+++ b/packages/daemon/src/previous-owners.ts
@@ -26,7 +26,7 @@
     for (const [id, query] of this.#open) if (now - query.at > this.heartbeatIntervalMs * 2) this.#open.delete(id);
     for (const { partitionId, ownershipTerm, claimTable } of this.owners.values()) {
       const { term, previousOwner } = ownershipTerm;
-      if (previousOwner === null || claimTable.cleared) continue;
+      if (previousOwner === null || claimTable.isFencingOver) continue;
       const id = this.peers.nextRequestId();
       this.#open.set(id, { partitionId, term, at: now });
       this.peers.send(previousOwner.node, { kind: 'OwnershipQuery', id, partitionId, term });
--- a/packages/daemon/src/worker-messages.ts
+++ b/packages/daemon/src/worker-messages.ts
@@ -1,6 +1,6 @@
 // What an owner sends straight to the workers of its partition, beside the answers to their reports.
 import type { ClaimTable, Machine, TaskEntry } from '@gingerlock/core';
-import { decodeReport, encodeDirectOrders } from '@gingerlock/wire';
+import { decodeHeartbeat, encodeDirectCommands } from '@gingerlock/wire';
 import type { Shared } from './shared';
 
 export class WorkerMessages {
@@ -20,7 +20,7 @@
       attempt: s.claim!.attempt,
       graceS: s.claim!.stopGraceS ?? 0,
     }));
-    const body = encodeDirectOrders(this.claimTable.token(machine), machine.session, commands);
+    const body = encodeDirectCommands(this.claimTable.fencingToken(machine), machine.agentEpoch, commands);
     const { http, clusterConfig, log } = this.shared;
     http(machine.addr, 'POST', '/commands', body, clusterConfig.heartbeatIntervalMs * 2).catch((error: unknown) => {
       // The answer to its next report says the same.
@@ -33,7 +33,7 @@
    * is planned for it. It still is the report that claims the task, and the start rides in the answer.
    */
   callForReport(machine: Machine, now: number): void {
-    const body = encodeDirectOrders(this.claimTable.call(machine, now), machine.session, []);
+    const body = encodeDirectCommands(this.claimTable.call(machine, now), machine.agentEpoch, []);
     const { http, clusterConfig, log } = this.shared;
     http(machine.addr, 'POST', '/commands', body, clusterConfig.heartbeatIntervalMs).catch((error: unknown) => {
       // Then it reports in its own time.
@@ -46,14 +46,20 @@
    * an old owner that still answers it steps down. Neither answer is taken as proof of anything: it can overtake a start
    * that is under way.
    */
-  async showTerm(name: string, addr: string, knownSession: number | undefined): Promise<void> {
+  async showTerm(name: string, addr: string, knownAgentEpoch: number | undefined): Promise<void> {
     const { http, clusterConfig, log } = this.shared;
     try {
-      const session =
-        knownSession ??
-        decodeReport((await http(addr, 'GET', '/inspect', null, clusterConfig.heartbeatIntervalMs)).body).session;
-      const token = this.claimTable.token(this.claimTable.machines.get(name));
-      await http(addr, 'POST', '/commands', encodeDirectOrders(token, session, []), clusterConfig.heartbeatIntervalMs);
+      const agentEpoch =
+        knownAgentEpoch ??
+        decodeHeartbeat((await http(addr, 'GET', '/inspect', null, clusterConfig.heartbeatIntervalMs)).body).agentEpoch;
+      const fencingToken = this.claimTable.fencingToken(this.claimTable.machines.get(name));
+      await http(
+        addr,
+        'POST',
+        '/commands',
+        encodeDirectCommands(fencingToken, agentEpoch, []),
+        clusterConfig.heartbeatIntervalMs,
+      );
     } catch (error) {
       log.debug({ machine: name, error: String(error) }, 'machine of the membership not reached');
     }
--- a/packages/daemon/test/status-fragments.test.ts
+++ b/packages/daemon/test/status-fragments.test.ts
@@ -19,7 +19,7 @@
     type: 'box',
     zone: 'north',
     spot: false,
-    session: 1,
+    agentEpoch: 1,
     free: resources,
     byRank: [resources, NO_RESOURCES, NO_RESOURCES, resources],
     images,
--- a/packages/peer/src/messages.ts
+++ b/packages/peer/src/messages.ts
@@ -33,7 +33,7 @@
         type: 'string',
         zone: 'string',
         spot: 'boolean',
-        session: 'long',
+        agentEpoch: 'long',
         free: resources,
         byRank: { type: 'array', items: 'Resources' },
         images: { type: 'array', items: 'string' },
@@ -149,7 +149,7 @@
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
+  agentEpoch: number;
   free: PeerResources;
   byRank: PeerResources[];
   images: string[];
--- a/packages/peer/test/link.test.ts
+++ b/packages/peer/test/link.test.ts
@@ -43,7 +43,7 @@
         type: 't',
         zone: 'z',
         spot: true,
-        session: 3,
+        agentEpoch: 3,
         free: resources,
         byRank: [resources, resources],
         images: ['i'],
--- a/packages/testkit/src/worker.ts
+++ b/packages/testkit/src/worker.ts
@@ -1,8 +1,8 @@
 import type { Http, HttpAnswer } from '@gingerlock/clients';
 import {
-  decodeOrders,
-  decodeReportTo,
-  encodeReport,
+  decodeCommands,
+  decodeRedirect,
+  encodeHeartbeat,
   type ExitCause,
   type JobSpec,
   parseTaskName,
@@ -57,9 +57,9 @@
 
 /** A stand-in of one worker, by the protocol's page. */
 export class SimWorker {
-  session = 1;
-  seq = 0;
-  token = 0;
+  agentEpoch = 1;
+  sequenceNumber = 0;
+  fencingToken = 0;
   noticeS: number | null = null;
   alive = true;
   /** Where it takes commands. */
@@ -88,7 +88,7 @@
     this.#leaseFrom = world.sim.now;
     this.addr = world.addressOf?.(name) ?? `${name}:9000`;
     this.#target = Math.floor(world.sim.random() * world.controllers.length);
-    this.#after(world.sim.random() * world.heartbeatIntervalMs, () => void this.#report());
+    this.#after(world.sim.random() * world.heartbeatIntervalMs, () => void this.#sendHeartbeat());
     this.#watchLease();
     world.network.hosts.set(
       this.addr,
@@ -120,7 +120,7 @@
     if (sim.now - this.#leaseFrom > workerLeaseMs) {
       for (const t of [...this.tasks.values()]) this.#leave(t);
       this.tasks.clear();
-      this.session++;
+      this.agentEpoch++;
       this.#leaseFrom = sim.now;
     }
     // The lease ends on a machine that hangs, too: it may go on within its lease, says the protocol, and not after it.
@@ -134,11 +134,11 @@
 
   /** A direct `/commands` request, however late it comes. */
   command(body: Buffer): HttpAnswer {
-    const { token, session, commands } = decodeOrders(body);
-    const stale = token < this.token || session !== this.session;
+    const { fencingToken, agentEpoch, commands } = decodeCommands(body);
+    const stale = fencingToken < this.fencingToken || agentEpoch !== this.agentEpoch;
     if (!stale) {
-      const higher = token > this.token;
-      this.token = token;
+      const higher = fencingToken > this.fencingToken;
+      this.fencingToken = fencingToken;
       for (const c of commands) this.#execute(c);
       if (higher) this.#changed();
     }
@@ -160,15 +160,15 @@
   }
 
   #body(): Buffer {
-    return encodeReport({
+    return encodeHeartbeat({
       machine: this.name,
       addr: this.addr,
       type: this.type,
       zone: this.zone,
       spot: this.spot,
-      session: this.session,
-      seq: ++this.seq,
-      token: this.token,
+      agentEpoch: this.agentEpoch,
+      sequenceNumber: ++this.sequenceNumber,
+      fencingToken: this.fencingToken,
       noticeS: this.noticeS,
       tasks: [...this.tasks.values()].map((t) => ({
         task: t.task,
@@ -185,13 +185,13 @@
     if (t.state === 'running' || t.state === 'saving') this.world.offTask(t.task, this.name);
   }
 
-  async #report(): Promise<void> {
+  async #sendHeartbeat(): Promise<void> {
     const { sim, network, controllers, heartbeatIntervalMs } = this.world;
     if (!this.alive) return;
     this.#inFlight = true;
     this.#soon = false;
     const sentAt = sim.now;
-    const session = this.session;
+    const agentEpoch = this.agentEpoch;
     const body = this.#body();
     const target = controllers[this.#target]!;
     let wait = heartbeatIntervalMs * (0.75 + sim.random() / 2);
@@ -199,9 +199,9 @@
     try {
       const answer = await http(target, 'POST', '/checkin', body, 4000);
       if (answer.status === 200) {
-        if (this.#take(answer, session, sentAt)) wait = 500;
+        if (this.#take(answer, agentEpoch, sentAt)) wait = 500;
       } else if (answer.status === 421) {
-        const to = decodeReportTo(answer.body);
+        const to = decodeRedirect(answer.body);
         const index = to === null ? -1 : controllers.indexOf(to);
         if (index >= 0 && index !== this.#target) {
           this.#target = index;
@@ -218,17 +218,17 @@
     this.#inFlight = false;
     if (!this.alive) return;
     if (this.#soon) wait = Math.min(wait, 500);
-    this.#nextTimer = this.#after(wait, () => void this.#report());
+    this.#nextTimer = this.#after(wait, () => void this.#sendHeartbeat());
   }
 
   /** Takes an answer; true if something changed. */
-  #take(answer: HttpAnswer, session: number, sentAt: number): boolean {
-    const { token, commands } = decodeOrders(answer.body);
-    if (!this.alive || session !== this.session || token < this.token) return false;
+  #take(answer: HttpAnswer, agentEpoch: number, sentAt: number): boolean {
+    const { fencingToken, commands } = decodeCommands(answer.body);
+    if (!this.alive || agentEpoch !== this.agentEpoch || fencingToken < this.fencingToken) return false;
     // Late: it hung meanwhile.
     if (this.world.sim.now - sentAt > 4000) return false;
-    const higher = token > this.token;
-    this.token = token;
+    const higher = fencingToken > this.fencingToken;
+    this.fencingToken = fencingToken;
     this.#leaseFrom = Math.max(this.#leaseFrom, sentAt);
     for (const c of commands) this.#execute(c);
     return commands.length > 0 || higher;
@@ -330,6 +330,6 @@
     this.#soon = true;
     if (this.#inFlight) return;
     this.#nextTimer();
-    this.#nextTimer = this.#after(500, () => void this.#report());
+    this.#nextTimer = this.#after(500, () => void this.#sendHeartbeat());
   }
 }
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -13,7 +13,7 @@
 import { type Resources, NO_RESOURCES } from '@gingerlock/core';
 import type { PeerMessage } from '@gingerlock/peer';
 import {
-  decodeReport,
+  decodeHeartbeat,
   type JobSpec,
   holdRecord,
   KEYS,
@@ -313,7 +313,7 @@
   /** A worker's report to a controller; what that answers as the owner is checked. */
   async #checkin(controller: Controller, node: string, body: Buffer): Promise<Reply> {
     const reply = await controller.checkin(body);
-    const { machine, zone } = decodeReport(body);
+    const { machine, zone } = decodeHeartbeat(body);
     const partitionId = controller.store.partitioner?.partitionOf(machine, zone);
     const owner = controller.owned().find((o) => o.partitionId === partitionId);
     if (reply.status === 200 && owner !== undefined) this.ownership.answered(node, owner);
--- a/packages/testkit/test/membership.test.ts
+++ b/packages/testkit/test/membership.test.ts
@@ -51,7 +51,7 @@
   await world.sim.run(world.sim.now + 500);
   world.startNode('node-0');
   const claimTable = (): ClaimTable | undefined => world.nodes[0]!.controller!.owned()[0]?.claimTable;
-  while (claimTable()?.cleared !== true) await world.sim.run(world.sim.now + 100);
+  while (claimTable()?.isFencingOver !== true) await world.sim.run(world.sim.now + 100);
   assert.equal(claimTable()!.machines.has(name), false);
   world.network.mute.delete(name);
   while (!claimTable()!.machines.has(name)) await world.sim.run(world.sim.now + 100);
--- a/packages/testkit/test/mutants.test.ts
+++ b/packages/testkit/test/mutants.test.ts
@@ -41,10 +41,10 @@
 function dropStops(): () => void {
   const answers = patch(
     ClaimTable.prototype,
-    'report',
+    'handleHeartbeat',
     (original) =>
-      function (this: ClaimTable, r, now, mayGrant) {
-        const outcome = original.call(this, r, now, mayGrant);
+      function (this: ClaimTable, heartbeat, now, mayGrant) {
+        const outcome = original.call(this, heartbeat, now, mayGrant);
         if (outcome.kind !== 'answer') return outcome;
         return { ...outcome, commands: outcome.commands.filter((c) => c.op !== 'stop') };
       },
@@ -294,10 +294,10 @@
     apply: () =>
       patch(
         ClaimTable.prototype,
-        'report',
+        'handleHeartbeat',
         (original) =>
-          function (this: ClaimTable, r, now) {
-            return original.call(this, r, now, false);
+          function (this: ClaimTable, heartbeat, now) {
+            return original.call(this, heartbeat, now, false);
           },
       ),
   },
--- a/packages/testkit/test/takeover.test.ts
+++ b/packages/testkit/test/takeover.test.ts
@@ -82,12 +82,12 @@
   });
   const sessions = new Map<string, number>();
   world.sim.after(25_000, () => {
-    for (const [name, w] of world.workers) sessions.set(name, w.session);
+    for (const [name, w] of world.workers) sessions.set(name, w.agentEpoch);
   });
   await day;
   assert.ok([...moved.values()].flat().every((name) => name !== 'node-1' && name !== 'node-3'));
   assert.deepEqual([...owners(world).values()].flat().sort(), world.controllers);
-  for (const [name, w] of world.workers) if (sessions.has(name)) assert.equal(w.session, sessions.get(name), name);
+  for (const [name, w] of world.workers) if (sessions.has(name)) assert.equal(w.agentEpoch, sessions.get(name), name);
   assert.ok(sessions.size > 0);
   assert.deepEqual(world.breaches, []);
 });
--- a/packages/wire/src/workers.ts
+++ b/packages/wire/src/workers.ts
@@ -16,15 +16,15 @@
   readonly saved: boolean;
 }
 
-export interface WorkerReport {
+export interface Heartbeat {
   readonly machine: string;
   readonly addr: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  readonly session: number;
-  readonly seq: number;
-  readonly token: number;
+  readonly agentEpoch: number;
+  readonly sequenceNumber: number;
+  readonly fencingToken: number;
   readonly noticeS: number | null;
   readonly tasks: readonly ReportedTask[];
 }
@@ -56,7 +56,7 @@
 
 const Count = Type.Integer({ minimum: 0 });
 
-const checkReport = checker(
+const checkHeartbeat = checker(
   Type.Object({
     rig: Type.String({ minLength: 1, maxLength: 128, pattern: '^[!-~]+$' }),
     addr: Type.String({ maxLength: 64 }),
@@ -79,17 +79,17 @@
   }),
 );
 
-export function decodeReport(body: Uint8Array): WorkerReport {
-  const r = checkReport(decodeMap(body));
+export function decodeHeartbeat(body: Uint8Array): Heartbeat {
+  const r = checkHeartbeat(decodeMap(body));
   return {
     machine: r.rig,
     addr: r.addr,
     type: r.breed,
     zone: r.yard,
     spot: r.borrowed,
-    session: r.shift,
-    seq: r.tally,
-    token: r.baton,
+    agentEpoch: r.shift,
+    sequenceNumber: r.tally,
+    fencingToken: r.baton,
     noticeS: r.recall_s ?? null,
     tasks: r.parcels.map((p, i) => {
       const state = STATE_NAMES[p.status];
@@ -106,18 +106,18 @@
   };
 }
 
-export function encodeReport(report: WorkerReport): Buffer {
+export function encodeHeartbeat(heartbeat: Heartbeat): Buffer {
   return encode({
-    rig: report.machine,
-    addr: report.addr,
-    breed: report.type,
-    yard: report.zone,
-    borrowed: report.spot,
-    shift: integer(report.session),
-    tally: integer(report.seq),
-    baton: integer(report.token),
-    recall_s: report.noticeS,
-    parcels: report.tasks.map((t) => ({
+    rig: heartbeat.machine,
+    addr: heartbeat.addr,
+    breed: heartbeat.type,
+    yard: heartbeat.zone,
+    borrowed: heartbeat.spot,
+    shift: integer(heartbeat.agentEpoch),
+    tally: integer(heartbeat.sequenceNumber),
+    baton: integer(heartbeat.fencingToken),
+    recall_s: heartbeat.noticeS,
+    parcels: heartbeat.tasks.map((t) => ({
       parcel: t.task,
       try: integer(t.attempt),
       status: wordOf(STATE_NAMES, t.state),
@@ -127,7 +127,7 @@
   });
 }
 
-function orderMaps(commands: readonly WorkerCommand[]): unknown[] {
+function commandMaps(commands: readonly WorkerCommand[]): unknown[] {
   return commands.map((c) => ({
     verb: OP_WORDS[c.op],
     parcel: c.task,
@@ -137,16 +137,20 @@
 }
 
 /** The answer to a report. */
-export function encodeOrders(token: number, commands: readonly WorkerCommand[]): Buffer {
-  return encode({ baton: integer(token), orders: orderMaps(commands) });
+export function encodeHeartbeatAnswer(fencingToken: number, commands: readonly WorkerCommand[]): Buffer {
+  return encode({ baton: integer(fencingToken), orders: commandMaps(commands) });
 }
 
 /** The body of a direct `/commands` request. */
-export function encodeDirectOrders(token: number, session: number, commands: readonly WorkerCommand[]): Buffer {
-  return encode({ baton: integer(token), shift: integer(session), orders: orderMaps(commands) });
+export function encodeDirectCommands(
+  fencingToken: number,
+  agentEpoch: number,
+  commands: readonly WorkerCommand[],
+): Buffer {
+  return encode({ baton: integer(fencingToken), shift: integer(agentEpoch), orders: commandMaps(commands) });
 }
 
-const checkOrders = checker(
+const checkCommands = checker(
   Type.Object({
     baton: Count,
     shift: Type.Optional(Count),
@@ -162,11 +166,15 @@
 );
 
 /** Reads an answer to a report, or a direct `/commands` request, which names the session too. */
-export function decodeOrders(body: Uint8Array): { token: number; session: number | null; commands: WorkerCommand[] } {
-  const map = checkOrders(decodeMap(body));
+export function decodeCommands(body: Uint8Array): {
+  fencingToken: number;
+  agentEpoch: number | null;
+  commands: WorkerCommand[];
+} {
+  const map = checkCommands(decodeMap(body));
   return {
-    token: map.baton,
-    session: map.shift ?? null,
+    fencingToken: map.baton,
+    agentEpoch: map.shift ?? null,
     commands: map.orders.map((o) =>
       o.verb === 'halt'
         ? { op: 'stop', task: o.parcel, attempt: o.try, graceS: o.leeway_s ?? 0 }
@@ -176,7 +184,7 @@
 }
 
 /** The body of a 421: which controller to report to, if that is known. */
-export function encodeReportTo(controller: string | null): Buffer {
+export function encodeRedirect(controller: string | null): Buffer {
   return encode(controller === null ? {} : { foreman: controller });
 }
 
@@ -193,7 +201,7 @@
 }
 
 /** Which controller a 421 names, or null. */
-export function decodeReportTo(body: Uint8Array): string | null {
+export function decodeRedirect(body: Uint8Array): string | null {
   const { foreman } = decodeMap(body);
   return typeof foreman === 'string' ? foreman : null;
 }
--- a/packages/wire/test/formats.test.ts
+++ b/packages/wire/test/formats.test.ts
@@ -38,16 +38,16 @@
   plain,
 );
 
-const report: fc.Arbitrary<wire.WorkerReport> = fc.record(
+const report: fc.Arbitrary<wire.Heartbeat> = fc.record(
   {
     machine: word,
     addr: word,
     type: word,
     zone: word,
     spot: fc.boolean(),
-    session: count,
-    seq: count,
-    token: count,
+    agentEpoch: count,
+    sequenceNumber: count,
+    fencingToken: count,
     noticeS: fc.option(amount),
     tasks: fc.array(
       fc
@@ -95,19 +95,25 @@
 
 test('reports and orders survive their round trips, also with counts beyond 32 bits', () => {
   fc.assert(
-    fc.property(report, (r) => assert.deepEqual(wire.decodeReport(wire.encodeReport(r)), r)),
+    fc.property(report, (heartbeat) =>
+      assert.deepEqual(wire.decodeHeartbeat(wire.encodeHeartbeat(heartbeat)), heartbeat),
+    ),
     params,
   );
   fc.assert(
-    fc.property(count, count, (token, attempt) => {
+    fc.property(count, count, (fencingToken, attempt) => {
       const commands: wire.WorkerCommand[] = [
         { op: 'start', task: 'j-1/0', attempt },
         { op: 'stop', task: 'j-1/1', attempt, graceS: 2.5 },
         { op: 'forget', task: 'j-1/2', attempt },
       ];
-      assert.deepEqual(wire.decodeOrders(wire.encodeOrders(token, commands)), { token, session: null, commands });
-      const direct = wire.decodeOrders(wire.encodeDirectOrders(token, attempt, commands));
-      assert.deepEqual(direct, { token, session: attempt, commands });
+      assert.deepEqual(wire.decodeCommands(wire.encodeHeartbeatAnswer(fencingToken, commands)), {
+        fencingToken,
+        agentEpoch: null,
+        commands,
+      });
+      const direct = wire.decodeCommands(wire.encodeDirectCommands(fencingToken, attempt, commands));
+      assert.deepEqual(direct, { fencingToken, agentEpoch: attempt, commands });
     }),
     params,
   );
@@ -121,7 +127,7 @@
 });
 
 test('bytes that are no submission and no report are refused with a reason, and never anything else', () => {
-  const decoders = [wire.decodeSubmission, wire.decodeReport, wire.decodeOrders];
+  const decoders = [wire.decodeSubmission, wire.decodeHeartbeat, wire.decodeCommands];
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 200 }), (bytes) => {
       for (const decode of decoders) assert.throws(() => decode(bytes), wire.Malformed);
@@ -213,7 +219,7 @@
     baton: 0,
     parcels: [{ parcel: 'j-1/0', try: 1, status: 'dreaming' }],
   });
-  assert.throws(() => wire.decodeReport(body), /parcels\.0\.status/);
+  assert.throws(() => wire.decodeHeartbeat(body), /parcels\.0\.status/);
 });
 
 test('lists, events, machine types and transactions survive their round trips through both sides', () => {
