--- a/packages/core/src/claim-view.ts
+++ b/packages/core/src/claim-view.ts
@@ -36,6 +36,6 @@
   isFailing(job: Job): boolean;
   mayStart(task: TaskEntry): boolean;
   /** How long until the machine reports, about, or 0 if it can be called. */
-  reportsInMs(machine: Machine, now: number): number;
-  mayCall(machine: Machine, now: number): boolean;
+  nextHeartbeatInMs(machine: Machine, now: number): number;
+  mayRequestHeartbeat(machine: Machine, now: number): boolean;
 }
--- a/packages/core/src/claims.ts
+++ b/packages/core/src/claims.ts
@@ -27,7 +27,7 @@
 import { HeartbeatReconciler } from './heartbeat-reconciler';
 import { TaskTable } from './task-table';
 import { type Machine, newMachine, type TaskEntry } from './task-entry';
-import { CALLS_PER_TERM, mayCall, reportsInMs, termOfToken } from './fencing-tokens';
+import { TOKENS_PER_TERM, mayRequestHeartbeat, nextHeartbeatInMs, termOfToken } from './fencing-tokens';
 
 export type HeartbeatOutcome =
   | { readonly kind: 'answer'; readonly fencingToken: number; readonly commands: WorkerCommand[] }
@@ -302,21 +302,21 @@
 
   /** The token of every message to this machine now. */
   fencingToken(machine: Machine | undefined): number {
-    return this.term * CALLS_PER_TERM + (machine?.calls ?? 0);
+    return this.term * TOKENS_PER_TERM + (machine?.heartbeatRequests ?? 0);
   }
 
-  reportsInMs(machine: Machine, now: number): number {
-    return reportsInMs(machine, this.clusterConfig, now);
+  nextHeartbeatInMs(machine: Machine, now: number): number {
+    return nextHeartbeatInMs(machine, this.clusterConfig, now);
   }
 
-  mayCall(machine: Machine, now: number): boolean {
-    return mayCall(machine, this.clusterConfig, now);
+  mayRequestHeartbeat(machine: Machine, now: number): boolean {
+    return mayRequestHeartbeat(machine, this.clusterConfig, now);
   }
 
   /** Raises the machine's token; the caller sends it there. */
-  call(machine: Machine, now: number): number {
-    machine.calls++;
-    machine.calledAt = now;
+  requestHeartbeat(machine: Machine, now: number): number {
+    machine.heartbeatRequests++;
+    machine.heartbeatRequestedAt = now;
     return this.fencingToken(machine);
   }
 
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -3,7 +3,7 @@
 export * from './jobs';
 export * from './assigned-ranges';
 export * from './claims';
-export { CALLS_PER_TERM, termOfToken } from './fencing-tokens';
+export { TOKENS_PER_TERM, termOfToken } from './fencing-tokens';
 export { plannedByRank, toldRank } from './claim-queries';
 export * from './members';
 export * from './failure-attribution';
--- a/packages/core/src/packing.ts
+++ b/packages/core/src/packing.ts
@@ -94,7 +94,7 @@
 }
 
 /** The machines that waiting tasks are planned for and that would report later than need be. */
-export function toCall(claimTable: ClaimView, now: number): Set<Machine> {
+export function machinesToSolicit(claimTable: ClaimView, now: number): Set<Machine> {
   const machines = new Set<Machine>();
   for (const job of claimTable.wakes()) {
     for (const task of claimTable.waitingTasks(job)) {
@@ -104,7 +104,7 @@
       // What is kept for it may have yet to be freed.
       const isKept = claimTable.reservations.reservedMachineFor(task.name) !== null;
       if (isKept && !fitsIn(job.spec, claimTable.freeResources(machine))) continue;
-      if (machine.isMember && claimTable.takesWork(machine, now) && claimTable.mayCall(machine, now))
+      if (machine.isMember && claimTable.takesWork(machine, now) && claimTable.mayRequestHeartbeat(machine, now))
         machines.add(machine);
     }
   }
@@ -163,7 +163,7 @@
   now: number,
 ): Generator<SpareCapacity> {
   for (const [m, free] of freeByMachine) {
-    if (m.spot || claimTable.reportsInMs(m, now) > 0) continue;
+    if (m.spot || claimTable.nextHeartbeatInMs(m, now) > 0) continue;
     yield { type: m.type, zone: m.zone, spot: m.spot, free, images: m.cache.images() };
   }
 }
--- a/packages/core/src/placement.ts
+++ b/packages/core/src/placement.ts
@@ -40,7 +40,7 @@
     if (!suits(claimTable, task, machine, now)) continue;
     const type = claimTable.typeOf(machine);
     const fetch = fetchMs(spec.imageGb, machine.cache.has(spec.image), type);
-    let ms = fetch + claimTable.reportsInMs(machine, now);
+    let ms = fetch + claimTable.nextHeartbeatInMs(machine, now);
     if (ms >= bestCost) continue;
     let victims: readonly TaskEntry[] = [];
     if (!fitsIn(spec, available)) {
--- a/packages/core/src/task-entry.ts
+++ b/packages/core/src/task-entry.ts
@@ -95,8 +95,8 @@
   /** When the last report that was answered was received; null: none was, or its lease has run out since. */
   answeredAt: number | null;
   /** How often it was called under this term, and when last: see `call`. */
-  calls: number;
-  calledAt: number;
+  heartbeatRequests: number;
+  heartbeatRequestedAt: number;
   evictionNotice: boolean;
   /** Its name is in the state service's membership, so that a new owner knows to ask for it. */
   isMember: boolean;
@@ -127,8 +127,8 @@
     hasCurrentToken: false,
     staleTokenAnswers: 0,
     answeredAt: null,
-    calls: 0,
-    calledAt: -Infinity,
+    heartbeatRequests: 0,
+    heartbeatRequestedAt: -Infinity,
     evictionNotice: false,
     isMember: known.isMember,
     draining: false,
--- a/packages/core/test/claims.test.ts
+++ b/packages/core/test/claims.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobRecord, type MachineType, PRIORITIES, type AssignedRange, type Heartbeat } from '@gingerlock/wire';
-import { CALLS_PER_TERM, ClaimTable, JobTable, pack, plannedByRank, type TaskEntry } from '../src/index';
+import { TOKENS_PER_TERM, ClaimTable, JobTable, pack, plannedByRank, type TaskEntry } from '../src/index';
 import { CLUSTER_CONFIG, specOf } from './fixtures';
 
 const clusterConfig = { ...CLUSTER_CONFIG, controllers: 1 };
@@ -78,9 +78,9 @@
   assert.equal(claimTable.missing(3500).gpus, 0);
   for (const name of ['m-1', 'm-2']) {
     // The first answer shows it our term; the next report proves that it knows it.
-    claimTable.handleHeartbeat(heartbeat(name, 1, CALLS_PER_TERM), 3500, true);
+    claimTable.handleHeartbeat(heartbeat(name, 1, TOKENS_PER_TERM), 3500, true);
     assert.equal(claimTable.missing(3600).gpus, 0);
-    claimTable.handleHeartbeat(heartbeat(name, 2, 2 * CALLS_PER_TERM), 3700, true);
+    claimTable.handleHeartbeat(heartbeat(name, 2, 2 * TOKENS_PER_TERM), 3700, true);
   }
   assert.equal(claimTable.missing(3800).gpus, 4);
 });
@@ -126,7 +126,7 @@
   assigned(jobs, 2, 5);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
   claimTable.syncJob(spec.id, 0);
-  const fencingToken = 2 * CALLS_PER_TERM;
+  const fencingToken = 2 * TOKENS_PER_TERM;
   const starts = (sequenceNumber: number, tasks: Heartbeat['tasks'] = []): string[] => {
     const outcome = claimTable.handleHeartbeat(
       { ...heartbeat('m-1', sequenceNumber, fencingToken), tasks },
@@ -150,7 +150,7 @@
 // tasks back for it until its fencing period.
 test('machines that were not heard until the clearing leave the membership, and those that were heard stay', () => {
   const claimTable = taken();
-  claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * CALLS_PER_TERM), claimTable.fencedUntil - 1000, true);
+  claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * TOKENS_PER_TERM), claimTable.fencedUntil - 1000, true);
   assert.deepEqual(claimTable.tick(claimTable.fencedUntil - 1), []);
   assert.deepEqual(claimTable.tick(claimTable.fencedUntil), ['m-2', 'm-3']);
   assert.deepEqual(claimTable.tick(claimTable.fencedUntil + 1), []);
@@ -188,7 +188,7 @@
   claimTable.leaving([...claimTable.tasksByJob.get(spec.id)!.values()], 1000);
   reassign(jobs, claimTable, [rangeOf(0, 4, 'b')], 7);
   const starts = (machine: string, zone: string): number => {
-    const outcome = claimTable.handleHeartbeat({ ...heartbeat(machine, 1, 2 * CALLS_PER_TERM), zone }, 9000, true);
+    const outcome = claimTable.handleHeartbeat({ ...heartbeat(machine, 1, 2 * TOKENS_PER_TERM), zone }, 9000, true);
     assert.ok(outcome.kind === 'answer');
     return outcome.commands.filter((c) => c.op === 'start').length;
   };
@@ -202,7 +202,7 @@
   const jobs = new JobTable(() => 64);
   const alarms: string[] = [];
   const claimTable = claimTableOf(jobs, 0, ['m-1', 'm-2'], (message) => alarms.push(message));
-  const fencingToken = 2 * CALLS_PER_TERM;
+  const fencingToken = 2 * TOKENS_PER_TERM;
   const commands = (machine: string, sequenceNumber: number, tasks: Heartbeat['tasks']): string[] => {
     const outcome = claimTable.handleHeartbeat(
       { ...heartbeat(machine, sequenceNumber, fencingToken), tasks },
@@ -232,7 +232,7 @@
 test('a report that contradicts earlier ones of its machine is refused and changes nothing', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
-  const fencingToken = 2 * CALLS_PER_TERM;
+  const fencingToken = 2 * TOKENS_PER_TERM;
   assert.equal(claimTable.handleHeartbeat(heartbeat('m-1', 1, fencingToken), 1000, true).kind, 'answer');
   for (const change of [{ zone: 'b' }, { type: 'other' }, { spot: true }]) {
     const outcome = claimTable.handleHeartbeat({ ...heartbeat('m-1', 9, fencingToken), ...change }, 2000, true);
@@ -246,7 +246,7 @@
 test('machines are not silent because their owner stood still, and their leases run out all the same', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
-  claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * CALLS_PER_TERM), 1000, true);
+  claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * TOKENS_PER_TERM), 1000, true);
   const machine = claimTable.machines.get('m-1')!;
   const resumedAt = 1000 + clusterConfig.heartbeatIntervalMs * 4;
   assert.equal(claimTable.isSuspect(machine, resumedAt), true);
@@ -265,7 +265,7 @@
   claimTable.syncJob(spec.id, 0);
   const starts = (sequenceNumber: number): number => {
     const outcome = claimTable.handleHeartbeat(
-      heartbeat('m-1', sequenceNumber, 2 * CALLS_PER_TERM),
+      heartbeat('m-1', sequenceNumber, 2 * TOKENS_PER_TERM),
       sequenceNumber * 1000,
       true,
     );
@@ -297,7 +297,7 @@
     saved: false,
   };
   const outcome = claimTable.handleHeartbeat(
-    { ...heartbeat(machine, sequenceNumber, 2 * CALLS_PER_TERM), tasks: [failed] },
+    { ...heartbeat(machine, sequenceNumber, 2 * TOKENS_PER_TERM), tasks: [failed] },
     sequenceNumber * 1000,
     true,
   );
@@ -311,15 +311,15 @@
   const claimTable = claimTableOf(jobs, 20_000, ['m-1', 'm-2']);
   claimTable.syncJob(spec.id, 0);
   const attemptOf = (task: number): number => claimTable.tasksByJob.get(spec.id)!.get(task)!.claim!.attempt;
-  claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * CALLS_PER_TERM), 1000, true);
+  claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * TOKENS_PER_TERM), 1000, true);
   failedOn(claimTable, 'm-1', 2, attemptOf(0));
   // The other three are not reported any more: they wait, as does the one that failed.
-  claimTable.handleHeartbeat(heartbeat('m-2', 3, 2 * CALLS_PER_TERM), 3000, true);
+  claimTable.handleHeartbeat(heartbeat('m-2', 3, 2 * TOKENS_PER_TERM), 3000, true);
   failedOn(claimTable, 'm-2', 4, attemptOf(1), 1);
   claimTable.tick(4100);
   const job = jobs.live.get(spec.id)!;
   assert.equal(claimTable.isFailing(job), true);
-  const outcome = claimTable.handleHeartbeat(heartbeat('m-1', 5, 2 * CALLS_PER_TERM), 5000, true);
+  const outcome = claimTable.handleHeartbeat(heartbeat('m-1', 5, 2 * TOKENS_PER_TERM), 5000, true);
   assert.ok(outcome.kind === 'answer' && outcome.commands.every((c) => c.op !== 'start'));
   const { stuck } = pack(claimTable, 5200);
   assert.deepEqual(stuck, []);
@@ -343,7 +343,7 @@
   };
   const starts = (sequenceNumber: number): number => {
     const outcome = claimTable.handleHeartbeat(
-      heartbeat('m-1', sequenceNumber, 2 * CALLS_PER_TERM),
+      heartbeat('m-1', sequenceNumber, 2 * TOKENS_PER_TERM),
       sequenceNumber * 1000,
       true,
     );
@@ -380,7 +380,7 @@
   };
   const complete = (id: string, sequenceNumber: number, now: number): void => {
     const done = { task: `${id}/0`, attempt: 9, state: 'exited' as const, cause: 'done' as const, saved: false };
-    claimTable.handleHeartbeat({ ...heartbeat('m-1', sequenceNumber, 2 * CALLS_PER_TERM), tasks: [done] }, now, false);
+    claimTable.handleHeartbeat({ ...heartbeat('m-1', sequenceNumber, 2 * TOKENS_PER_TERM), tasks: [done] }, now, false);
   };
   const order = (now: number): string[] => [...claimTable.finishing(now, 0).keys()];
   accept(ids.late, 'low', 5);
@@ -399,7 +399,7 @@
   const claimTable = claimTableOf(jobs, 0, ['m-1'], (message) => alarms.push(message));
   assigned(jobs, 2, 5);
   claimTable.syncJob(spec.id, 0);
-  claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * CALLS_PER_TERM), 1000, true);
+  claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * TOKENS_PER_TERM), 1000, true);
   const { attempt } = claimTable.tasksByJob.get(spec.id)!.get(0)!.claim!;
   const exit = {
     task: `${spec.id}/0`,
@@ -410,7 +410,7 @@
   };
   const strange = { ...exit, task: 'j-999999/0' };
   const outcome = claimTable.handleHeartbeat(
-    { ...heartbeat('m-1', 2, 2 * CALLS_PER_TERM), tasks: [exit, strange] },
+    { ...heartbeat('m-1', 2, 2 * TOKENS_PER_TERM), tasks: [exit, strange] },
     2000,
     true,
   );
@@ -424,7 +424,7 @@
 test('what waiting tasks are expected to take is told by their rank, until they are bound', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
-  claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * CALLS_PER_TERM), 100, true);
+  claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * TOKENS_PER_TERM), 100, true);
   assigned(jobs, 2, 5);
   claimTable.syncJob(spec.id, 200);
   const machine = claimTable.machines.get('m-1')!;
--- a/packages/core/test/cost.test.ts
+++ b/packages/core/test/cost.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobRecord, type MachineType, type Heartbeat } from '@gingerlock/wire';
-import { CALLS_PER_TERM, JobTable, pack, ClaimTable } from '../src/index';
+import { TOKENS_PER_TERM, JobTable, pack, ClaimTable } from '../src/index';
 import { CLUSTER_CONFIG, specOf } from './fixtures';
 
 const clusterConfig = CLUSTER_CONFIG;
@@ -56,7 +56,7 @@
     spot: false,
     agentEpoch: 1,
     sequenceNumber,
-    fencingToken: 2 * CALLS_PER_TERM,
+    fencingToken: 2 * TOKENS_PER_TERM,
     noticeS: null,
     tasks: Array.from({ length: TASKS }, (_, i) => ({
       task: `${id(m)}/${i}`,
@@ -78,7 +78,7 @@
   }
   looks = 0;
   const outcome = claimTable.handleHeartbeat(heartbeat(0, 2), 2, false);
-  assert.deepEqual(outcome, { kind: 'answer', fencingToken: 2 * CALLS_PER_TERM, commands: [] });
+  assert.deepEqual(outcome, { kind: 'answer', fencingToken: 2 * TOKENS_PER_TERM, commands: [] });
   const ofReport = looks;
   looks = 0;
   const { stuck } = pack(claimTable, 3);
--- a/packages/daemon/src/owner.ts
+++ b/packages/daemon/src/owner.ts
@@ -10,7 +10,7 @@
   type Reservations,
   type TaskEntry,
   type OwnershipTerm,
-  toCall,
+  machinesToSolicit,
   vacate,
 } from '@gingerlock/core';
 import { CombinedReservations } from './combined-reservations';
@@ -19,13 +19,13 @@
 import { OwnerWrites } from './owner-writes';
 import { partitionStatusOf } from './partition-status';
 import type { Shared } from './shared';
-import { WorkerMessages } from './worker-messages';
+import { WorkerCommandSender } from './worker-command-sender';
 
 /** How many machines are shown a new owner's term at each tick at the least: all at once would hold up everything else. */
-const LEAST_CALLS_PER_TICK = 8;
+const MIN_ANNOUNCEMENTS_PER_TICK = 8;
 
 /** All machines that are not heard have been called once within this share of a worker's lease, however many they are. */
-const CALL_ROUND_LEASES = 0.5;
+const ANNOUNCEMENT_ROUND_LEASES = 0.5;
 
 /** One part that this controller owns: its claim table, and the writes that follow from it. */
 export class PartitionOwner {
@@ -34,28 +34,28 @@
   readonly reclaims: OwnerReclaims | null;
   /** Null: replica groups are off. */
   readonly groups: OwnerGroups | null;
-  readonly #messages: WorkerMessages;
+  readonly #commandSender: WorkerCommandSender;
   readonly #writes: OwnerWrites;
   #scannedAt = 0;
   #freeByMachine: ReadonlyMap<Machine, Resources> = new Map();
   #packedAt = -Infinity;
   #packedChange = -1;
   /** Machines of the membership that are to be shown our term, how many at each tick, and when the last round of that began. */
-  #toCall: string[] = [];
-  #callsPerTick = LEAST_CALLS_PER_TICK;
-  #calledAt = -Infinity;
+  #pendingAnnouncements: string[] = [];
+  #announcementsPerTick = MIN_ANNOUNCEMENTS_PER_TICK;
+  #announcedAt = -Infinity;
   /** By machine: what an earlier owner told of it. Good for the first call only. */
-  #before: ReadonlyMap<string, MachineStatus>;
+  #previousStatuses: ReadonlyMap<string, MachineStatus>;
 
   constructor(
     readonly shared: Shared,
     readonly partitionId: number,
     /** Fixed for the life of this object: all that it writes and sends rests on the term and version of this one tenure. */
     readonly ownershipTerm: OwnershipTerm,
-    before: ReadonlyMap<string, MachineStatus>,
+    previousStatuses: ReadonlyMap<string, MachineStatus>,
   ) {
     const { store, clusterConfig, clock, log } = shared;
-    this.#before = before;
+    this.#previousStatuses = previousStatuses;
     this.reclaims = shared.settings.features.borrowing === null ? null : new OwnerReclaims(shared, partitionId);
     this.groups = shared.settings.features.replicaGroups === null ? null : new OwnerGroups(shared);
     this.claimTable = new ClaimTable({
@@ -71,7 +71,7 @@
       ...(this.reclaims === null ? {} : { preempts: false }),
       ...(this.groups === null ? {} : { members: this.groups.members }),
       attemptsPerTerm: shared.limits.attemptsPerTerm,
-      images: new Map([...before].map(([name, m]) => [name, m.images])),
+      images: new Map([...previousStatuses].map(([name, m]) => [name, m.images])),
       log: (message, detail) => log.debug({ partitionId, ...detail }, message),
       alarm: (message, detail) => log.error({ partitionId, term: ownershipTerm.term, ...detail }, message),
     });
@@ -79,7 +79,7 @@
     this.reclaims?.attach(this.claimTable);
     this.groups?.attach(this.claimTable);
     this.groups?.changed();
-    this.#messages = new WorkerMessages(shared, this.claimTable);
+    this.#commandSender = new WorkerCommandSender(shared, this.claimTable);
     this.#writes = new OwnerWrites(shared, partitionId, ownershipTerm, this.claimTable, this.reclaims, () =>
       this.isOwner(),
     );
@@ -89,18 +89,22 @@
    * Shows our term to the machines that are not heard, in rounds. A round is finished before the next begins: begun anew after each
    * report interval, it once left out all but the first hundred or so while those did not answer.
    */
-  #callUnheard(now: number): void {
+  #announceTerm(now: number): void {
     const { clusterConfig, tickMs } = this.shared;
-    if (this.#toCall.length === 0 && now - this.#calledAt > clusterConfig.heartbeatIntervalMs) {
-      if (this.#calledAt !== -Infinity) this.#before = new Map();
-      this.#calledAt = now;
-      this.#toCall = [...this.claimTable.unconfirmedMachines.keys()];
-      const ticks = Math.max(1, Math.floor((clusterConfig.workerLeaseMs * CALL_ROUND_LEASES) / tickMs));
-      this.#callsPerTick = Math.max(LEAST_CALLS_PER_TICK, Math.ceil(this.#toCall.length / ticks));
+    if (this.#pendingAnnouncements.length === 0 && now - this.#announcedAt > clusterConfig.heartbeatIntervalMs) {
+      if (this.#announcedAt !== -Infinity) this.#previousStatuses = new Map();
+      this.#announcedAt = now;
+      this.#pendingAnnouncements = [...this.claimTable.unconfirmedMachines.keys()];
+      const ticks = Math.max(1, Math.floor((clusterConfig.workerLeaseMs * ANNOUNCEMENT_ROUND_LEASES) / tickMs));
+      this.#announcementsPerTick = Math.max(
+        MIN_ANNOUNCEMENTS_PER_TICK,
+        Math.ceil(this.#pendingAnnouncements.length / ticks),
+      );
     }
-    for (const name of this.#toCall.splice(0, this.#callsPerTick)) {
+    for (const name of this.#pendingAnnouncements.splice(0, this.#announcementsPerTick)) {
       const addr = this.claimTable.unconfirmedMachines.get(name);
-      if (addr !== undefined) void this.#messages.showTerm(name, addr, this.#before.get(name)?.agentEpoch);
+      if (addr !== undefined)
+        void this.#commandSender.announceTerm(name, addr, this.#previousStatuses.get(name)?.agentEpoch);
     }
   }
 
@@ -117,7 +121,7 @@
 
   tick(now: number): void {
     for (const name of this.claimTable.tick(now)) this.#writes.membershipRemovals.add(name);
-    this.#callUnheard(now);
+    this.#announceTerm(now);
     if (now - this.#scannedAt > this.shared.scanMs) {
       this.#scannedAt = now;
       this.claimTable.scan();
@@ -137,14 +141,15 @@
         stopped.push(...vacate(this.claimTable, freeByMachine, () => this.shared.spareCapacity(this.partitionId), now));
       this.#pushAll(stopped);
       if (this.mayGrant(now))
-        for (const machine of toCall(this.claimTable, now)) this.#messages.callForReport(machine, now);
+        for (const machine of machinesToSolicit(this.claimTable, now))
+          this.#commandSender.requestHeartbeat(machine, now);
     }
     void this.#writes.run();
   }
 
   #pushAll(stopped: readonly TaskEntry[]): void {
     for (const machine of new Set(stopped.map((s) => s.claim!.machine))) {
-      this.#messages.stop(
+      this.#commandSender.stop(
         machine,
         stopped.filter((s) => s.claim!.machine === machine),
       );
--- a/packages/daemon/src/worker-messages.ts
+++ b/packages/daemon/src/worker-command-sender.ts
@@ -3,7 +3,7 @@
 import { decodeHeartbeat, encodeDirectCommands } from '@gingerlock/wire';
 import type { Shared } from './shared';
 
-export class WorkerMessages {
+export class WorkerCommandSender {
   constructor(
     readonly shared: Shared,
     readonly claimTable: ClaimTable,
@@ -32,8 +32,8 @@
    * Has a machine report now rather than in its own time, by showing it a higher token of the same term: a waiting task
    * is planned for it. It still is the report that claims the task, and the start rides in the answer.
    */
-  callForReport(machine: Machine, now: number): void {
-    const body = encodeDirectCommands(this.claimTable.call(machine, now), machine.agentEpoch, []);
+  requestHeartbeat(machine: Machine, now: number): void {
+    const body = encodeDirectCommands(this.claimTable.requestHeartbeat(machine, now), machine.agentEpoch, []);
     const { http, clusterConfig, log } = this.shared;
     http(machine.addr, 'POST', '/commands', body, clusterConfig.heartbeatIntervalMs).catch((error: unknown) => {
       // Then it reports in its own time.
@@ -46,7 +46,7 @@
    * an old owner that still answers it steps down. Neither answer is taken as proof of anything: it can overtake a start
    * that is under way.
    */
-  async showTerm(name: string, addr: string, knownAgentEpoch: number | undefined): Promise<void> {
+  async announceTerm(name: string, addr: string, knownAgentEpoch: number | undefined): Promise<void> {
     const { http, clusterConfig, log } = this.shared;
     try {
       const agentEpoch =
