--- a/packages/borrowing/src/victims.ts
+++ b/packages/borrowing/src/victims.ts
@@ -9,7 +9,7 @@
 const SETTLED_MS = 30_000;
 
 /** Replicas of services of this rank are stopped for nobody. */
-const PRODUCTION_RANK = PRIORITIES.indexOf('production');
+const PRODUCTION_PRIORITY = PRIORITIES.indexOf('production');
 
 /** Why a task may be stopped: for work of higher priority, or to give a team its guarantee. */
 export type ReclaimReason = 'priority' | 'guarantee';
@@ -62,7 +62,7 @@
 /** Why the job may have the candidate stopped, or null: it may not. See PROTOCOL, "Preemption", and docs/borrowing-design.md. */
 export function reasonToStop(job: Job, victim: Job, accounts: Accounts): ReclaimReason | null {
   if (isProtectedReplica(job, victim)) return null;
-  if (victim.rank > job.ownRank) return 'priority';
+  if (victim.effectivePriority > job.ownPriority) return 'priority';
   if (victim.spec.team === job.spec.team) return null;
   const account = accounts.of(job.spec.team);
   return account !== undefined && isWithinGuarantee(account, job.spec) ? 'guarantee' : null;
@@ -72,7 +72,10 @@
 function isProtectedReplica(job: Job, victim: Job): boolean {
   if (victim.isGroup) return true;
   if (victim.spec.kind !== 'service') return false;
-  return victim.ownRank === PRODUCTION_RANK || (job.spec.kind === 'service' && victim.rank < job.ownRank);
+  return (
+    victim.ownPriority === PRODUCTION_PRIORITY ||
+    (job.spec.kind === 'service' && victim.effectivePriority < job.ownPriority)
+  );
 }
 
 /** Whether the victim's team has its guarantee without this and what else is stopped of it here. Stopping for one's own team is its affair. */
@@ -112,7 +115,9 @@
   const order = candidates
     .filter((candidate) => isStoppable(candidate) && reasonToStop(job, candidate.job, accounts) !== null)
     .map((candidate) => ({ candidate, loss: lossOf(candidate) }))
-    .sort((a, b) => compareLoss(a.loss, b.loss) || b.candidate.job.rank - a.candidate.job.rank);
+    .sort(
+      (a, b) => compareLoss(a.loss, b.loss) || b.candidate.job.effectivePriority - a.candidate.job.effectivePriority,
+    );
   const chosen: Candidate[] = [];
   const stopped = new Map<string, Resources>();
   let available = free;
--- a/packages/core/src/assignment.ts
+++ b/packages/core/src/assignment.ts
@@ -30,7 +30,7 @@
   /** Left after its claims and after the waiting tasks that the owner expects to bind here. */
   readonly free: Resources;
   /** What stopping its claims of each rank would free, and what waiting tasks of that rank are expected to take. */
-  readonly byRank: readonly Resources[];
+  readonly byPriority: readonly Resources[];
   readonly images: readonly string[];
   readonly takesWork: boolean;
   readonly draining: boolean;
@@ -122,7 +122,7 @@
   readonly partitionId: number;
   readonly term: number;
   free: Resources;
-  byRank: Resources[];
+  byPriority: Resources[];
 }
 
 /**
@@ -170,7 +170,7 @@
         if (r.partitionId === partitionId && r.machine === machine.name && r.revision > revision)
           free = subtractResources(free, r.need);
       }
-      bins.push({ machine, partitionId, term, free, byRank: [...machine.byRank] });
+      bins.push({ machine, partitionId, term, free, byPriority: [...machine.byPriority] });
     }
   }
   return bins;
@@ -380,7 +380,7 @@
     return this.#bins
       .filter((bin) => suits(job, bin))
       .map((bin) => {
-        const capacity = countFitting(job.spec, preempting ? freeWithout(bin, job.ownRank) : bin.free);
+        const capacity = countFitting(job.spec, preempting ? freeWithout(bin, job.ownPriority) : bin.free);
         const stopMs = preempting && !fitsIn(job.spec, bin.free) ? STOP_MS : 0;
         const ms = cost(job, bin, this.input, undefined) + stopMs;
         return { machine: bin.machine.name, zone: bin.machine.zone, capacity, cost: ms };
@@ -472,8 +472,8 @@
   return mergeRanges(sorted.map((place, i) => ({ from: indices[i]!, count: 1, ...place })));
 }
 
-function shapeOf({ ownRank, spec }: Job): string {
-  return [ownRank, spec.cpus, spec.gpus, spec.memoryGb, spec.zone, spec.spot, ...(spec.types ?? [])].join();
+function shapeOf({ ownPriority, spec }: Job): string {
+  return [ownPriority, spec.cpus, spec.gpus, spec.memoryGb, spec.zone, spec.spot, ...(spec.types ?? [])].join();
 }
 
 /** Groups of one shape all have room or none; one that avoids a machine still waits for the next assignment. */
@@ -537,14 +537,14 @@
     if (!fitsIn(job.spec, bin.free)) {
       if (!input.preempts) continue;
       let available = bin.free;
-      let rank = bin.byRank.length - 1;
-      for (; rank > job.ownRank && !fitsIn(job.spec, available); rank--)
-        available = addResources(available, bin.byRank[rank]!);
+      let priority = bin.byPriority.length - 1;
+      for (; priority > job.ownPriority && !fitsIn(job.spec, available); priority--)
+        available = addResources(available, bin.byPriority[priority]!);
       if (!fitsIn(job.spec, available)) continue;
       // By preemption: as an owner reckons it.
       c += STOP_MS + input.clusterConfig.heartbeatIntervalMs / 2;
       // Work that is urgent itself goes only when there is no other room.
-      if (rank < URGENT) c += SERVICE_VICTIM_MS;
+      if (priority < URGENT) c += SERVICE_VICTIM_MS;
     }
     if (c < bestCost) {
       best = bin;
@@ -555,15 +555,19 @@
 }
 
 /** What the bin has without all work that is less urgent. */
-function freeWithout(bin: Bin, ownRank: number): Resources {
-  return bin.byRank.slice(ownRank + 1).reduce((sum, resources) => addResources(sum, resources), bin.free);
+function freeWithout(bin: Bin, ownPriority: number): Resources {
+  return bin.byPriority.slice(ownPriority + 1).reduce((sum, resources) => addResources(sum, resources), bin.free);
 }
 
 /** Takes the task's room from the bin, by preemption of the least urgent work where it is not free. */
 function take(bin: Bin, job: Job): void {
-  for (let rank = bin.byRank.length - 1; rank > job.ownRank && !fitsIn(job.spec, bin.free); rank--) {
-    bin.free = addResources(bin.free, bin.byRank[rank]!);
-    bin.byRank[rank] = NO_RESOURCES;
+  for (
+    let priority = bin.byPriority.length - 1;
+    priority > job.ownPriority && !fitsIn(job.spec, bin.free);
+    priority--
+  ) {
+    bin.free = addResources(bin.free, bin.byPriority[priority]!);
+    bin.byPriority[priority] = NO_RESOURCES;
   }
   bin.free = subtractResources(bin.free, job.spec);
 }
--- a/packages/core/src/claim-queries.ts
+++ b/packages/core/src/claim-queries.ts
@@ -137,23 +137,23 @@
 }
 
 /** The rank under which the leader is told of a task: members of replica groups make way for nobody, whatever their priority. */
-export function toldRank(job: Job): number {
-  return job.isGroup ? 0 : job.rank;
+export function advertisedPriority(job: Job): number {
+  return job.isGroup ? 0 : job.effectivePriority;
 }
 
 /**
  * What waiting tasks are expected to take of each machine, by rank: they hold nothing yet and give way to more urgent ones.
  * Told as neither free nor theirs, batch work that waited had room rented for services to come.
  */
-export function plannedByRank(claimTable: ClaimView): Map<Machine, Resources[]> {
+export function plannedByPriority(claimTable: ClaimView): Map<Machine, Resources[]> {
   const planned = new Map<Machine, Resources[]>();
   for (const job of claimTable.wakes()) {
     for (const { plan } of claimTable.waitingTasks(job)) {
       if (plan === null) continue;
-      const byRank = planned.get(plan.machine) ?? PRIORITIES.map(() => NO_RESOURCES);
-      const rank = toldRank(job);
-      byRank[rank] = addResources(byRank[rank]!, job.spec);
-      planned.set(plan.machine, byRank);
+      const byPriority = planned.get(plan.machine) ?? PRIORITIES.map(() => NO_RESOURCES);
+      const priority = advertisedPriority(job);
+      byPriority[priority] = addResources(byPriority[priority]!, job.spec);
+      planned.set(plan.machine, byPriority);
     }
   }
   return planned;
--- a/packages/core/src/dependencies.ts
+++ b/packages/core/src/dependencies.ts
@@ -106,20 +106,20 @@
   #deriveUrgency(job: Job): boolean {
     const { spec } = job;
     const estimateMs = spec.estimateS * 1000;
-    let rank = job.ownRank;
+    let priority = job.ownPriority;
     let endBy = spec.deadlineS === null ? Infinity : job.acceptedAt + spec.deadlineS * 1000;
     let inPipeline = spec.awaits.length > 0;
     for (const id of this.dependentsOf(job.id)) {
       const dependent = this.jobs.live.get(id);
       if (dependent === undefined || dependent.cancelled) continue;
       inPipeline = true;
-      rank = Math.min(rank, dependent.rank);
+      priority = Math.min(priority, dependent.effectivePriority);
       endBy = Math.min(endBy, dependent.startBy);
     }
     // Outside of pipelines the order of arrival stands.
     const startBy = inPipeline ? endBy - estimateMs : Infinity;
-    if (rank === job.rank && startBy === job.startBy) return false;
-    job.rank = rank;
+    if (priority === job.effectivePriority && startBy === job.startBy) return false;
+    job.effectivePriority = priority;
     job.startBy = startBy;
     return true;
   }
--- a/packages/core/src/fleet.ts
+++ b/packages/core/src/fleet.ts
@@ -3,7 +3,7 @@
 import type { MachineStatus, PartitionStatus, Unmet } from './assignment';
 import { FleetInventory, type KnownMachine } from './fleet-inventory';
 import { machineUse } from './machine-use';
-import { BATCH_RANK, isSuspect, VacatingPlan } from './vacating';
+import { BATCH_PRIORITY, isSuspect, VacatingPlan } from './vacating';
 import { type RentalOption, unitPrice } from './rental-choice';
 import { type PlannedRental, placeOf, RentalPlan } from './rental-plan';
 import {
@@ -143,7 +143,7 @@
     for (const m of machines) {
       if (machineUse(m) === 'idle') f.idle++;
       if (m.spot) continue;
-      const batch = m.byRank.reduce((sum, a, rank) => sum + (rank >= BATCH_RANK ? a.gpus : 0), 0);
+      const batch = m.byPriority.reduce((sum, a, priority) => sum + (priority >= BATCH_PRIORITY ? a.gpus : 0), 0);
       f.batch += batch;
       f.free += m.free.gpus;
       f.used += (types.get(m.type)?.gpus ?? 0) - m.free.gpus - batch;
@@ -361,5 +361,5 @@
 
 /** What a machine has for new services: batch work makes way for them. */
 function gpusForServices(m: MachineStatus): number {
-  return m.byRank.reduce((sum, a, rank) => sum + (rank >= BATCH_RANK ? a.gpus : 0), m.free.gpus);
+  return m.byPriority.reduce((sum, a, priority) => sum + (priority >= BATCH_PRIORITY ? a.gpus : 0), m.free.gpus);
 }
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -4,7 +4,7 @@
 export * from './assigned-ranges';
 export * from './claims';
 export { TOKENS_PER_TERM, termOfToken } from './fencing-tokens';
-export { plannedByRank, toldRank } from './claim-queries';
+export { plannedByPriority, advertisedPriority } from './claim-queries';
 export * from './members';
 export * from './failure-attribution';
 export * from './trials';
--- a/packages/core/src/jobs.ts
+++ b/packages/core/src/jobs.ts
@@ -55,7 +55,7 @@
   assignedRanges: readonly AssignedRange[] = [];
   version = 0;
   /** Urgency as a number, 0 goes first: its own or that of the most urgent job that needs it. */
-  rank = Infinity;
+  effectivePriority = Infinity;
   /** Latest start (time of day, ms) by which the pipeline that it is part of keeps its deadline; Infinity: none. */
   startBy = Infinity;
   /** By key. */
@@ -65,7 +65,7 @@
   constructor(readonly id: string) {}
 
   /** Urgency by its own priority alone: what it may stop others for. */
-  get ownRank(): number {
+  get ownPriority(): number {
     return PRIORITIES.indexOf(this.spec.priority);
   }
 
@@ -101,7 +101,7 @@
 
 /** The most urgent first; of these the ones of pipelines by the time that is left to them, all others as they came. */
 export function jobOrder(a: Job, b: Job): number {
-  return a.rank - b.rank || orderTime(a) - orderTime(b) || (a.id < b.id ? -1 : 1);
+  return a.effectivePriority - b.effectivePriority || orderTime(a) - orderTime(b) || (a.id < b.id ? -1 : 1);
 }
 
 function orderTime(job: Job): number {
--- a/packages/core/src/machine-use.ts
+++ b/packages/core/src/machine-use.ts
@@ -12,8 +12,8 @@
  * Summaries have no field for it: one that is `empty` holds nothing, so what it tells by rank is what is planned. Owners of earlier versions
  * do not tell what is planned; their machines are either in use or idle.
  */
-export function machineUse({ empty, byRank }: Pick<MachineStatus, 'empty' | 'byRank'>): MachineUse {
+export function machineUse({ empty, byPriority }: Pick<MachineStatus, 'empty' | 'byPriority'>): MachineUse {
   if (!empty) return 'in use';
-  const isPlanned = byRank.some(({ cpus, gpus, memoryGb }) => cpus > 0 || gpus > 0 || memoryGb > 0);
+  const isPlanned = byPriority.some(({ cpus, gpus, memoryGb }) => cpus > 0 || gpus > 0 || memoryGb > 0);
   return isPlanned ? 'planned' : 'idle';
 }
--- a/packages/core/src/placement.ts
+++ b/packages/core/src/placement.ts
@@ -76,8 +76,14 @@
   need: Resources = task.job.spec,
 ): TaskEntry[] | null {
   const candidates = [...machine.claims.values()]
-    .filter((s) => s.job.rank > task.job.ownRank && !s.job.isGroup && s.claim!.stopGraceS === null && !doomed.has(s))
-    .sort((a, b) => b.job.rank - a.job.rank || b.claim!.grantedAt - a.claim!.grantedAt);
+    .filter(
+      (s) =>
+        s.job.effectivePriority > task.job.ownPriority &&
+        !s.job.isGroup &&
+        s.claim!.stopGraceS === null &&
+        !doomed.has(s),
+    )
+    .sort((a, b) => b.job.effectivePriority - a.job.effectivePriority || b.claim!.grantedAt - a.claim!.grantedAt);
   const victims: TaskEntry[] = [];
   let available = free;
   for (const candidate of candidates) {
--- a/packages/core/src/rental-plan.ts
+++ b/packages/core/src/rental-plan.ts
@@ -100,7 +100,7 @@
 
   /** Room for all that runs on a machine that will most likely be gone. */
   replace(machine: MachineStatus): void {
-    const need = machine.byRank.reduce((sum, a) => addResources(sum, a), NO_RESOURCES);
+    const need = machine.byPriority.reduce((sum, a) => addResources(sum, a), NO_RESOURCES);
     if (need.cpus <= 0 && need.gpus <= 0) return;
     const { isSilent } = this.input;
     const bin = this.#bins.find((b) => b.spot === machine.spot && !isSilent(b.zone) && fitsIn(need, b.free));
--- a/packages/core/src/vacating.ts
+++ b/packages/core/src/vacating.ts
@@ -6,7 +6,7 @@
 import { bootMsOf, type ClusterConfig, type Partitioner, SUSPECT_INTERVALS } from './facts';
 
 /** Work of this rank and below makes way for services. */
-export const BATCH_RANK = PRIORITIES.indexOf('normal');
+export const BATCH_PRIORITY = PRIORITIES.indexOf('normal');
 
 /** A machine that could not be emptied in so many boot times is let be for three times as long. */
 const VACATE_BOOTS = 2;
@@ -51,8 +51,8 @@
       const type = types.get(m.type);
       const size = type?.gpus ?? 0;
       if (m.evictionNotice || m.unhealthy || isSuspect(m, this.clusterConfig)) continue;
-      const sum = (from: number, to: number): number => m.byRank.slice(from, to).reduce((n, a) => n + a.gpus, 0);
-      const used = m.spot ? sum(0, m.byRank.length) : sum(0, BATCH_RANK);
+      const sum = (from: number, to: number): number => m.byPriority.slice(from, to).reduce((n, a) => n + a.gpus, 0);
+      const used = m.spot ? sum(0, m.byPriority.length) : sum(0, BATCH_PRIORITY);
       if (m.spot) spot.used += used;
       if (m.takesWork && m.spot) spot.free += m.free.gpus;
       else if (m.takesWork) freeIn.set(m.zone, (freeIn.get(m.zone) ?? 0) + m.free.gpus);
--- a/packages/daemon/src/partition-status.ts
+++ b/packages/daemon/src/partition-status.ts
@@ -5,9 +5,9 @@
   type Machine,
   type MachineStatus,
   NO_RESOURCES,
-  plannedByRank,
+  plannedByPriority,
   addResources,
-  toldRank,
+  advertisedPriority,
 } from '@gingerlock/core';
 import type { PartitionStatus } from '@gingerlock/core';
 import { PRIORITIES } from '@gingerlock/wire';
@@ -22,7 +22,7 @@
   revision: number,
   now: number,
 ): PartitionStatus {
-  const planned = plannedByRank(claimTable);
+  const planned = plannedByPriority(claimTable);
   const machines = [...claimTable.machines.values()].map((machine) =>
     machineStatusOf(
       claimTable,
@@ -49,10 +49,10 @@
   planned: readonly Resources[],
   now: number,
 ): MachineStatus {
-  const byRank = [...planned];
+  const byPriority = [...planned];
   for (const task of m.claims.values()) {
-    const rank = toldRank(task.job);
-    if (task.claim!.stopGraceS === null) byRank[rank] = addResources(byRank[rank]!, task.job.spec);
+    const priority = advertisedPriority(task.job);
+    if (task.claim!.stopGraceS === null) byPriority[priority] = addResources(byPriority[priority]!, task.job.spec);
   }
   return {
     name: m.name,
@@ -61,7 +61,7 @@
     spot: m.spot,
     agentEpoch: m.agentEpoch,
     free: available ?? NO_RESOURCES,
-    byRank,
+    byPriority,
     images: m.cache.images(),
     takesWork: claimTable.takesWork(m, now) && available !== undefined,
     draining: m.draining,
--- a/packages/daemon/src/status-fragments.ts
+++ b/packages/daemon/src/status-fragments.ts
@@ -20,7 +20,7 @@
 function machineBytes(machine: MachineStatus): number {
   const texts = [machine.name, machine.type, machine.zone, ...machine.images];
   const textBytes = texts.reduce((sum, text) => sum + Buffer.byteLength(text) + LENGTH_BYTES, 0);
-  return MACHINE_BYTES + textBytes + RESOURCES_BYTES * (machine.byRank.length + 1);
+  return MACHINE_BYTES + textBytes + RESOURCES_BYTES * (machine.byPriority.length + 1);
 }
 
 function runningBytes({ job }: Running): number {
@@ -38,7 +38,7 @@
   const head = { owner, partitionId, term, revision, missing };
   const machines: PeerMachineStatus[] = status.machines.map((machine) => ({
     ...machine,
-    byRank: [...machine.byRank],
+    byPriority: [...machine.byPriority],
     images: [...machine.images],
   }));
   const running = status.running.map(([job, tasks]) => ({ job, tasks }));
--- a/packages/peer/src/messages.ts
+++ b/packages/peer/src/messages.ts
@@ -35,7 +35,7 @@
         spot: 'boolean',
         agentEpoch: 'long',
         free: resources,
-        byRank: { type: 'array', items: 'Resources' },
+        byPriority: { type: 'array', items: 'Resources' },
         images: { type: 'array', items: 'string' },
         takesWork: 'boolean',
         draining: 'boolean',
@@ -151,7 +151,7 @@
   spot: boolean;
   agentEpoch: number;
   free: PeerResources;
-  byRank: PeerResources[];
+  byPriority: PeerResources[];
   images: string[];
   takesWork: boolean;
   draining: boolean;
