--- a/packages/borrowing/src/execution.ts
+++ b/packages/borrowing/src/execution.ts
@@ -129,7 +129,7 @@
 /** The tasks that the room is kept for and that no machine holds yet. */
 export function waitingTasks(table: ClaimTable, record: ReclaimRecord): TaskEntry[] {
   const isWaiting = ({ state, job }: TaskEntry): boolean =>
-    !job.cancelled && (state === 'waiting' || state === 'uncertain' || state === 'leaving');
+    !job.cancelled && (state === 'waiting' || state === 'uncertain' || state === 'returning');
   return tasksOf(table, record).filter(isWaiting);
 }
 
--- a/packages/borrowing/src/planner.ts
+++ b/packages/borrowing/src/planner.ts
@@ -7,11 +7,11 @@
   type MachineStatus,
   NO_RESOURCES,
   type PartitionStatus,
-  type Place,
+  type Placement,
   addResources,
   SUSPECT_INTERVALS,
   allowsMachine,
-  type Unmet,
+  type UnschedulableDemand,
   ZoneChoice,
   subtractResources,
 } from '@gingerlock/core';
@@ -36,7 +36,7 @@
   readonly job: Job;
   readonly tasks: readonly number[];
   /** Where each task goes, in the same order. */
-  readonly places: readonly Place[];
+  readonly placements: readonly Placement[];
   readonly machine: string;
   readonly victims: readonly TaskAttempt[];
   readonly reason: ReclaimReason;
@@ -62,7 +62,7 @@
   readonly clusterConfig: ClusterConfig;
   readonly settings: BorrowingSettings;
   readonly jobs: ReadonlyMap<string, Job>;
-  readonly unmet: readonly Unmet[];
+  readonly unschedulable: readonly UnschedulableDemand[];
   readonly statuses: readonly PartitionStatus[];
   /** By machine that takes work: what is left there after all assignments. */
   readonly free: ReadonlyMap<string, Resources>;
@@ -108,13 +108,18 @@
   constructor(input: PlannerInput) {
     this.#input = input;
     const view = new ClaimsView(input);
-    this.#accounts = new Accounts(input.clusterConfig, input.jobs.values(), view.surelyRunning, waitingOf(input.unmet));
+    this.#accounts = new Accounts(
+      input.clusterConfig,
+      input.jobs.values(),
+      view.surelyRunning,
+      waitingOf(input.unschedulable),
+    );
     this.#sources = view.sources;
     this.#machines = input.statuses.reduce((sum, status) => sum + status.machines.length, 0);
   }
 
   run(): Plan {
-    for (const unmet of this.#input.unmet) this.#plan(unmet);
+    for (const unschedulable of this.#input.unschedulable) this.#plan(unschedulable);
     return { decisions: this.#decisions, refused: this.#refused, accounts: this.#accounts.all() };
   }
 
@@ -124,7 +129,7 @@
     return Math.min(this.#input.most, atOnce - this.#input.pending.length);
   }
 
-  #plan({ job, count }: Unmet): void {
+  #plan({ job, count }: UnschedulableDemand): void {
     if (this.#accounts.of(job.spec.team) === undefined) return;
     let left = count;
     const tasks = waitingTasks(job, count);
@@ -175,22 +180,22 @@
   /** Decides on room for as many of the tasks as the machine can be made to hold. */
   #take(job: Job, source: Source, tasks: readonly number[], zones: ZoneChoice): { count: number; unused: number[] } {
     const { machineStatus, partitionId, term } = source;
-    const places: Place[] = [];
+    const placements: Placement[] = [];
     const victims: Candidate[] = [];
     let reason: ReclaimReason | null = null;
     let loss: Loss | null = null;
     let left = source;
-    while (places.length < tasks.length) {
+    while (placements.length < tasks.length) {
       const choice = this.#mayTake(job, machineStatus.zone, zones) ? this.#choose(job, left) : null;
       if (choice === null || this.#isRentSooner(job, choice)) break;
-      places.push({ partitionId, zone: zones.take(machineStatus.zone), term });
+      placements.push({ partitionId, zone: zones.take(machineStatus.zone), term });
       victims.push(...choice.victims);
       reason = choice.reason === 'guarantee' ? 'guarantee' : (reason ?? choice.reason);
       loss = loss === null ? choice.loss : addLoss(loss, choice.loss);
       this.#settle(job, choice);
       left = withoutVictims(left, choice, job);
     }
-    const count = places.length;
+    const count = placements.length;
     if (count > 0) {
       this.#sources.delete(machineStatus.name);
       const taken = victims.map(({ held: { task: taskName, attempt } }) => ({ task: taskName, attempt }));
@@ -198,7 +203,7 @@
       this.#decisions.push({
         job,
         tasks: tasks.slice(0, count),
-        places,
+        placements,
         machine,
         victims: taken,
         reason: reason ?? 'priority',
@@ -324,9 +329,9 @@
   return tasks;
 }
 
-function waitingOf(unmet: readonly Unmet[]): Map<string, Resources> {
+function waitingOf(unschedulable: readonly UnschedulableDemand[]): Map<string, Resources> {
   const waiting = new Map<string, Resources>();
-  for (const { job, count } of unmet) {
+  for (const { job, count } of unschedulable) {
     const { team } = job.spec;
     waiting.set(team, addResources(waiting.get(team) ?? NO_RESOURCES, job.spec, count));
   }
--- a/packages/borrowing/test/planner.test.ts
+++ b/packages/borrowing/test/planner.test.ts
@@ -58,7 +58,7 @@
     clusterConfig: clusterConfigOf(teams),
     settings: { maxShare: 1 },
     jobs,
-    unmet: waiting.map((job) => ({ job, count: job.spec.tasks, zones: null })),
+    unschedulable: waiting.map((job) => ({ job, count: job.spec.tasks, zones: null })),
     statuses: [status],
     free,
     claims: [{ partitionId: 0, term: 3, revision: 1, machines: claims }],
@@ -239,7 +239,7 @@
       const stopped = new Set(victimsOf(plan));
       assert.equal(stopped.size, victimsOf(plan).length);
       assert.equal(new Set(plan.decisions.map(({ machine }) => machine)).size, plan.decisions.length);
-      for (const { job, machine, victims, tasks, places } of plan.decisions) {
+      for (const { job, machine, victims, tasks, placements } of plan.decisions) {
         const held = fleet.held.get(machine)!;
         const specs = victims.map(({ task }) => {
           assert.ok(held.some((h) => h.task === task));
@@ -252,7 +252,7 @@
             !fitsIn(addResources(NO_RESOURCES, job.spec, tasks.length), subtractResources(available, spec)) ||
               tasks.length > 1,
           );
-        assert.equal(tasks.length, places.length);
+        assert.equal(tasks.length, placements.length);
         for (const spec of specs) assert.ok(spec.team !== 'gone');
       }
       const before = useOf(fleet, new Set());
--- a/packages/core/src/assignment.ts
+++ b/packages/core/src/assignment.ts
@@ -60,11 +60,11 @@
   /** What is added to the rounds of its record. */
   readonly added: readonly AssignedRange[];
   /** Which machine each task was meant for: counted against its room until the owner's summary shows it. */
-  readonly meant: readonly { machine: string; need: Resources }[];
+  readonly intended: readonly { machine: string; need: Resources }[];
 }
 
 /** Tasks that have no room anywhere, though their team's limit allows them. */
-export interface Unmet {
+export interface UnschedulableDemand {
   readonly job: Job;
   readonly count: number;
   /** Zones it may go to; null: any. */
@@ -82,7 +82,7 @@
 export interface GroupPlacement {
   readonly job: Job;
   /** By rank. */
-  readonly members: readonly (Place & { readonly machine: string })[];
+  readonly members: readonly (Placement & { readonly machine: string })[];
 }
 
 export interface AssignmentInput {
@@ -91,10 +91,10 @@
   readonly jobs: Iterable<Job>;
   readonly statuses: readonly PartitionStatus[];
   /** Assignments that a summary may not show yet. */
-  readonly recent: readonly { revision: number; machine: string; partitionId: number; need: Resources }[];
+  readonly pendingAssignments: readonly { revision: number; machine: string; partitionId: number; need: Resources }[];
   readonly clusterConfig: ClusterConfig;
   readonly types: ReadonlyMap<string, MachineType>;
-  readonly most: number;
+  readonly maxAssignments: number;
   /** Whether tasks may be assigned to room that is got by stopping work of lower priority. */
   readonly preempts: boolean;
   /**
@@ -109,7 +109,7 @@
 /** What one assignment of all jobs came to. */
 export interface AssignmentResult {
   readonly assignments: readonly Assignment[];
-  readonly unmet: readonly Unmet[];
+  readonly unschedulable: readonly UnschedulableDemand[];
   readonly groups: readonly GroupPlacement[];
   /** Machines with room for some members of a group that lacks room for others. */
   readonly partlyFittingMachines: ReadonlySet<string>;
@@ -117,7 +117,7 @@
   readonly free: ReadonlyMap<string, Resources>;
 }
 
-interface Bin {
+interface MachineBin {
   readonly machine: MachineStatus;
   readonly partitionId: number;
   readonly term: number;
@@ -152,7 +152,7 @@
   for (const job of ordered) run.assign(job);
   return {
     assignments: run.assignments,
-    unmet: run.unmet,
+    unschedulable: run.unschedulable,
     groups: run.groups,
     partlyFittingMachines: run.partlyFittingMachines,
     free: run.free(),
@@ -160,13 +160,13 @@
 }
 
 /** What is free on the machines that take work, less what earlier assignments will take there. */
-function binsOf({ statuses, recent }: AssignmentInput): Bin[] {
-  const bins: Bin[] = [];
+function machineBinsOf({ statuses, pendingAssignments }: AssignmentInput): MachineBin[] {
+  const bins: MachineBin[] = [];
   for (const { machines, partitionId, term, revision } of statuses) {
     for (const machine of machines) {
       if (!machine.takesWork) continue;
       let { free } = machine;
-      for (const r of recent) {
+      for (const r of pendingAssignments) {
         if (r.partitionId === partitionId && r.machine === machine.name && r.revision > revision)
           free = subtractResources(free, r.need);
       }
@@ -177,10 +177,10 @@
 }
 
 /** The places found for one job's tasks. */
-interface JobPlaces {
+interface JobPlacements {
   readonly indices: number[];
-  readonly places: Place[];
-  readonly meant: { machine: string; need: Resources }[];
+  readonly placements: Placement[];
+  readonly intended: { machine: string; need: Resources }[];
   /** Tasks that the team's limit allows and that found no room. */
   missing: number;
 }
@@ -231,19 +231,19 @@
 /** One assignment of all jobs, and what it has used up so far. */
 class AssignmentRun {
   readonly assignments: Assignment[] = [];
-  readonly unmet: Unmet[] = [];
+  readonly unschedulable: UnschedulableDemand[] = [];
   readonly groups: GroupPlacement[] = [];
   readonly partlyFittingMachines = new Set<string>();
   /** Shapes of groups that found no room, with the zones in which room would be of use: rooms only shrink. */
-  readonly #fullGroups = new Map<string, readonly string[]>();
+  readonly #groupShapesWithoutRoom = new Map<string, readonly string[]>();
   /** Whether a group keeps room already that is not enough for it: at most one does. */
   #isCapacityHeld = false;
-  readonly #bins: Bin[];
-  readonly #use: Map<string, Resources>;
+  readonly #bins: MachineBin[];
+  readonly #usedByTeam: Map<string, Resources>;
   /** Shapes of tasks for which there is no room left: rooms only shrink, so nobody looks for them again. */
-  readonly #full = new Set<string>();
+  readonly #shapesWithoutRoom = new Set<string>();
   /** Jobs of which tasks within their team's guarantee were looked at: how many found room, and how many did not. */
-  readonly #begun = new Map<string, { readonly placed: number; readonly missing: number }>();
+  readonly #placedWithinGuarantee = new Map<string, { readonly placed: number; readonly missing: number }>();
   /** GPUs that are free on all machines together. */
   #freeGpus: number;
 
@@ -251,8 +251,8 @@
     readonly input: AssignmentInput,
     jobs: readonly Job[],
   ) {
-    this.#bins = binsOf(input);
-    this.#use = teamUse(jobs);
+    this.#bins = machineBinsOf(input);
+    this.#usedByTeam = teamUse(jobs);
     this.#freeGpus = this.#bins.reduce((sum, bin) => sum + Math.max(0, bin.free.gpus), 0);
   }
 
@@ -269,12 +269,12 @@
       this.#assignGroup(job, team);
       return;
     }
-    const begun = this.#begun.get(job.id);
+    const begun = this.#placedWithinGuarantee.get(job.id);
     if (begun !== undefined) {
       this.#missRest(job, ranges, team, begun);
       return;
     }
-    const allowed = countWithinLimit(team, this.#use.get(team.name) ?? NO_RESOURCES, job.spec);
+    const allowed = countWithinLimit(team, this.#usedByTeam.get(team.name) ?? NO_RESOURCES, job.spec);
     if (allowed === 0) return;
     const zones = new ZoneChoice(job, () => bestZone(job, this.#bins));
     if (isTried(job, this.input.trials)) this.#assignTrial(job, ranges, zones);
@@ -286,11 +286,11 @@
     const ranges = job.unassigned();
     const team = this.input.clusterConfig.teams.get(job.spec.team);
     if (ranges.length === 0 || team === undefined || job.isGroup || isTried(job, this.input.trials)) return;
-    const used = this.#use.get(team.name) ?? NO_RESOURCES;
+    const used = this.#usedByTeam.get(team.name) ?? NO_RESOURCES;
     const allowed = Math.min(countWithinLimit(team, used, job.spec), countWithinGuarantee(team, used, job.spec));
     if (allowed === 0) return;
     const zones = new ZoneChoice(job, () => bestZone(job, this.#bins));
-    this.#begun.set(job.id, this.#assignTasks(job, ranges, allowed, zones, 0));
+    this.#placedWithinGuarantee.set(job.id, this.#assignTasks(job, ranges, allowed, zones, 0));
   }
 
   #assignTasks(
@@ -300,12 +300,16 @@
     zones: ZoneChoice,
     heldBackGpus: number,
   ): { placed: number; missing: number } {
-    const { indices, places, meant, missing } = this.#place(job, ranges, allowed, zones, heldBackGpus);
+    const { indices, placements, intended, missing } = this.#findPlacements(job, ranges, allowed, zones, heldBackGpus);
     const { team } = job.spec;
-    this.#use.set(team, addResources(this.#use.get(team) ?? NO_RESOURCES, job.spec, places.length + missing));
-    if (places.length > 0) this.assignments.push({ job, added: assignedRangesOf(indices, places), meant });
-    if (missing > 0) this.unmet.push({ job, count: missing, zones: zones.open(this.input.clusterConfig.zones) });
-    return { placed: places.length, missing };
+    this.#usedByTeam.set(
+      team,
+      addResources(this.#usedByTeam.get(team) ?? NO_RESOURCES, job.spec, placements.length + missing),
+    );
+    if (placements.length > 0) this.assignments.push({ job, added: assignedRangesOf(indices, placements), intended });
+    if (missing > 0)
+      this.unschedulable.push({ job, count: missing, zones: zones.open(this.input.clusterConfig.zones) });
+    return { placed: placements.length, missing };
   }
 
   /** Where not even what the team is guaranteed found room, there is none for the rest of the job. */
@@ -316,27 +320,27 @@
     { placed, missing }: { placed: number; missing: number },
   ): void {
     if (placed > 0 || missing === 0) return;
-    const used = this.#use.get(team.name) ?? NO_RESOURCES;
+    const used = this.#usedByTeam.get(team.name) ?? NO_RESOURCES;
     const waiting = ranges.reduce((sum, [from, count]) => sum + unfinishedIn(job, { from, count }), 0);
     const rest = Math.min(waiting - missing, countWithinLimit(team, used, job.spec));
-    const at = this.unmet.findIndex((entry) => entry.job === job);
+    const at = this.unschedulable.findIndex((entry) => entry.job === job);
     if (rest <= 0 || at < 0) return;
-    this.unmet[at] = { ...this.unmet[at]!, count: missing + rest };
-    this.#use.set(team.name, addResources(used, job.spec, rest));
+    this.unschedulable[at] = { ...this.unschedulable[at]!, count: missing + rest };
+    this.#usedByTeam.set(team.name, addResources(used, job.spec, rest));
   }
 
   /** Assigns all members of a replica group, or none. */
   #assignGroup(job: Job, team: Team): void {
-    const { groups, most, preempts } = this.input;
-    const used = this.#use.get(team.name) ?? NO_RESOURCES;
+    const { groups, maxAssignments: most, preempts } = this.input;
+    const used = this.#usedByTeam.get(team.name) ?? NO_RESOURCES;
     if (groups === null || !groups.mayPlace(job) || countWithinLimit(team, used, job.spec) < job.spec.tasks) return;
     const needGpus = job.spec.gpus * job.spec.tasks;
     const isHeldBack = needGpus > 0 && this.#freeGpus - needGpus < this.#heldBackFrom(team);
     const isFree = !isHeldBack && this.assignments.length + this.groups.length < most;
     const shape = groupShapeOf(job);
-    const zonesOfLike = this.#fullGroups.get(shape);
+    const zonesOfLike = this.#groupShapesWithoutRoom.get(shape);
     if (zonesOfLike !== undefined) {
-      this.unmet.push({ job, count: job.spec.tasks, zones: zonesOfLike });
+      this.unschedulable.push({ job, count: job.spec.tasks, zones: zonesOfLike });
       return;
     }
     const free = groups.choose(job, isFree ? this.#candidates(job, false) : []);
@@ -345,8 +349,8 @@
       this.#placeGroup(job, choice);
       return;
     }
-    this.unmet.push({ job, count: free.missing, zones: free.zones });
-    if (isFree) this.#fullGroups.set(shape, free.zones);
+    this.unschedulable.push({ job, count: free.missing, zones: free.zones });
+    if (isFree) this.#groupShapesWithoutRoom.set(shape, free.zones);
     for (const { machine } of free.chosen) this.partlyFittingMachines.add(machine);
     if (this.#isCapacityHeld || !groups.holdsPartialCapacity(job)) return;
     this.#isCapacityHeld = true;
@@ -367,11 +371,14 @@
     });
     // Members are alike: ranks follow the places, so that the record needs one round for each place.
     members.sort((a, b) => a.partitionId - b.partitionId || (a.zone ?? '').localeCompare(b.zone ?? ''));
-    this.#use.set(job.spec.team, addResources(this.#use.get(job.spec.team) ?? NO_RESOURCES, job.spec, members.length));
+    this.#usedByTeam.set(
+      job.spec.team,
+      addResources(this.#usedByTeam.get(job.spec.team) ?? NO_RESOURCES, job.spec, members.length),
+    );
     this.groups.push({ job, members });
   }
 
-  #binOf(machine: string): Bin {
+  #binOf(machine: string): MachineBin {
     return this.#bins.find((bin) => bin.machine.name === machine)!;
   }
 
@@ -399,7 +406,8 @@
   #assignTrial(job: Job, ranges: readonly [number, number][], zones: ZoneChoice): void {
     const { input } = this;
     const { trials, now } = input;
-    if (assignedUnfinished(job) > 0 || !trials.mayTry(job.id, now) || this.assignments.length >= input.most) return;
+    if (assignedUnfinished(job) > 0 || !trials.mayTry(job.id, now) || this.assignments.length >= input.maxAssignments)
+      return;
     const free = this.#bins.filter((bin) => fitsIn(job.spec, bin.free));
     const last = trials.lastPartitionId(job.id);
     const allows = (zone: string): boolean => zones.allows(zone);
@@ -407,24 +415,24 @@
     const bin = pick(job, elsewhere, input, allows, undefined) ?? pick(job, free, input, allows, undefined);
     if (bin === undefined) return;
     this.#take(bin, job);
-    const place = { partitionId: bin.partitionId, zone: zones.take(bin.machine.zone), term: bin.term };
-    const meant = [{ machine: bin.machine.name, need: job.spec }];
-    this.#use.set(job.spec.team, addResources(this.#use.get(job.spec.team) ?? NO_RESOURCES, job.spec));
-    this.assignments.push({ job, added: assignedRangesOf([ranges[0]![0]], [place]), meant });
+    const placement = { partitionId: bin.partitionId, zone: zones.take(bin.machine.zone), term: bin.term };
+    const intended = [{ machine: bin.machine.name, need: job.spec }];
+    this.#usedByTeam.set(job.spec.team, addResources(this.#usedByTeam.get(job.spec.team) ?? NO_RESOURCES, job.spec));
+    this.assignments.push({ job, added: assignedRangesOf([ranges[0]![0]], [placement]), intended });
   }
 
-  #place(
+  #findPlacements(
     job: Job,
     ranges: readonly [number, number][],
     allowed: number,
     zones: ZoneChoice,
     heldBackGpus: number,
-  ): JobPlaces {
-    const found: JobPlaces = { indices: [], places: [], meant: [], missing: 0 };
+  ): JobPlacements {
+    const found: JobPlacements = { indices: [], placements: [], intended: [], missing: 0 };
     for (const [from, count] of ranges) {
       for (let index = from; index < from + count; index++) {
         if (job.isFinished(index)) continue;
-        if (found.places.length + found.missing >= allowed) return found;
+        if (found.placements.length + found.missing >= allowed) return found;
         const isHeldBack = heldBackGpus > 0 && job.spec.gpus > 0 && this.#freeGpus - job.spec.gpus < heldBackGpus;
         const bin = isHeldBack ? undefined : this.#binFor(job, zones, found);
         if (bin === undefined) {
@@ -433,43 +441,43 @@
         }
         this.#take(bin, job);
         found.indices.push(index);
-        found.places.push({ partitionId: bin.partitionId, zone: zones.take(bin.machine.zone), term: bin.term });
-        found.meant.push({ machine: bin.machine.name, need: job.spec });
+        found.placements.push({ partitionId: bin.partitionId, zone: zones.take(bin.machine.zone), term: bin.term });
+        found.intended.push({ machine: bin.machine.name, need: job.spec });
       }
     }
     return found;
   }
 
-  #take(bin: Bin, job: Job): void {
+  #take(bin: MachineBin, job: Job): void {
     this.#freeGpus -= job.spec.gpus;
     take(bin, job);
   }
 
-  #binFor(job: Job, zones: ZoneChoice, { places, missing }: JobPlaces): Bin | undefined {
+  #binFor(job: Job, zones: ZoneChoice, { placements, missing }: JobPlacements): MachineBin | undefined {
     const { input } = this;
-    if (missing > 0 || this.assignments.length >= input.most) return undefined;
+    if (missing > 0 || this.assignments.length >= input.maxAssignments) return undefined;
     const shape = shapeOf(job);
-    if (this.#full.has(shape)) return undefined;
-    const lastPartitionId = places.at(-1)?.partitionId ?? job.assignedRanges.at(-1)?.partitionId;
+    if (this.#shapesWithoutRoom.has(shape)) return undefined;
+    const lastPartitionId = placements.at(-1)?.partitionId ?? job.assignedRanges.at(-1)?.partitionId;
     const bin = pick(job, this.#bins, input, (zone) => zones.allows(zone), lastPartitionId);
     // With zones of its own to keep to, it says nothing of others.
-    if (bin === undefined && !job.spec.spread && !job.spec.oneZone) this.#full.add(shape);
+    if (bin === undefined && !job.spec.spread && !job.spec.oneZone) this.#shapesWithoutRoom.add(shape);
     return bin;
   }
 }
 
 /** Where one more task of a job is to run. */
-export type Place = Omit<AssignedRange, 'from' | 'count'>;
+export type Placement = Omit<AssignedRange, 'from' | 'count'>;
 
 /**
  * Shares out the tasks, which are all alike, so that those of one place follow each other: one round for each place
  * instead of one for each task keeps the record of a large job within the limit on values.
  */
-export function assignedRangesOf(indices: readonly number[], places: readonly Place[]): AssignedRange[] {
-  const sorted = [...places].sort(
+export function assignedRangesOf(indices: readonly number[], placements: readonly Placement[]): AssignedRange[] {
+  const sorted = [...placements].sort(
     (a, b) => a.partitionId - b.partitionId || (a.zone ?? '').localeCompare(b.zone ?? ''),
   );
-  return mergeRanges(sorted.map((place, i) => ({ from: indices[i]!, count: 1, ...place })));
+  return mergeRanges(sorted.map((placement, i) => ({ from: indices[i]!, count: 1, ...placement })));
 }
 
 function shapeOf({ ownPriority, spec }: Job): string {
@@ -482,12 +490,12 @@
   return [shapeOf(job), tasks, spread, oneZone].join();
 }
 
-function suits(job: Job, bin: Bin): boolean {
+function suits(job: Job, bin: MachineBin): boolean {
   return allowsMachine(job.spec, bin.machine.type, bin.machine.zone, bin.machine.spot);
 }
 
 /** The zone in which most tasks of the job fit now. */
-function bestZone(job: Job, bins: readonly Bin[]): string | null {
+function bestZone(job: Job, bins: readonly MachineBin[]): string | null {
   const byZone = new Map<string, number>();
   for (const bin of bins) {
     if (!suits(job, bin) || !fitsIn(job.spec, bin.free)) continue;
@@ -505,7 +513,7 @@
 const APART = 4;
 
 /** How soon the task would run there, in milliseconds, with ties broken towards what is fuller already. */
-function cost(job: Job, bin: Bin, input: AssignmentInput, lastPartitionId: number | undefined): number {
+function cost(job: Job, bin: MachineBin, input: AssignmentInput, lastPartitionId: number | undefined): number {
   const type = input.types.get(bin.machine.type);
   const fetch = fetchMs(job.spec.imageGb, bin.machine.images.includes(job.spec.image), type);
   // Ordinary machines are dear: work that may run on spot goes there unless it would wait for longer than this.
@@ -523,12 +531,12 @@
 
 function pick(
   job: Job,
-  bins: readonly Bin[],
+  bins: readonly MachineBin[],
   input: AssignmentInput,
   zoneAllowed: (zone: string) => boolean,
   lastPartitionId: number | undefined,
-): Bin | undefined {
-  let best: Bin | undefined;
+): MachineBin | undefined {
+  let best: MachineBin | undefined;
   let bestCost = Infinity;
   for (const bin of bins) {
     if (!zoneAllowed(bin.machine.zone) || !suits(job, bin)) continue;
@@ -555,12 +563,12 @@
 }
 
 /** What the bin has without all work that is less urgent. */
-function freeWithout(bin: Bin, ownPriority: number): Resources {
+function freeWithout(bin: MachineBin, ownPriority: number): Resources {
   return bin.byPriority.slice(ownPriority + 1).reduce((sum, resources) => addResources(sum, resources), bin.free);
 }
 
 /** Takes the task's room from the bin, by preemption of the least urgent work where it is not free. */
-function take(bin: Bin, job: Job): void {
+function take(bin: MachineBin, job: Job): void {
   for (
     let priority = bin.byPriority.length - 1;
     priority > job.ownPriority && !fitsIn(job.spec, bin.free);
--- a/packages/core/src/claim-queries.ts
+++ b/packages/core/src/claim-queries.ts
@@ -18,11 +18,11 @@
 const CUT_INTERVALS = 4;
 
 /** A replica that was moved waits for a machine of this partition that has its image for so many report intervals. */
-const MOVING_INTERVALS = 2;
+const CACHED_IMAGE_WAIT_INTERVALS = 2;
 
 /** Whether a replica that was moved waits for a machine here that has its image. */
-export function isMovingOn(task: TaskEntry, now: number, clusterConfig: ClusterConfig): boolean {
-  return task.moving && now - task.since < clusterConfig.heartbeatIntervalMs * MOVING_INTERVALS;
+export function waitsForCachedImage(task: TaskEntry, now: number, clusterConfig: ClusterConfig): boolean {
+  return task.isRelocating && now - task.since < clusterConfig.heartbeatIntervalMs * CACHED_IMAGE_WAIT_INTERVALS;
 }
 
 /** Tasks by their jobs, each once. */
@@ -44,7 +44,11 @@
  * Tasks that can be given back to the leader, by job: those of cancelled jobs that surely run nowhere, those of failing jobs that
  * are no trial, members of a replica group of which the generation ends, and those that have waited a while for room that this partition does not have.
  */
-export function returnableTasks(table: ClaimView, stuck: readonly TaskEntry[], now: number): Map<string, TaskEntry[]> {
+export function returnableTasks(
+  table: ClaimView,
+  unschedulable: readonly TaskEntry[],
+  now: number,
+): Map<string, TaskEntry[]> {
   const { heartbeatIntervalMs } = table.clusterConfig;
   const back = new TasksByJob();
   for (const tasksByIndex of table.tasksByJob.values()) {
@@ -53,15 +57,15 @@
       if (task.job.isGroup && task.state === 'waiting' && table.members.mustReturn(task)) back.add(task);
     }
   }
-  for (const task of stuck) {
-    if (task.state === 'waiting' && (now - task.since > heartbeatIntervalMs / 2 || task.moving)) back.add(task);
+  for (const task of unschedulable) {
+    if (task.state === 'waiting' && (now - task.since > heartbeatIntervalMs / 2 || task.isRelocating)) back.add(task);
   }
   for (const job of table.wakes()) {
     const isFailing = table.isFailing(job);
     for (const task of table.waitingTasks(job)) {
       if (isFailing && !table.mayStart(task) && now - task.since > heartbeatIntervalMs) back.add(task);
       const isCached = task.plan?.machine.cache.has(job.spec.image) ?? true;
-      if (!isCached && isMovingOn(task, now, table.clusterConfig)) back.add(task);
+      if (!isCached && waitsForCachedImage(task, now, table.clusterConfig)) back.add(task);
     }
   }
   return back.lists();
--- a/packages/core/src/claims.ts
+++ b/packages/core/src/claims.ts
@@ -431,7 +431,7 @@
       runningSince: null,
       stopGraceS: null,
     });
-    task.moving = false;
+    task.isRelocating = false;
     task.startedIn = this.members.generationOf(task.job);
     this.log('task bound', { task: task.name, machine: m.name, attempt, cached, waitedMs });
     this.#reconciler.useImage(m, task.job);
@@ -470,37 +470,37 @@
   }
 
   /** The tasks that can be given back to the leader, by job; see `returnableTasks`. */
-  giveBack(stuck: readonly TaskEntry[], now: number): Map<string, TaskEntry[]> {
-    return returnableTasks(this, stuck, now);
+  returnable(unschedulable: readonly TaskEntry[], now: number): Map<string, TaskEntry[]> {
+    return returnableTasks(this, unschedulable, now);
   }
 
   /** The record's change is on its way: until its outcome is known nobody may be granted these. */
-  leaving(tasks: readonly TaskEntry[], now: number): void {
+  beginReturn(tasks: readonly TaskEntry[], now: number): void {
     for (const task of tasks) {
       if (task.state !== 'waiting') continue;
-      this.#tasks.transition(task, 'leaving', now);
-      task.leavingVersion = task.job.version;
+      this.#tasks.transition(task, 'returning', now);
+      task.returningVersion = task.job.version;
     }
   }
 
   /** The change that would have given these back did not happen and never will. */
-  stayed(tasks: readonly TaskEntry[], now: number): void {
+  cancelReturn(tasks: readonly TaskEntry[], now: number): void {
     for (const task of tasks)
-      if (task.state === 'leaving' && this.findTask(task.name) === task) this.#tasks.transition(task, 'waiting', now);
+      if (task.state === 'returning' && this.findTask(task.name) === task) this.#tasks.transition(task, 'waiting', now);
   }
 
   /** The completed tasks that are to be written now, by job; see `tasksToFinish`. */
-  finishing(now: number, patienceMs: number): Map<string, TaskEntry[]> {
+  tasksToFinish(now: number, patienceMs: number): Map<string, TaskEntry[]> {
     return tasksToFinish(this, now, patienceMs);
   }
 
   /** What services lack whose tasks nobody has reported; see `missingServices`. */
-  missing(now: number): Resources {
+  missingServices(now: number): Resources {
     return missingServices(this, now);
   }
 
   /** How many tasks of each job run here, for display. */
-  running(): Map<string, number> {
+  runningTasks(): Map<string, number> {
     return runningTasks(this);
   }
 }
--- a/packages/core/src/vacating.ts
+++ b/packages/core/src/consolidation.ts
@@ -9,7 +9,7 @@
 export const BATCH_PRIORITY = PRIORITIES.indexOf('normal');
 
 /** A machine that could not be emptied in so many boot times is let be for three times as long. */
-const VACATE_BOOTS = 2;
+const CONSOLIDATION_BOOTS = 2;
 
 /** Room for coming batch work that is kept on spot machines, as a share of what is in use there. */
 const SPOT_SPARE = 0.25;
@@ -19,14 +19,14 @@
   return m.silentMs > clusterConfig.heartbeatIntervalMs * SUSPECT_INTERVALS;
 }
 
-export interface VacatingInput {
+export interface ConsolidationInput {
   readonly now: number;
   readonly types: ReadonlyMap<string, MachineType>;
   readonly partitioner: Partitioner;
   readonly pinned?: ReadonlySet<string>;
 }
 
-export class VacatingPlan {
+export class ConsolidationPlan {
   /** Machines that are being emptied, or could not be, and since when. */
   #since: ReadonlyMap<string, number> = new Map();
 
@@ -37,7 +37,7 @@
    * replicas last for minutes, so the owner moves them to where they are up again at once, if it can.
    */
   add(
-    input: VacatingInput,
+    input: ConsolidationInput,
     machinesByName: ReadonlyMap<string, MachineStatus>,
     drain: Set<string>,
     draining: ReadonlySet<string>,
@@ -71,14 +71,14 @@
     candidates.sort(
       (a, b) => order(a) - order(b) || b.price - a.price || a.used - b.used || (a.m.name < b.m.name ? -1 : 1),
     );
-    const vacating = new Map<string, number>();
+    const consolidating = new Map<string, number>();
     const busy = new Set<number>();
     for (const { m, used, size } of candidates) {
       const bootMs = bootMsOf(types.get(m.type));
       const since = this.#since.get(m.name) ?? now;
       // If it could not be emptied in this time it is let be for a while.
-      if (now - since > bootMs * VACATE_BOOTS) {
-        if (now - since < bootMs * VACATE_BOOTS * 4) vacating.set(m.name, since);
+      if (now - since > bootMs * CONSOLIDATION_BOOTS) {
+        if (now - since < bootMs * CONSOLIDATION_BOOTS * 4) consolidating.set(m.name, since);
         continue;
       }
       const kind = m.spot ? 'spot' : 'ordinary';
@@ -93,9 +93,9 @@
         freeIn.set(m.zone, others - used);
       }
       spare[kind] -= cost;
-      vacating.set(m.name, since);
+      consolidating.set(m.name, since);
       drain.add(m.name);
     }
-    this.#since = vacating;
+    this.#since = consolidating;
   }
 }
--- a/packages/core/src/fleet.ts
+++ b/packages/core/src/fleet.ts
@@ -1,9 +1,9 @@
 // What the leader rents, drains and returns. It only plans; the controller talks to the cloud and to the owners.
 import { type CloudMachine, isRentable, type JobSpec, type MachineType, type RentRequest } from '@gingerlock/wire';
-import type { MachineStatus, PartitionStatus, Unmet } from './assignment';
+import type { MachineStatus, PartitionStatus, UnschedulableDemand } from './assignment';
 import { FleetInventory, type KnownMachine } from './fleet-inventory';
 import { machineUse } from './machine-use';
-import { BATCH_PRIORITY, isSuspect, VacatingPlan } from './vacating';
+import { BATCH_PRIORITY, isSuspect, ConsolidationPlan } from './consolidation';
 import { type RentalOption, unitPrice } from './rental-choice';
 import { type PlannedRental, placeOf, RentalPlan } from './rental-plan';
 import {
@@ -29,7 +29,7 @@
   readonly now: number;
   readonly types: ReadonlyMap<string, MachineType>;
   readonly statuses: readonly PartitionStatus[];
-  readonly unmet: readonly Unmet[];
+  readonly unschedulable: readonly UnschedulableDemand[];
   readonly partitioner: Partitioner;
   /** Machines that are neither emptied nor given back while idle. */
   readonly pinned?: ReadonlySet<string>;
@@ -63,7 +63,7 @@
   /** Zones in which most machines have fallen silent, and until when nothing is rented there for that. */
   readonly #silentZones = new Map<string, number>();
   #draining = new Set<string>();
-  readonly #vacating: VacatingPlan;
+  readonly #consolidation: ConsolidationPlan;
   #counter = 0;
 
   constructor(
@@ -72,7 +72,7 @@
     readonly limits: FleetLimits,
   ) {
     this.#inventory = new FleetInventory(clusterConfig);
-    this.#vacating = new VacatingPlan(clusterConfig);
+    this.#consolidation = new ConsolidationPlan(clusterConfig);
   }
 
   rented(names: readonly string[], r: RentRequest, now: number): void {
@@ -286,7 +286,7 @@
     let free = 0;
     for (const m of machinesByName.values()) if (!m.spot && m.takesWork) free += gpusForServices(m);
     const headroom = this.#headroom(input, machinesByName);
-    plan.serve(input.unmet, headroom - free);
+    plan.serve(input.unschedulable, headroom - free);
     plan.keepSpare(free, headroom);
     // Names are never reused: they carry the leader's term.
     return { rent: plan.requests(() => `r-${this.term}-${++this.#counter}`), kept: plan.kept };
@@ -339,8 +339,9 @@
       // The owner says that it binds nothing there any more and that nothing is there.
       if (m.draining) giveBack.push(m.name);
     }
-    const isShort = input.unmet.some(({ job }) => !this.#waitsForSpot(job.spec));
-    if (!renting && !isShort) this.#vacating.add(input, machinesByName, drain, this.#draining, ordinary - headroom);
+    const isShort = input.unschedulable.some(({ job }) => !this.#waitsForSpot(job.spec));
+    if (!renting && !isShort)
+      this.#consolidation.add(input, machinesByName, drain, this.#draining, ordinary - headroom);
   }
 
   /**
--- a/packages/core/src/granting.ts
+++ b/packages/core/src/granting.ts
@@ -1,6 +1,6 @@
 // Which waiting tasks the machine that reports now may take, in the order of their jobs.
 import type { ClaimView } from './claim-view';
-import { isMovingOn } from './claim-queries';
+import { waitsForCachedImage } from './claim-queries';
 import { allowsMachine } from './facts';
 import type { GrantCapacity } from './grant-capacity';
 import type { Job } from './jobs';
@@ -42,5 +42,5 @@
   if (task.notBefore > now || (task.zone !== null && task.zone !== machine.zone)) return false;
   if (task.job.isGroup) return view.members.mayStart(task, machine);
   if (!view.mayStart(task) || betterElsewhere(view, task, machine, now)) return false;
-  return !isMovingOn(task, now, view.clusterConfig) || machine.cache.has(task.job.spec.image);
+  return !waitsForCachedImage(task, now, view.clusterConfig) || machine.cache.has(task.job.spec.image);
 }
--- a/packages/core/src/stranded-tasks.ts
+++ b/packages/core/src/immovable-demand.ts
@@ -1,11 +1,11 @@
 // Tasks that are assigned to a partition which has no machine for them, and that their owner can't give back.
 import type { MachineType } from '@gingerlock/wire';
-import type { MachineStatus, PartitionStatus, Unmet } from './assignment';
+import type { MachineStatus, PartitionStatus, UnschedulableDemand } from './assignment';
 import { fitsIn, type Partitioner, allowsMachine } from './facts';
 import { unfinishedIn } from './job-use';
 import type { Job } from './jobs';
 
-export interface StrandedTasksInput {
+export interface ImmovableDemandInput {
   readonly jobs: Iterable<Job>;
   readonly statuses: readonly PartitionStatus[];
   readonly types: ReadonlyMap<string, MachineType>;
@@ -19,17 +19,17 @@
  * An owner gives tasks back by a smaller record of their job. Where the state service takes none, as after its limit on values was lowered,
  * they can run in their partition alone: a machine has to be rented there, or they wait for ever.
  */
-export function strandedTasks(input: StrandedTasksInput): Unmet[] {
-  const stranded: Unmet[] = [];
+export function findImmovableDemand(input: ImmovableDemandInput): UnschedulableDemand[] {
+  const immovable: UnschedulableDemand[] = [];
   for (const job of input.jobs) {
     if (job.cancelled || job.assignedRanges.length === 0 || !input.isFrozen(job)) continue;
     for (const status of input.statuses) {
       const count = waitingIn(job, status);
       if (count <= 0 || status.machines.some((machine) => couldTake(machine, job, input.types))) continue;
-      stranded.push({ job, count, zones: zonesFor(job, status.partitionId, input) });
+      immovable.push({ job, count, zones: zonesFor(job, status.partitionId, input) });
     }
   }
-  return stranded;
+  return immovable;
 }
 
 /** How many tasks of the job wait in the partition; none while its summary is older than the assignment. */
@@ -53,7 +53,7 @@
 }
 
 /** The zones whose machines belong to the partition, some of them at least, and to which its tasks of the job are bound. */
-function zonesFor(job: Job, partitionId: number, { partitioner, zones }: StrandedTasksInput): string[] {
+function zonesFor(job: Job, partitionId: number, { partitioner, zones }: ImmovableDemandInput): string[] {
   const bound = new Set(
     job.assignedRanges.filter((range) => range.partitionId === partitionId).map((range) => range.zone),
   );
--- a/packages/core/src/packing.ts
+++ b/packages/core/src/placement-planner.ts
@@ -2,24 +2,24 @@
 // it, which machines are called for it, and which replicas leave machines that are to go.
 import type { ClaimView } from './claim-view';
 import { type Resources, fitsIn, NO_RESOURCES, addResources, allowsMachine, subtractResources } from './facts';
-import { bestPlan, leastVictims } from './placement';
-import type { Machine, Plan, SpareCapacity, TaskEntry } from './task-entry';
+import { bestPlacement, leastVictims } from './placement';
+import type { Machine, PlannedPlacement, SpareCapacity, TaskEntry } from './task-entry';
 
 /** A task that is stopped gets a little more than it says it needs for saving. */
 const SAVE_SLACK = 1.25;
 
 /** A start counts for the users if nothing stops the task within 30 s, says the protocol: no replica is moved before. */
-const MOVED_AFTER_MS = 30_000;
+const MIN_RUN_BEFORE_RELOCATION_MS = 30_000;
 
 /**
  * Packs the waiting tasks into the rooms as the coming reports would, stopping work of lower priority where that is
  * the soonest. Returns what is left of each room, the tasks that no machine of this part can take, and what was told
  * to stop.
  */
-export function pack(
+export function planPlacements(
   claimTable: ClaimView,
   now: number,
-): { freeByMachine: Map<Machine, Resources>; stuck: TaskEntry[]; stopped: TaskEntry[] } {
+): { freeByMachine: Map<Machine, Resources>; unschedulable: TaskEntry[]; stopped: TaskEntry[] } {
   const freeByMachine = new Map<Machine, Resources>();
   for (const m of claimTable.machines.values()) {
     if (!claimTable.takesWork(m, now)) continue;
@@ -29,55 +29,57 @@
       if (task.claim!.stopGraceS !== null) available = addResources(available, task.job.spec);
     freeByMachine.set(m, subtractResources(available, claimTable.reservations.reservedOn(m.name)));
   }
-  const stuck: TaskEntry[] = [];
-  const doomed = new Set<TaskEntry>();
+  const unschedulable: TaskEntry[] = [];
+  const preempted = new Set<TaskEntry>();
   for (const job of claimTable.wakes()) {
     for (const task of claimTable.waitingTasks(job)) {
       task.plan = null;
       if (job.isGroup) {
-        packMember(claimTable, task, freeByMachine, doomed);
+        planMember(claimTable, task, freeByMachine, preempted);
         continue;
       }
       // Held back, and given back in time: no machine is kept for it, none is asked for.
       if (!claimTable.mayStart(task)) continue;
-      task.plan = keptPlan(claimTable, task, freeByMachine);
+      task.plan = reservedPlacement(claimTable, task, freeByMachine);
       if (task.plan !== null) continue;
-      task.plan = bestPlan(claimTable, task, freeByMachine, doomed, now);
+      task.plan = bestPlacement(claimTable, task, freeByMachine, preempted, now);
       if (task.plan === null) {
-        stuck.push(task);
+        unschedulable.push(task);
         continue;
       }
       let available = freeByMachine.get(task.plan.machine)!;
       for (const victim of task.plan.victims) {
-        doomed.add(victim);
+        preempted.add(victim);
         available = addResources(available, victim.job.spec);
       }
       freeByMachine.set(task.plan.machine, subtractResources(available, job.spec));
       if (task.notBefore <= now) for (const victim of task.plan.victims) preempt(claimTable, victim, task);
     }
   }
-  return { freeByMachine, stuck, stopped: [...doomed].filter((s) => s.claim?.stopGraceS !== null) };
+  return { freeByMachine, unschedulable, stopped: [...preempted].filter((s) => s.claim?.stopGraceS !== null) };
 }
 
 /**
  * A member of a replica group waits for the machine on which its room is kept, and for no other. Where that is not free yet, work of lower
  * priority makes way, if enough of it does.
  */
-function packMember(
+function planMember(
   claimTable: ClaimView,
   task: TaskEntry,
   freeByMachine: Map<Machine, Resources>,
-  doomed: Set<TaskEntry>,
+  preempted: Set<TaskEntry>,
 ): void {
-  task.plan = keptPlan(claimTable, task, freeByMachine);
+  task.plan = reservedPlacement(claimTable, task, freeByMachine);
   if (task.plan === null || !claimTable.preempts) return;
   const { machine } = task.plan;
   // What is kept there is counted in already: nothing may be lacking.
   const available = freeByMachine.get(machine)!;
-  const victims = fitsIn(NO_RESOURCES, available) ? [] : leastVictims(machine, task, available, doomed, NO_RESOURCES);
+  const victims = fitsIn(NO_RESOURCES, available)
+    ? []
+    : leastVictims(machine, task, available, preempted, NO_RESOURCES);
   if (victims === null || victims.length === 0) return;
   for (const victim of victims) {
-    doomed.add(victim);
+    preempted.add(victim);
     preempt(claimTable, victim, task);
   }
   freeByMachine.set(
@@ -87,7 +89,11 @@
 }
 
 /** The machine on which room is kept for the task, which is counted in already; null: it has none, or it takes no work now. */
-function keptPlan(claimTable: ClaimView, task: TaskEntry, freeByMachine: ReadonlyMap<Machine, Resources>): Plan | null {
+function reservedPlacement(
+  claimTable: ClaimView,
+  task: TaskEntry,
+  freeByMachine: ReadonlyMap<Machine, Resources>,
+): PlannedPlacement | null {
   const kept = claimTable.reservations.reservedMachineFor(task.name);
   const machine = kept === null ? undefined : claimTable.machines.get(kept);
   return machine === undefined || !freeByMachine.has(machine) ? null : { machine, ms: 0, victims: [] };
@@ -116,10 +122,10 @@
  * their image is, in this part if the machine can be called, or in another. A machine is left as it is unless all can
  * move, and one is emptied at a time. Returns what is to be stopped.
  */
-export function vacate(
+export function relocateReplicas(
   claimTable: ClaimView,
   freeByMachine: ReadonlyMap<Machine, Resources>,
-  others: () => readonly SpareCapacity[],
+  remoteSpareCapacity: () => readonly SpareCapacity[],
   now: number,
 ): TaskEntry[] {
   for (const job of claimTable.wakes()) {
@@ -133,10 +139,10 @@
     // A replica group moves as a whole or not at all.
     if (replicas.length === 0 || replicas.some((s) => s.job.isGroup)) continue;
     if (replicas.some((s) => s.claim!.stopGraceS !== null || s.claim!.stage !== 'running')) continue;
-    if (replicas.some((s) => now - s.claim!.grantedAt < MOVED_AFTER_MS)) continue;
-    spareCapacity ??= [...spareCapacityIn(claimTable, freeByMachine, now), ...others()];
+    if (replicas.some((s) => now - s.claim!.grantedAt < MIN_RUN_BEFORE_RELOCATION_MS)) continue;
+    spareCapacity ??= [...spareCapacityIn(claimTable, freeByMachine, now), ...remoteSpareCapacity()];
     const left = new Map<SpareCapacity, Resources>();
-    const moves = replicas.every(({ job: { spec }, zone }) => {
+    const canRelocateAll = replicas.every(({ job: { spec }, zone }) => {
       for (const r of spareCapacity!) {
         const free = left.get(r) ?? r.free;
         if (!fitsIn(spec, free) || !r.images.includes(spec.image)) continue;
@@ -146,10 +152,10 @@
       }
       return false;
     });
-    if (!moves) continue;
+    if (!canRelocateAll) continue;
     for (const task of replicas) {
       task.claim!.stopGraceS = 0;
-      task.moving = true;
+      task.isRelocating = true;
       claimTable.log('replica moved', { task: task.name, machine: m.name });
     }
     return replicas;
--- a/packages/core/src/placement.ts
+++ b/packages/core/src/placement.ts
@@ -6,7 +6,7 @@
 import type { MachineType } from '@gingerlock/wire';
 import type { ClaimView } from './claim-view';
 import { type Resources, fitsIn, addResources, allowsMachine } from './facts';
-import type { Machine, Plan, TaskEntry } from './task-entry';
+import type { Machine, PlannedPlacement, TaskEntry } from './task-entry';
 import { fetchMs, SERVICE_VICTIM_MS, STOP_MS } from './start-time';
 
 /** Whether a task could be bound to the machine if it had the room. */
@@ -24,17 +24,17 @@
 }
 
 /** The machine of the part that would run the task soonest, given what is left of each room; null: none could. */
-export function bestPlan(
+export function bestPlacement(
   claimTable: ClaimView,
   task: TaskEntry,
   freeByMachine: ReadonlyMap<Machine, Resources>,
-  doomed: ReadonlySet<TaskEntry>,
+  preempted: ReadonlySet<TaskEntry>,
   now: number,
-): Plan | null {
+): PlannedPlacement | null {
   const spec = task.job.spec;
   const { heartbeatIntervalMs } = claimTable.clusterConfig;
   const mayPreempt = claimTable.preempts && !claimTable.isFailing(task.job);
-  let best: Plan | null = null;
+  let best: PlannedPlacement | null = null;
   let bestCost = Infinity;
   for (const [machine, available] of freeByMachine) {
     if (!suits(claimTable, task, machine, now)) continue;
@@ -45,7 +45,7 @@
     let victims: readonly TaskEntry[] = [];
     if (!fitsIn(spec, available)) {
       if (!mayPreempt) continue;
-      const found = leastVictims(machine, task, available, doomed);
+      const found = leastVictims(machine, task, available, preempted);
       if (found === null) continue;
       victims = found;
       // Until they have stopped, and their lost work. A replica that is stopped is missed at once, so that is for when
@@ -72,7 +72,7 @@
   machine: Machine,
   task: TaskEntry,
   free: Resources,
-  doomed: ReadonlySet<TaskEntry>,
+  preempted: ReadonlySet<TaskEntry>,
   need: Resources = task.job.spec,
 ): TaskEntry[] | null {
   const candidates = [...machine.claims.values()]
@@ -81,7 +81,7 @@
         s.job.effectivePriority > task.job.ownPriority &&
         !s.job.isGroup &&
         s.claim!.stopGraceS === null &&
-        !doomed.has(s),
+        !preempted.has(s),
     )
     .sort((a, b) => b.job.effectivePriority - a.job.effectivePriority || b.claim!.grantedAt - a.claim!.grantedAt);
   const victims: TaskEntry[] = [];
--- a/packages/core/src/rental-plan.ts
+++ b/packages/core/src/rental-plan.ts
@@ -1,6 +1,6 @@
 // What one review of the fleet rents: for what runs on suspect machines, for waiting tasks, and for spare room.
 import { isRentable, type JobSpec, type MachineType, type RentRequest } from '@gingerlock/wire';
-import type { MachineStatus, Unmet } from './assignment';
+import type { MachineStatus, UnschedulableDemand } from './assignment';
 import {
   type Resources,
   type ClusterConfig,
@@ -122,10 +122,10 @@
   }
 
   /** Machines for tasks that have no room, the first the most urgent. `spareGpus`: what spare room is short of. */
-  serve(unmet: readonly Unmet[], spareGpus: number): void {
+  serve(unschedulable: readonly UnschedulableDemand[], spareGpus: number): void {
     const spare = spareDemand(spareGpus);
-    const demands = unmet.map(({ job: { spec }, count }) => demandOf(spec, count));
-    unmet.forEach((entry, at) => {
+    const demands = unschedulable.map(({ job: { spec }, count }) => demandOf(spec, count));
+    unschedulable.forEach((entry, at) => {
       const following = (): RentalDemand[] => [...demands.slice(at + 1), spare];
       for (let left = entry.count; left > 0; left--) {
         if (!this.#serveOne(entry, { ...demands[at]!, count: left }, following)) return;
@@ -134,7 +134,11 @@
   }
 
   /** Finds or rents room for one task; false: none can be had. */
-  #serveOne({ job: { spec }, zones }: Unmet, demand: RentalDemand, following: () => readonly RentalDemand[]): boolean {
+  #serveOne(
+    { job: { spec }, zones }: UnschedulableDemand,
+    demand: RentalDemand,
+    following: () => readonly RentalDemand[],
+  ): boolean {
     const onlySpot = this.input.onlySpot(spec);
     const inZones = (zone: string): boolean => zones === null || zones.includes(zone);
     const ready = this.#bins.find(
--- a/packages/core/src/task-entry.ts
+++ b/packages/core/src/task-entry.ts
@@ -11,15 +11,15 @@
  * finishing: completed; the state service has yet to be told.
  * leaving:   a change of the job's record that gives it back is on its way.
  */
-export type TaskEntryState = 'uncertain' | 'waiting' | 'claimed' | 'finishing' | 'leaving';
+export type TaskEntryState = 'uncertain' | 'waiting' | 'claimed' | 'finishing' | 'returning';
 
 /** To which state a slot may go from each. */
 export const TASK_TRANSITIONS: Record<TaskEntryState, readonly TaskEntryState[]> = {
   uncertain: ['waiting', 'claimed', 'finishing'],
-  waiting: ['claimed', 'leaving', 'finishing'],
+  waiting: ['claimed', 'returning', 'finishing'],
   claimed: ['waiting', 'finishing'],
   finishing: ['claimed'],
-  leaving: ['waiting', 'claimed', 'finishing'],
+  returning: ['waiting', 'claimed', 'finishing'],
 };
 
 export interface Claim {
@@ -36,7 +36,7 @@
 }
 
 /** Where a waiting task would run soonest. */
-export interface Plan {
+export interface PlannedPlacement {
   readonly machine: Machine;
   /** How soon it would run there, about. */
   readonly ms: number;
@@ -69,11 +69,11 @@
   notBefore: number;
   failures: number;
   /** Where it would run soonest, by the last packing. */
-  plan: Plan | null;
+  plan: PlannedPlacement | null;
   /** Stopped so that its machine can go: it waits only for a machine that has its image, or goes back to the leader. */
-  moving: boolean;
+  isRelocating: boolean;
   /** Version of the job's record on which the change that gives this task back is conditional. */
-  leavingVersion: number;
+  returningVersion: number;
   /** Of a member of a replica group: the generation in which it was started here; 0: it was not. */
   startedIn: number;
   /** Not assigned here any more by the newest record, and kept only until its claim ends. */
--- a/packages/core/src/task-table.ts
+++ b/packages/core/src/task-table.ts
@@ -102,8 +102,8 @@
       notBefore: 0,
       failures: 0,
       plan: null,
-      moving: false,
-      leavingVersion: 0,
+      isRelocating: false,
+      returningVersion: 0,
       startedIn: 0,
       withdrawn: false,
     };
@@ -143,7 +143,7 @@
     task.term = term;
     task.zone = zone;
     // Only a newer record proves that the change under way can not happen any more.
-    if (task.state === 'leaving' && task.job.version !== task.leavingVersion) this.transition(task, 'waiting', now);
+    if (task.state === 'returning' && task.job.version !== task.returningVersion) this.transition(task, 'waiting', now);
     if (task.claim === null || zone === null || task.claim.machine.zone === zone) return false;
     this.options.alarm('claimed task is assigned to another zone', { task: task.name, zone });
     return this.#stop(task);
--- a/packages/core/test/assigned-ranges.test.ts
+++ b/packages/core/test/assigned-ranges.test.ts
@@ -9,25 +9,25 @@
   { partitionId: fc.nat({ max: 2 }), zone: fc.constantFrom(null, 'a', 'b'), term: fc.constantFrom(1, 2) },
   { noNullPrototype: true },
 );
-type Place = Omit<AssignedRange, 'from' | 'count'>;
+type Placement = Omit<AssignedRange, 'from' | 'count'>;
 
 /** Where each task is assigned; null: nowhere. */
 const assignment = fc.array(fc.option(place, { nil: null }), { minLength: TASKS, maxLength: TASKS });
 const tasks = fc.uniqueArray(fc.nat({ max: TASKS - 1 })).map((list) => new Set(list));
 
-function assignedRangesOf(places: readonly (Place | null)[]): AssignedRange[] {
-  return places.flatMap((p, from) => (p === null ? [] : [{ from, count: 1, ...p }]));
+function assignedRangesOf(placements: readonly (Placement | null)[]): AssignedRange[] {
+  return placements.flatMap((p, from) => (p === null ? [] : [{ from, count: 1, ...p }]));
 }
 
-function placesOf(assignedRanges: readonly AssignedRange[]): (Place | null)[] {
-  const places: (Place | null)[] = Array.from({ length: TASKS }, () => null);
+function placesOf(assignedRanges: readonly AssignedRange[]): (Placement | null)[] {
+  const placements: (Placement | null)[] = Array.from({ length: TASKS }, () => null);
   for (const { from, count, partitionId, zone, term } of assignedRanges) {
     for (let task = from; task < from + count; task++) {
-      assert.equal(places[task], null, `task ${task} is in two rounds`);
-      places[task] = { partitionId, zone, term };
+      assert.equal(placements[task], null, `task ${task} is in two rounds`);
+      placements[task] = { partitionId, zone, term };
     }
   }
-  return places;
+  return placements;
 }
 
 test('joined rounds assign every unfinished task as before, and no round could be joined with the next', () => {
--- a/packages/core/test/assignment.test.ts
+++ b/packages/core/test/assignment.test.ts
@@ -32,7 +32,11 @@
 }
 
 /** An assignment of so many waiting jobs among so many machines; how often a machine was looked at. */
-function looks(machines: number, jobs: number, freeGpus: number): { looks: number; assigned: number; unmet: number } {
+function looks(
+  machines: number,
+  jobs: number,
+  freeGpus: number,
+): { looks: number; assigned: number; unschedulable: number } {
   let n = 0;
   const machineStatuses = Array.from({ length: machines }, (_, i): MachineStatus => {
     const machine = machineStatusIn(`m-${i}`, ZONES[i % 3]!, freeGpus);
@@ -57,20 +61,20 @@
     missing: NO_RESOURCES,
     running: [],
   };
-  const { assignments, unmet } = assignTasks({
+  const { assignments, unschedulable } = assignTasks({
     now: 0,
     trials: new TrialSchedule(clusterConfig),
     jobs: table.live.values(),
     statuses: [status],
-    recent: [],
+    pendingAssignments: [],
     clusterConfig,
     types: new Map([[type.name, type]]),
-    most: 12,
+    maxAssignments: 12,
     preempts: true,
     heldBack: null,
     groups: null,
   });
-  return { looks: n, assigned: assignments.length, unmet: unmet.length };
+  return { looks: n, assigned: assignments.length, unschedulable: unschedulable.length };
 }
 
 // A leader with no room left once looked through all machines for every waiting task, at every assignment.
@@ -80,7 +84,7 @@
   assert.ok(looks(100, 100, 8).looks <= small.looks * 2.1);
   assert.ok(looks(50, 400, 8).looks <= small.looks * 1.1);
   const full = looks(50, 100, 0);
-  assert.equal(full.unmet, 100);
+  assert.equal(full.unschedulable, 100);
   assert.ok(looks(100, 100, 0).looks <= full.looks * 2.1);
   assert.ok(looks(50, 400, 0).looks <= full.looks * 1.1);
   for (const free of [8, 0]) {
@@ -115,10 +119,10 @@
           running: [],
         },
       ],
-      recent: [],
+      pendingAssignments: [],
       clusterConfig,
       types: new Map([[type.name, type]]),
-      most: 12,
+      maxAssignments: 12,
       preempts: true,
       heldBack: null,
       groups: null,
--- a/packages/core/test/claims.test.ts
+++ b/packages/core/test/claims.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobRecord, type MachineType, PRIORITIES, type AssignedRange, type Heartbeat } from '@gingerlock/wire';
-import { TOKENS_PER_TERM, ClaimTable, JobTable, pack, plannedByPriority, type TaskEntry } from '../src/index';
+import { TOKENS_PER_TERM, ClaimTable, JobTable, planPlacements, plannedByPriority, type TaskEntry } from '../src/index';
 import { CLUSTER_CONFIG, specOf } from './fixtures';
 
 const clusterConfig = { ...CLUSTER_CONFIG, controllers: 1 };
@@ -75,24 +75,24 @@
 
 test('tasks that no machine has reported count as missing once most machines of the part were heard', () => {
   const claimTable = taken();
-  assert.equal(claimTable.missing(3500).gpus, 0);
+  assert.equal(claimTable.missingServices(3500).gpus, 0);
   for (const name of ['m-1', 'm-2']) {
     // The first answer shows it our term; the next report proves that it knows it.
     claimTable.handleHeartbeat(heartbeat(name, 1, TOKENS_PER_TERM), 3500, true);
-    assert.equal(claimTable.missing(3600).gpus, 0);
+    assert.equal(claimTable.missingServices(3600).gpus, 0);
     claimTable.handleHeartbeat(heartbeat(name, 2, 2 * TOKENS_PER_TERM), 3700, true);
   }
-  assert.equal(claimTable.missing(3800).gpus, 4);
+  assert.equal(claimTable.missingServices(3800).gpus, 4);
 });
 
 // Of a zone that was cut off for long nothing was rented before its tasks were known to be gone: a boot was waited for on top.
 test('tasks of a part of which nothing is heard count as missing a boot before it is cleared, and not sooner', () => {
   const claimTable = taken();
   const bootMs = type.bootS * 1000;
-  assert.equal(claimTable.missing(claimTable.fencedUntil - bootMs - 1).gpus, 0);
-  assert.equal(claimTable.missing(claimTable.fencedUntil - bootMs).gpus, 4);
+  assert.equal(claimTable.missingServices(claimTable.fencedUntil - bootMs - 1).gpus, 0);
+  assert.equal(claimTable.missingServices(claimTable.fencedUntil - bootMs).gpus, 4);
   claimTable.tick(claimTable.fencedUntil);
-  assert.equal(claimTable.missing(claimTable.fencedUntil).gpus, 0);
+  assert.equal(claimTable.missingServices(claimTable.fencedUntil).gpus, 0);
 });
 
 // A worker that never takes a token is not answered for ever, as its lease would stay in doubt. A machine that came up deaf just
@@ -143,7 +143,7 @@
   claimTable.syncJob(spec.id, 1600);
   // The starts were lost on the way: nothing is there, and nothing is started again.
   assert.deepEqual(starts(2), []);
-  assert.equal(claimTable.giveBack([], 2500).get(spec.id)?.length, 4);
+  assert.equal(claimTable.returnable([], 2500).get(spec.id)?.length, 4);
 });
 
 // A machine that was gone before its new owner could hear it stayed in the membership: each later owner of the part kept all waiting
@@ -185,7 +185,7 @@
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 20_000, ['m-1', 'm-2']);
   reassign(jobs, claimTable, [rangeOf(0, 4, 'a')], 5);
-  claimTable.leaving([...claimTable.tasksByJob.get(spec.id)!.values()], 1000);
+  claimTable.beginReturn([...claimTable.tasksByJob.get(spec.id)!.values()], 1000);
   reassign(jobs, claimTable, [rangeOf(0, 4, 'b')], 7);
   const starts = (machine: string, zone: string): number => {
     const outcome = claimTable.handleHeartbeat({ ...heartbeat(machine, 1, 2 * TOKENS_PER_TERM), zone }, 9000, true);
@@ -321,9 +321,9 @@
   assert.equal(claimTable.isFailing(job), true);
   const outcome = claimTable.handleHeartbeat(heartbeat('m-1', 5, 2 * TOKENS_PER_TERM), 5000, true);
   assert.ok(outcome.kind === 'answer' && outcome.commands.every((c) => c.op !== 'start'));
-  const { stuck } = pack(claimTable, 5200);
-  assert.deepEqual(stuck, []);
-  const back = claimTable.giveBack([], 7000).get(spec.id)!;
+  const { unschedulable } = planPlacements(claimTable, 5200);
+  assert.deepEqual(unschedulable, []);
+  const back = claimTable.returnable([], 7000).get(spec.id)!;
   assert.equal(back.length, 4);
   assert.equal(claimTable.isMarkedOnReturn(job, back, 7000), true);
   assert.equal(claimTable.isUnhealthy(claimTable.machines.get('m-1')!), false);
@@ -351,12 +351,12 @@
   };
   assign(4, 5);
   assert.equal(starts(1), 0);
-  assert.equal(claimTable.giveBack([], 3000).get(spec.id)?.length, 4);
+  assert.equal(claimTable.returnable([], 3000).get(spec.id)?.length, 4);
   assign(1, 6);
   assert.equal(starts(4), 1);
   failedOn(claimTable, 'm-1', 5, claimTable.tasksByJob.get(spec.id)!.get(0)!.claim!.attempt);
   assert.equal(starts(6), 0);
-  assert.equal(claimTable.giveBack([], 9000).get(spec.id)?.length, 1);
+  assert.equal(claimTable.returnable([], 9000).get(spec.id)?.length, 1);
 });
 
 // With a flood of one-task jobs of a team of guests, the completed tasks of all others waited behind theirs for the limit on changes.
@@ -382,7 +382,7 @@
     const done = { task: `${id}/0`, attempt: 9, state: 'exited' as const, cause: 'done' as const, saved: false };
     claimTable.handleHeartbeat({ ...heartbeat('m-1', sequenceNumber, 2 * TOKENS_PER_TERM), tasks: [done] }, now, false);
   };
-  const order = (now: number): string[] => [...claimTable.finishing(now, 0).keys()];
+  const order = (now: number): string[] => [...claimTable.tasksToFinish(now, 0).keys()];
   accept(ids.late, 'low', 5);
   complete(ids.late, 1, 1000);
   accept(ids.guest, 'low', 6);
@@ -429,7 +429,7 @@
   claimTable.syncJob(spec.id, 200);
   const machine = claimTable.machines.get('m-1')!;
   assert.deepEqual([...plannedByPriority(claimTable)], []);
-  const { freeByMachine } = pack(claimTable, 300);
+  const { freeByMachine } = planPlacements(claimTable, 300);
   const rank = PRIORITIES.indexOf('high');
   const planned = plannedByPriority(claimTable).get(machine)!;
   assert.deepEqual(
--- a/packages/core/test/cost.test.ts
+++ b/packages/core/test/cost.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobRecord, type MachineType, type Heartbeat } from '@gingerlock/wire';
-import { TOKENS_PER_TERM, JobTable, pack, ClaimTable } from '../src/index';
+import { TOKENS_PER_TERM, JobTable, planPlacements, ClaimTable } from '../src/index';
 import { CLUSTER_CONFIG, specOf } from './fixtures';
 
 const clusterConfig = CLUSTER_CONFIG;
@@ -81,8 +81,8 @@
   assert.deepEqual(outcome, { kind: 'answer', fencingToken: 2 * TOKENS_PER_TERM, commands: [] });
   const ofReport = looks;
   looks = 0;
-  const { stuck } = pack(claimTable, 3);
-  assert.equal(stuck.length, 0);
+  const { unschedulable } = planPlacements(claimTable, 3);
+  assert.equal(unschedulable.length, 0);
   return { report: ofReport, packing: looks };
 }
 
--- a/packages/core/test/fleet.test.ts
+++ b/packages/core/test/fleet.test.ts
@@ -60,7 +60,8 @@
   const fleet = new Fleet(clusterConfig, 1, limits);
   fleet.listed([listed('m-1', 500), listed('m-2', 500)], 0);
   const plan = (now: number, machines: readonly MachineStatus[], term: number): readonly string[] =>
-    fleet.plan({ now, types, statuses: statuses(term, machines), unmet: [], partitioner: PARTITIONER }).giveBack;
+    fleet.plan({ now, types, statuses: statuses(term, machines), unschedulable: [], partitioner: PARTITIONER })
+      .giveBack;
   assert.deepEqual(plan(100, [], 1), []);
   assert.deepEqual(plan(10_000, [machineStatusOf('m-1')], 1), []);
   // Its part has a new owner: that one, too, is given the time.
@@ -78,7 +79,7 @@
     now: 100,
     types: quick,
     statuses: statuses(1, empty),
-    unmet: [],
+    unschedulable: [],
     partitioner: PARTITIONER,
   });
   assert.deepEqual(plan.drain, []);
@@ -96,7 +97,7 @@
     now: 100,
     types,
     statuses: statuses(1, [idle, ...others]),
-    unmet: [],
+    unschedulable: [],
     partitioner: PARTITIONER,
   });
   assert.deepEqual(first.drain, ['m-1']);
@@ -106,7 +107,7 @@
     now: 200,
     types,
     statuses: statuses(1, [drained, ...others]),
-    unmet: [],
+    unschedulable: [],
     partitioner: PARTITIONER,
   });
   assert.deepEqual(second.giveBack, ['m-1']);
@@ -134,7 +135,13 @@
     machines.map((m) => listed(m.name, 100)),
     0,
   );
-  const plan = fleet.plan({ now: 100, types, statuses: statuses(1, machines), unmet: [], partitioner: PARTITIONER });
+  const plan = fleet.plan({
+    now: 100,
+    types,
+    statuses: statuses(1, machines),
+    unschedulable: [],
+    partitioner: PARTITIONER,
+  });
   assert.deepEqual(
     plan.drain.filter((name) => name === 'm-1' || name === 'm-2'),
     [],
@@ -158,7 +165,7 @@
       now,
       types,
       statuses: statuses(1, [machine, ...others]),
-      unmet: count > 0 ? [{ job, count, zones: null }] : [],
+      unschedulable: count > 0 ? [{ job, count, zones: null }] : [],
       partitioner: PARTITIONER,
     });
   assert.deepEqual(planWith(100, idle, 0).drain, ['m-1']);
@@ -178,7 +185,7 @@
   const fleet = new Fleet(clusterConfig, 1, limits);
   fleet.rented(['m-9'], { request: 'r', type: 'box', zone: 'a', spot: false, count: 1 }, 0);
   const plan = (now: number): readonly string[] =>
-    fleet.plan({ now, types, statuses: statuses(1, []), unmet: [], partitioner: PARTITIONER }).giveBack;
+    fleet.plan({ now, types, statuses: statuses(1, []), unschedulable: [], partitioner: PARTITIONER }).giveBack;
   fleet.listed([{ ...listed('m-9', 10), state: 'booting' }], 10_000);
   assert.deepEqual(plan(25_000), []);
   assert.deepEqual(plan(41_000), ['m-9']);
@@ -196,7 +203,7 @@
   const wanted = { headroom: 1, maxOrdinaryMachines: Infinity, maxSpotMachines: Infinity };
   const zones = (fleet: Fleet, now: number, machines: readonly MachineStatus[]): string[] =>
     fleet
-      .plan({ now, types, statuses: statuses(1, machines), unmet: [], partitioner: PARTITIONER })
+      .plan({ now, types, statuses: statuses(1, machines), unschedulable: [], partitioner: PARTITIONER })
       .rent.map((r) => r.zone);
 
   const old = new Fleet(clusterConfig, 1, wanted);
@@ -221,7 +228,7 @@
   fleet.listed([listed('m-1', 500)], 0);
   const gone = { ...used('m-1', 2), silentMs: 1e9 };
   const plan = (now: number): readonly string[] =>
-    fleet.plan({ now, types, statuses: statuses(1, [gone]), unmet: [], partitioner: PARTITIONER }).giveBack;
+    fleet.plan({ now, types, statuses: statuses(1, [gone]), unschedulable: [], partitioner: PARTITIONER }).giveBack;
   for (let now = 1000; now <= 4000; now += 1000) {
     assert.deepEqual(fleet.listed([], now).failed, []);
     assert.deepEqual(plan(now), []);
@@ -242,7 +249,7 @@
     );
     const heard = statuses(1, machines).map((s, i) => (i === 0 ? { ...s, missing } : s));
     return fleet
-      .plan({ now: 100, types, statuses: heard, unmet: [], partitioner: PARTITIONER })
+      .plan({ now: 100, types, statuses: heard, unschedulable: [], partitioner: PARTITIONER })
       .rent.reduce((n, r) => n + r.count, 0);
   };
   const well = [used('m-1', 4), used('m-2', 4), used('m-3', 4)];
@@ -260,7 +267,8 @@
 test('a nearly empty machine is emptied only while what is there fits elsewhere and room enough is left', () => {
   const plan = (machines: readonly MachineStatus[]): readonly string[] => {
     const fleet = new Fleet(clusterConfig, 1, { ...limits, headroom: 0.1 });
-    return fleet.plan({ now: 100, types, statuses: statuses(1, machines), unmet: [], partitioner: PARTITIONER }).drain;
+    return fleet.plan({ now: 100, types, statuses: statuses(1, machines), unschedulable: [], partitioner: PARTITIONER })
+      .drain;
   };
   assert.deepEqual(plan([used('m-1', 1), used('m-2', 2), used('m-3', 2), used('m-4', 3)]), ['m-1']);
   assert.deepEqual(plan([used('m-1', 1), used('m-2', 4), used('m-3', 3)]), [], 'no room to spare');
@@ -277,7 +285,8 @@
 test('a list that describes the past has no machine returned that was rented after that time', () => {
   const fleet = new Fleet(clusterConfig, 1, limits);
   const plan = (now: number): readonly string[] =>
-    fleet.plan({ now, types, statuses: statuses(1, [used('m-1', 4)]), unmet: [], partitioner: PARTITIONER }).giveBack;
+    fleet.plan({ now, types, statuses: statuses(1, [used('m-1', 4)]), unschedulable: [], partitioner: PARTITIONER })
+      .giveBack;
   const booting = (name: string, ageS: number): CloudMachine => ({ ...listed(name, ageS), state: 'booting' });
   fleet.listed([listed('m-1', 100)], 0);
   fleet.rented(['m-2'], { request: 'r', type: 'box', zone: 'a', spot: false, count: 1 }, 1000);
@@ -292,7 +301,8 @@
 test('a machine that a list of a later time lacks is returned once more, for the answer proves it gone', () => {
   const fleet = new Fleet(clusterConfig, 1, limits);
   const plan = (now: number): readonly string[] =>
-    fleet.plan({ now, types, statuses: statuses(1, [used('m-1', 4)]), unmet: [], partitioner: PARTITIONER }).giveBack;
+    fleet.plan({ now, types, statuses: statuses(1, [used('m-1', 4)]), unschedulable: [], partitioner: PARTITIONER })
+      .giveBack;
   fleet.listed([listed('m-1', 100), { ...listed('m-2', 5), state: 'booting' }], 0);
   fleet.listed([listed('m-1', 101)], 1000);
   assert.deepEqual(plan(1000 + clusterConfig.cloudListLagMs * 2), []);
@@ -312,8 +322,8 @@
     for (const zone of type.zones) fleet.refused({ request: 'r', type: 'box', zone, spot: true, count: 1 }, 0);
     const job = new Job('j-1');
     job.spec = specOf('j-1', { team, spot, gpus: 4 });
-    const unmet = [{ job, count: 2, zones: null }];
-    return fleet.plan({ now: 100, types, statuses: statuses(1, machines), unmet, partitioner: PARTITIONER });
+    const unschedulable = [{ job, count: 2, zones: null }];
+    return fleet.plan({ now: 100, types, statuses: statuses(1, machines), unschedulable, partitioner: PARTITIONER });
   };
   const rented = ({ rent }: FleetPlan): number => rent.reduce((n, r) => n + r.count, 0);
   assert.equal(rented(plan('red', true)), 2);
@@ -329,8 +339,13 @@
   const two = new Map([type, dear].map((t) => [t.name, t]));
   const drained = (machines: readonly MachineStatus[], headroom: number): readonly string[] => {
     const fleet = new Fleet(clusterConfig, 1, { ...limits, headroom });
-    return fleet.plan({ now: 100, types: two, statuses: statuses(1, machines), unmet: [], partitioner: PARTITIONER })
-      .drain;
+    return fleet.plan({
+      now: 100,
+      types: two,
+      statuses: statuses(1, machines),
+      unschedulable: [],
+      partitioner: PARTITIONER,
+    }).drain;
   };
   const half = { cpus: 4, gpus: 2, memoryGb: 16 };
   const empty = (name: string, over: Partial<MachineStatus>): MachineStatus =>
--- a/packages/core/test/stranded-tasks.test.ts
+++ b/packages/core/test/immovable-demand.test.ts
@@ -7,8 +7,8 @@
   NO_RESOURCES,
   Partitioner,
   type PartitionStatus,
-  strandedTasks,
-  type Unmet,
+  findImmovableDemand,
+  type UnschedulableDemand,
 } from '../src/index';
 import { machineStatusOf, specOf } from './fixtures';
 
@@ -46,8 +46,12 @@
   return { partitionId, term: 1, revision: 9, machines, missing: NO_RESOURCES, running: [], ...over };
 }
 
-function stranded(job: Job, statuses: readonly PartitionStatus[], isFrozen = true): readonly Omit<Unmet, 'job'>[] {
-  const found = strandedTasks({
+function immovable(
+  job: Job,
+  statuses: readonly PartitionStatus[],
+  isFrozen = true,
+): readonly Omit<UnschedulableDemand, 'job'>[] {
+  const found = findImmovableDemand({
     jobs: [job],
     statuses,
     types: new Map([[box.name, box]]),
@@ -62,28 +66,28 @@
 test('tasks that cannot be given back and have no machine in their partition are asked for in its zones', () => {
   const job = jobWith([rangeOf(0, 0), rangeOf(2, 1), rangeOf(4, 0)]);
   const both = [partitionStatusOf(0, []), partitionStatusOf(1, [])];
-  assert.deepEqual(stranded(job, both), [
+  assert.deepEqual(immovable(job, both), [
     { count: 4, zones: ['north', 'west'] },
     { count: 2, zones: ['south', 'west'] },
   ]);
-  assert.deepEqual(stranded(job, both, false), [], 'those that can be given back find room elsewhere');
+  assert.deepEqual(immovable(job, both, false), [], 'those that can be given back find room elsewhere');
 });
 
 test('no machine is asked for where one can take the tasks in time, or where nothing waits', () => {
   const job = jobWith([rangeOf(0, 0)]);
   const full = machineStatusOf('m-1', { zone: 'north', free: NO_RESOURCES });
-  assert.deepEqual(stranded(job, [partitionStatusOf(0, [full])]), []);
-  assert.deepEqual(stranded(job, [partitionStatusOf(0, [{ ...full, takesWork: false }])]), [
+  assert.deepEqual(immovable(job, [partitionStatusOf(0, [full])]), []);
+  assert.deepEqual(immovable(job, [partitionStatusOf(0, [{ ...full, takesWork: false }])]), [
     { count: 2, zones: ['north', 'west'] },
   ]);
-  assert.deepEqual(stranded(job, [partitionStatusOf(0, [], { running: [['j-1', 1]] })]), [
+  assert.deepEqual(immovable(job, [partitionStatusOf(0, [], { running: [['j-1', 1]] })]), [
     { count: 1, zones: ['north', 'west'] },
   ]);
   assert.deepEqual(
-    stranded(job, [partitionStatusOf(0, [], { revision: 4 })]),
+    immovable(job, [partitionStatusOf(0, [], { revision: 4 })]),
     [],
     'the summary is older than the assignment',
   );
   const bound = jobWith([rangeOf(0, 0, 'west')], { spread: true });
-  assert.deepEqual(stranded(bound, [partitionStatusOf(0, [])]), [{ count: 2, zones: ['west'] }]);
+  assert.deepEqual(immovable(bound, [partitionStatusOf(0, [])]), [{ count: 2, zones: ['west'] }]);
 });
--- a/packages/core/test/trials.test.ts
+++ b/packages/core/test/trials.test.ts
@@ -40,10 +40,10 @@
       trials,
       jobs: jobs.live.values(),
       statuses,
-      recent: [],
+      pendingAssignments: [],
       clusterConfig,
       types: new Map(),
-      most: 12,
+      maxAssignments: 12,
       preempts: true,
       heldBack: null,
       groups: null,
@@ -56,8 +56,8 @@
   const times: number[] = [];
   const partitionIds: number[] = [];
   for (let now = 0; now < clusterConfig.cancellationBoundMs * 20; now += clusterConfig.heartbeatIntervalMs / 10) {
-    const { assignments, unmet } = assign(now);
-    assert.equal(unmet.length, 0);
+    const { assignments, unschedulable } = assign(now);
+    assert.equal(unschedulable.length, 0);
     if (assignments.length === 0) continue;
     const { added } = assignments[0]!;
     assert.deepEqual([added.length, added[0]!.count], [1, 1]);
@@ -77,7 +77,7 @@
 test('a trial waits for free room: it stops nobody, and nothing is asked for it', () => {
   const available = { cpus: 8, gpus: 4, memoryGb: 32 };
   const { assign } = failingJob(available, NO_RESOURCES);
-  assert.deepEqual([assign(0).assignments.length, assign(0).unmet.length], [0, 0]);
+  assert.deepEqual([assign(0).assignments.length, assign(0).unschedulable.length], [0, 0]);
 });
 
 test('a job of which a trial runs for long enough is assigned as a whole, and needs a longer one should it fail again', () => {
--- a/packages/daemon/src/fleet-manager.ts
+++ b/packages/daemon/src/fleet-manager.ts
@@ -1,6 +1,6 @@
 // The leader's dealings with the cloud: reads its lists, rents and returns machines as the fleet's plan says.
 import { Cloud, type Http, sleep, URGENCY } from '@gingerlock/clients';
-import { Fleet, type PartitionStatus, type OwnershipTerm, type Unmet } from '@gingerlock/core';
+import { Fleet, type PartitionStatus, type OwnershipTerm, type UnschedulableDemand } from '@gingerlock/core';
 import {
   type CloudMachine,
   type JobSpec,
@@ -16,7 +16,7 @@
 export interface FleetView {
   statuses(now: number): readonly PartitionStatus[];
   /** Tasks that have no room anywhere. */
-  unmet(): readonly Unmet[];
+  unschedulable(): readonly UnschedulableDemand[];
   /** Machines that are neither emptied nor given back while idle. */
   pinned(): ReadonlySet<string>;
 }
@@ -148,7 +148,7 @@
       now,
       types: this.#offers.current,
       statuses: current,
-      unmet: this.view.unmet(),
+      unschedulable: this.view.unschedulable(),
       partitioner: store.partitioner!,
       pinned: this.view.pinned(),
     });
--- a/packages/daemon/src/leader-borrowing.ts
+++ b/packages/daemon/src/leader-borrowing.ts
@@ -21,7 +21,7 @@
   type PartitionStatus,
   STOP_MS,
   type OwnershipTerm,
-  type Unmet,
+  type UnschedulableDemand,
 } from '@gingerlock/core';
 import { KEYS, type ReclaimRecord, parseTaskName } from '@gingerlock/wire';
 import type { ClaimLists } from './claim-lists';
@@ -85,7 +85,7 @@
       clusterConfig,
       settings: this.settings,
       jobs: store.jobs.live,
-      unmet: view.result.unmet.filter(({ job }) => !view.taken.has(job.id)),
+      unschedulable: view.result.unschedulable.filter(({ job }) => !view.taken.has(job.id)),
       statuses: view.statuses,
       free: view.result.free,
       claims: this.#claims(view.statuses),
@@ -117,11 +117,11 @@
   }
 
   /** The record of a decision, under a name that is never used again: it carries the leader's term. */
-  recordOf({ job, tasks, machine, victims, reason, places }: Decision): StoredReclaim {
+  recordOf({ job, tasks, machine, victims, reason, placements }: Decision): StoredReclaim {
     const id = `${this.ownershipTerm.term}-${++this.#counter}`;
     const decidedAt = Math.round(this.shared.clock.wall());
     return {
-      key: KEYS.reclaim(places[0]!.partitionId, id),
+      key: KEYS.reclaim(placements[0]!.partitionId, id),
       record: { machine, job: job.id, tasks, victims, decidedAt, reason },
     };
   }
@@ -212,10 +212,13 @@
 }
 
 /** What is left unmet once the decisions are carried out. */
-export function unmetWithout(unmet: readonly Unmet[], decisions: readonly Decision[]): Unmet[] {
+export function unschedulableWithout(
+  unschedulable: readonly UnschedulableDemand[],
+  decisions: readonly Decision[],
+): UnschedulableDemand[] {
   const taken = new Map<string, number>();
   for (const { job, tasks } of decisions) taken.set(job.id, (taken.get(job.id) ?? 0) + tasks.length);
-  return unmet
+  return unschedulable
     .map((entry) => ({ ...entry, count: entry.count - (taken.get(entry.job.id) ?? 0) }))
     .filter(({ count }) => count > 0);
 }
--- a/packages/daemon/src/leader-groups.ts
+++ b/packages/daemon/src/leader-groups.ts
@@ -7,7 +7,7 @@
   type GroupPlanner,
   type Job,
   assignedRangesOf,
-  type Unmet,
+  type UnschedulableDemand,
   type Versioned,
 } from '@gingerlock/core';
 import {
@@ -143,9 +143,9 @@
   }
 
   /** Room for members whose machine is lost: a boot may begin while the others are still being stopped. */
-  endingDemand(): Unmet[] {
+  endingDemand(): UnschedulableDemand[] {
     const { store } = this.shared;
-    const demand: Unmet[] = [];
+    const demand: UnschedulableDemand[] = [];
     for (const [id, { record }] of store.groups) {
       const job = store.jobs.live.get(id);
       if (record.state !== 'ending' || job === undefined || job.cancelled || !job.isGroup) continue;
@@ -208,14 +208,14 @@
     batch: JobBatch,
     placements: readonly GroupPlacement[],
   ): { partitionId: number; machine: string; need: Job['spec'] }[] {
-    const meant: { partitionId: number; machine: string; need: Job['spec'] }[] = [];
+    const pendingAssignments: { partitionId: number; machine: string; need: Job['spec'] }[] = [];
     for (const placement of placements) {
       if (batch.jobs.has(placement.job.id) || !this.#addReservation(batch, placement)) continue;
       for (const { partitionId, machine } of placement.members)
-        meant.push({ partitionId, machine, need: placement.job.spec });
+        pendingAssignments.push({ partitionId, machine, need: placement.job.spec });
     }
-    this.#inFlight = meant.map(({ machine }) => machine);
-    return meant;
+    this.#inFlight = pendingAssignments.map(({ machine }) => machine);
+    return pendingAssignments;
   }
 
   /** False: the transaction, or a record, has no room for it. */
@@ -256,11 +256,11 @@
   }
 
   /** Notes since when groups wait, and says from time to time of each what it lacks. */
-  noteUnplaced({ unmet, partlyFittingMachines }: AssignmentResult, now: number): void {
+  noteUnplaced({ unschedulable, partlyFittingMachines }: AssignmentResult, now: number): void {
     this.#partlyFittingMachines = partlyFittingMachines;
     const before = this.#waiting;
     this.#waiting = new Map();
-    for (const entry of unmet) {
+    for (const entry of unschedulable) {
       if (!entry.job.isGroup) continue;
       const known = before.get(entry.job.id) ?? { since: now, toldAt: now };
       this.#waiting.set(entry.job.id, known);
@@ -270,7 +270,7 @@
     }
   }
 
-  #tellUnplaced({ job, count, zones }: Unmet, waitedMs: number): void {
+  #tellUnplaced({ job, count, zones }: UnschedulableDemand, waitedMs: number): void {
     const { team, tasks, cpus, gpus, memoryGb } = job.spec;
     const detail = { job: job.id, team, members: tasks, missing: count, each: { cpus, gpus, memoryGb }, zones };
     this.shared.log.info({ ...detail, waitedMs: Math.round(waitedMs) }, 'group can not be placed');
--- a/packages/daemon/src/leader.ts
+++ b/packages/daemon/src/leader.ts
@@ -8,20 +8,20 @@
   type Job,
   type PartitionStatus,
   assignedRangesOf,
-  strandedTasks,
+  findImmovableDemand,
   type OwnershipTerm,
   TrialSchedule,
-  type Unmet,
+  type UnschedulableDemand,
 } from '@gingerlock/core';
 import { jobRecord, KEYS, reclaimRecord, type AssignedRange } from '@gingerlock/wire';
 import { FleetManager, type FleetOrders } from './fleet-manager';
 import { finalOf, JobBatch, recordOf, recordWith } from './job-batch';
-import { type LeaderBorrowing, unmetWithout } from './leader-borrowing';
+import { type LeaderBorrowing, unschedulableWithout } from './leader-borrowing';
 import type { LeaderGroups } from './leader-groups';
 import type { Shared } from './shared';
 import type { ReceivedStatus } from './partition-statuses';
 
-interface Meant {
+interface PendingAssignment {
   readonly revision: number;
   readonly partitionId: number;
   readonly machine: string;
@@ -32,7 +32,7 @@
 interface AddedReclaim {
   readonly decision: Decision;
   readonly key: string;
-  readonly meant: readonly Omit<Meant, 'revision'>[];
+  readonly pendingAssignments: readonly Omit<PendingAssignment, 'revision'>[];
 }
 
 const NOTHING_PINNED: ReadonlySet<string> = new Set();
@@ -48,8 +48,8 @@
   readonly #fleet: FleetManager;
   readonly #trials: TrialSchedule;
   #assigning = false;
-  #recent: Meant[] = [];
-  #unmet: readonly Unmet[] = [];
+  #pendingAssignments: PendingAssignment[] = [];
+  #unschedulable: readonly UnschedulableDemand[] = [];
   #stopped = false;
 
   constructor(
@@ -65,7 +65,7 @@
     this.#trials = new TrialSchedule(shared.clusterConfig);
     this.#fleet = new FleetManager(shared, ownershipTerm, http, {
       statuses: (now) => this.#current(now),
-      unmet: () => this.#unmet,
+      unschedulable: () => this.#unschedulable,
       pinned: () => groups?.pinnedMachines() ?? NOTHING_PINNED,
     });
     this.#joinGroups();
@@ -136,7 +136,7 @@
     this.groups?.begin();
     this.#close(batch);
     this.groups?.addChanges(batch);
-    this.#recent = this.#recent.filter((r) =>
+    this.#pendingAssignments = this.#pendingAssignments.filter((r) =>
       current.some((s) => s.partitionId === r.partitionId && s.revision < r.revision),
     );
     const result = assignTasks({
@@ -144,27 +144,27 @@
       trials: this.#trials,
       jobs: store.jobs.live.values(),
       statuses: current,
-      recent: this.#recent,
+      pendingAssignments: this.#pendingAssignments,
       clusterConfig,
       types: store.types,
-      most: settings.txnOps - batch.changes.length,
+      maxAssignments: settings.txnOps - batch.changes.length,
       preempts: this.borrowing === null,
       heldBack: this.borrowing?.heldBack(current) ?? null,
       groups: this.groups,
     });
     const { assignments } = result;
-    const meant = this.#addAssignments(batch, assignments, current);
+    const pendingAssignments = this.#addAssignments(batch, assignments, current);
     if (this.groups !== null) {
-      meant.push(...this.groups.addReservations(batch, result.groups));
+      pendingAssignments.push(...this.groups.addReservations(batch, result.groups));
       this.groups.noteUnplaced(result, now);
     }
     const reclaims = this.#addReclaims(batch, result, current);
-    meant.push(...reclaims.flatMap(({ meant: machines }) => machines));
-    const unmet = unmetWithout(
-      result.unmet,
+    pendingAssignments.push(...reclaims.flatMap(({ pendingAssignments: machines }) => machines));
+    const unschedulable = unschedulableWithout(
+      result.unschedulable,
       reclaims.map(({ decision }) => decision),
     );
-    this.#unmet = [...unmet, ...this.#strandedTasks(current), ...(this.groups?.endingDemand() ?? [])];
+    this.#unschedulable = [...unschedulable, ...this.#immovableDemand(current), ...(this.groups?.endingDemand() ?? [])];
     this.#clearMarks(batch);
     this.#removeAbandoned(batch);
     if (batch.changes.length === 0) {
@@ -174,17 +174,17 @@
     const revision = await shared.settle(URGENCY.assign, batch.conditions, batch.changes, () => this.#isLeading());
     if (revision === 0) return false;
     this.groups?.stored();
-    for (const m of meant) this.#recent.push({ ...m, revision });
+    for (const m of pendingAssignments) this.#pendingAssignments.push({ ...m, revision });
     for (const { decision, key } of reclaims) this.borrowing!.decided(decision, key);
     this.#noteTrials(assignments, batch, now);
     shared.log.debug({ jobs: [...batch.jobs] }, 'assigned and closed');
     return true;
   }
 
-  #strandedTasks(statuses: readonly PartitionStatus[]): Unmet[] {
+  #immovableDemand(statuses: readonly PartitionStatus[]): UnschedulableDemand[] {
     const { store, clusterConfig } = this.shared;
     if (store.partitioner === null) return [];
-    return strandedTasks({
+    return findImmovableDemand({
       jobs: store.jobs.live.values(),
       statuses,
       types: store.types,
@@ -249,9 +249,9 @@
     batch: JobBatch,
     assignments: readonly Assignment[],
     current: readonly PartitionStatus[],
-  ): Omit<Meant, 'revision'>[] {
+  ): Omit<PendingAssignment, 'revision'>[] {
     const { log } = this.shared;
-    const meant: Omit<Meant, 'revision'>[] = [];
+    const pendingAssignments: Omit<PendingAssignment, 'revision'>[] = [];
     for (const assignment of assignments) {
       const { job } = assignment;
       if (batch.jobs.has(job.id)) continue;
@@ -260,14 +260,14 @@
         log.error({ job: job.id, assignedRanges: job.assignedRanges.length }, 'record too large, not assigned');
         continue;
       }
-      if (!this.#requireOwners(batch, added)) return meant;
-      if (!batch.put(job, recordWith(job, isTried(job, this.#trials), added))) return meant;
-      for (const { machine, need } of assignment.meant) {
+      if (!this.#requireOwners(batch, added)) return pendingAssignments;
+      if (!batch.put(job, recordWith(job, isTried(job, this.#trials), added))) return pendingAssignments;
+      for (const { machine, need } of assignment.intended) {
         const { partitionId } = current.find((s) => s.machines.some((m) => m.name === machine))!;
-        meant.push({ partitionId, machine, need });
+        pendingAssignments.push({ partitionId, machine, need });
       }
     }
-    return meant;
+    return pendingAssignments;
   }
 
   /** Decides for which tasks without room others are stopped: the rounds of the one and the record of it go into one transaction. */
@@ -275,7 +275,7 @@
     if (this.borrowing === null) return [];
     const most = Math.floor((this.shared.settings.txnOps - batch.changes.length) / CHANGES_PER_RECLAIM);
     const decisions = this.borrowing.plan({
-      result: { ...result, unmet: result.unmet.filter(({ job }) => !job.isGroup) },
+      result: { ...result, unschedulable: result.unschedulable.filter(({ job }) => !job.isGroup) },
       statuses: current,
       taken: batch.jobs,
       most,
@@ -291,17 +291,17 @@
 
   /** Null: it has no room in the transaction or in the records, or the transaction changes its job already. */
   #addReclaim(batch: JobBatch, decision: Decision, borrowing: LeaderBorrowing): AddedReclaim | null {
-    const { job, tasks, places, machine } = decision;
+    const { job, tasks, placements, machine } = decision;
     if (batch.jobs.has(job.id)) return null;
-    const record = recordWith(job, false, assignedRangesOf(tasks, places));
+    const record = recordWith(job, false, assignedRangesOf(tasks, placements));
     const reclaim = borrowing.recordOf(decision);
     const value = reclaimRecord.write(reclaim.record);
     if (!this.shared.fitsValue(record) || !this.shared.fitsValue(value)) return null;
-    const assignedRanges = assignedRangesOf(tasks, places);
+    const assignedRanges = assignedRangesOf(tasks, placements);
     if (!this.#requireOwners(batch, assignedRanges) || !batch.put(job, record, { put: reclaim.key, value }))
       return null;
-    const meant = tasks.map(() => ({ partitionId: places[0]!.partitionId, machine, need: job.spec }));
-    return { decision, key: reclaim.key, meant };
+    const pendingAssignments = tasks.map(() => ({ partitionId: placements[0]!.partitionId, machine, need: job.spec }));
+    return { decision, key: reclaim.key, pendingAssignments };
   }
 
   #removeAbandoned(batch: JobBatch): void {
--- a/packages/daemon/src/owner-writes.ts
+++ b/packages/daemon/src/owner-writes.ts
@@ -32,7 +32,7 @@
 export class OwnerWrites {
   #writing = false;
   /** Waiting tasks that no machine of the partition can take, by the last packing. */
-  stuck: readonly TaskEntry[] = [];
+  unschedulable: readonly TaskEntry[] = [];
   /** Machines whose names leave the membership. */
   readonly membershipRemovals = new Set<string>();
 
@@ -87,13 +87,13 @@
     if (writes.length > 0) return { writes, urgency: URGENCY.accept };
     if (this.reclaims !== null) writes.push(...this.reclaims.removals());
     const touched = new Set<string>();
-    for (const [id, tasks] of this.claimTable.finishing(now, this.#finishPatienceMs())) {
+    for (const [id, tasks] of this.claimTable.tasksToFinish(now, this.#finishPatienceMs())) {
       touched.add(id);
       writes.push(...this.#finish(tasks[0]!.job, tasks));
     }
-    for (const [id, tasks] of this.claimTable.giveBack(this.stuck, now)) {
+    for (const [id, tasks] of this.claimTable.returnable(this.unschedulable, now)) {
       if (touched.has(id)) continue;
-      const write = this.#handBack(tasks[0]!.job, tasks);
+      const write = this.#returnTasks(tasks[0]!.job, tasks);
       if (write !== null) writes.push(write);
     }
     if (writes.length === 0) {
@@ -119,7 +119,7 @@
   }
 
   /** Gives back as many of the tasks as the record without them fits into a value; null: it fits with none. */
-  #handBack(job: Job, tasks: readonly TaskEntry[]): Write | null {
+  #returnTasks(job: Job, tasks: readonly TaskEntry[]): Write | null {
     const byIndex = [...tasks].sort((a, b) => a.index - b.index);
     for (let count = byIndex.length; count > 0; count = Math.floor(count / 2)) {
       const returned = byIndex.slice(0, count);
@@ -129,8 +129,8 @@
       return {
         conditions: [{ key, version: job.version }],
         change: { put: key, value },
-        prepare: () => this.claimTable.leaving(returned, this.shared.clock.now()),
-        failed: () => this.claimTable.stayed(returned, this.shared.clock.now()),
+        prepare: () => this.claimTable.beginReturn(returned, this.shared.clock.now()),
+        failed: () => this.claimTable.cancelReturn(returned, this.shared.clock.now()),
       };
     }
     return null;
--- a/packages/daemon/src/owner.ts
+++ b/packages/daemon/src/owner.ts
@@ -5,13 +5,13 @@
   type Machine,
   type MachineStatus,
   NO_RESERVATIONS,
-  pack,
+  planPlacements,
   type PartitionStatus,
   type Reservations,
   type TaskEntry,
   type OwnershipTerm,
   machinesToSolicit,
-  vacate,
+  relocateReplicas,
 } from '@gingerlock/core';
 import { CombinedReservations } from './combined-reservations';
 import { OwnerGroups } from './owner-groups';
@@ -134,11 +134,13 @@
     ) {
       this.#packedChange = this.claimTable.changes;
       this.#packedAt = now;
-      const { freeByMachine, stuck, stopped } = pack(this.claimTable, now);
+      const { freeByMachine, unschedulable, stopped } = planPlacements(this.claimTable, now);
       this.#freeByMachine = freeByMachine;
-      this.#writes.stuck = stuck;
+      this.#writes.unschedulable = unschedulable;
       if (this.mayGrant(now))
-        stopped.push(...vacate(this.claimTable, freeByMachine, () => this.shared.spareCapacity(this.partitionId), now));
+        stopped.push(
+          ...relocateReplicas(this.claimTable, freeByMachine, () => this.shared.spareCapacity(this.partitionId), now),
+        );
       this.#pushAll(stopped);
       if (this.mayGrant(now))
         for (const machine of machinesToSolicit(this.claimTable, now))
--- a/packages/daemon/src/partition-status.ts
+++ b/packages/daemon/src/partition-status.ts
@@ -37,8 +37,8 @@
     term: claimTable.term,
     revision,
     machines,
-    missing: claimTable.missing(now),
-    running: [...claimTable.running()],
+    missing: claimTable.missingServices(now),
+    running: [...claimTable.runningTasks()],
   };
 }
 
--- a/packages/testkit/src/ownership-audit.ts
+++ b/packages/testkit/src/ownership-audit.ts
@@ -55,7 +55,7 @@
    * has been written without it: it may run elsewhere before its former partition has read that.
    */
   #isFree(partitionId: number, { job, index, state }: TaskEntry): boolean {
-    if (state !== 'leaving') return state === 'waiting';
+    if (state !== 'returning') return state === 'waiting';
     const record = this.#recordOf(job.id);
     return (
       record?.final === null &&
--- a/packages/testkit/test/mutants.test.ts
+++ b/packages/testkit/test/mutants.test.ts
@@ -274,7 +274,7 @@
     broken: 'owners keep the waiting tasks of cancelled jobs and start them',
     faults: [{ kind: 'machines hang', machine: 0, count: 6, forMs: 5500 }],
     apply: () => {
-      const kept = patch(ClaimTable.prototype, 'giveBack', () => () => new Map());
+      const kept = patch(ClaimTable.prototype, 'returnable', () => () => new Map());
       const started = patch(
         ClaimTable.prototype,
         'waitingTasks',
