--- a/packages/borrowing/src/planner.ts
+++ b/packages/borrowing/src/planner.ts
@@ -73,7 +73,7 @@
   /** How many may be decided now. */
   readonly most: number;
   /** How long until a machine that is rented now could run a task of the job, in milliseconds. */
-  readonly rentMs: (job: Job) => number;
+  readonly scaleOutMs: (job: Job) => number;
   /** How long until a stopped task is known to be gone, what it takes to save left aside. */
   readonly stopMs: number;
 }
@@ -187,7 +187,7 @@
     let left = source;
     while (placements.length < tasks.length) {
       const choice = this.#mayTake(job, machineStatus.zone, zones) ? this.#choose(job, left) : null;
-      if (choice === null || this.#isRentSooner(job, choice)) break;
+      if (choice === null || this.#isScaleOutSooner(job, choice)) break;
       placements.push({ partitionId, zone: zones.take(machineStatus.zone), term });
       victims.push(...choice.victims);
       reason = choice.reason === 'guarantee' ? 'guarantee' : (reason ?? choice.reason);
@@ -218,8 +218,8 @@
     return zones.allows(zone) && countWithinLimit(team, high, job.spec) > 0;
   }
 
-  #isRentSooner(job: Job, { victims, graceS }: VictimChoice): boolean {
-    return victims.length > 0 && this.#input.rentMs(job) <= this.#input.stopMs + graceS * 1000;
+  #isScaleOutSooner(job: Job, { victims, graceS }: VictimChoice): boolean {
+    return victims.length > 0 && this.#input.scaleOutMs(job) <= this.#input.stopMs + graceS * 1000;
   }
 
   #settle(job: Job, { victims }: VictimChoice): void {
--- a/packages/borrowing/test/planner.test.ts
+++ b/packages/borrowing/test/planner.test.ts
@@ -7,7 +7,7 @@
 import { type HeldTask, type Plan, type PlannerInput, planReclaims } from '../src/index';
 import { clusterConfigOf, jobOf, machineStatusOf, teamOf } from './fixtures';
 
-interface Fleet {
+interface Autoscaler {
   readonly input: PlannerInput;
   readonly held: ReadonlyMap<string, readonly HeldTask[]>;
   readonly jobs: ReadonlyMap<string, Job>;
@@ -27,7 +27,7 @@
   machines: readonly (readonly RunningTask[])[],
   waiting: readonly Job[],
   over: Partial<PlannerInput> = {},
-): Fleet {
+): Autoscaler {
   const next = new Map<Job, number>();
   const held = new Map(
     machines.map((tasks, i) => [
@@ -64,7 +64,7 @@
     claims: [{ partitionId: 0, term: 3, revision: 1, machines: claims }],
     pending: [],
     most: 100,
-    rentMs: () => Infinity,
+    scaleOutMs: () => Infinity,
     stopMs: 1000,
     ...over,
   };
@@ -146,12 +146,12 @@
     const plan = planReclaims(fleetOf([RED, teamOf('blue', 0)], [full], [surge], over).input);
     return [...victimsOf(plan), ...plan.refused.map(({ why }) => why)];
   };
-  assert.deepEqual(whyOf({ rentMs: () => 20_000 }), ['renting is sooner']);
+  assert.deepEqual(whyOf({ scaleOutMs: () => 20_000 }), ['renting is sooner']);
   assert.deepEqual(whyOf({ claims: [] }), ['what machines hold is not known']);
   assert.deepEqual(whyOf({ most: 0 }), ['enough reclaims under way']);
   const pending = { machine: 'm-9', job: 'x', tasks: [0], victims: [], decidedAt: 0, reason: 'priority' as const };
   assert.deepEqual(whyOf({ pending: [pending], settings: { maxShare: 0.1 } }), ['enough reclaims under way']);
-  assert.deepEqual(whyOf({ rentMs: () => 40_000 }), ['j-000009/0']);
+  assert.deepEqual(whyOf({ scaleOutMs: () => 40_000 }), ['j-000009/0']);
 });
 
 test('a machine with a reclaim under way, and victims of one, are left alone', () => {
@@ -196,7 +196,7 @@
 });
 
 /** Fills machines with as many of the drawn tasks as fit. */
-function fleetFrom(drawn: typeof anyFleet extends fc.Arbitrary<infer T> ? T : never): Fleet {
+function fleetFrom(drawn: typeof anyFleet extends fc.Arbitrary<infer T> ? T : never): Autoscaler {
   const teams = [
     teamOf('red', drawn.guarantees[0], drawn.limit),
     teamOf('blue', drawn.guarantees[1], drawn.limit),
@@ -218,11 +218,11 @@
   return fleetOf(teams, machines, waiting);
 }
 
-function useOf(fleet: Fleet, without: ReadonlySet<string>): Map<string, number> {
+function useOf(autoscaler: Autoscaler, without: ReadonlySet<string>): Map<string, number> {
   const use = new Map<string, number>();
-  for (const tasks of fleet.held.values()) {
+  for (const tasks of autoscaler.held.values()) {
     for (const { task } of tasks) {
-      const { team, gpus } = fleet.jobs.get(parseTaskName(task)!.job)!.spec;
+      const { team, gpus } = autoscaler.jobs.get(parseTaskName(task)!.job)!.spec;
       if (!without.has(task)) use.set(team, (use.get(team) ?? 0) + gpus);
     }
   }
@@ -233,19 +233,19 @@
   let decided = 0;
   fc.assert(
     fc.property(anyFleet, (drawn) => {
-      const fleet = fleetFrom(drawn);
-      const plan = planReclaims(fleet.input);
+      const autoscaler = fleetFrom(drawn);
+      const plan = planReclaims(autoscaler.input);
       decided += plan.decisions.length;
       const stopped = new Set(victimsOf(plan));
       assert.equal(stopped.size, victimsOf(plan).length);
       assert.equal(new Set(plan.decisions.map(({ machine }) => machine)).size, plan.decisions.length);
       for (const { job, machine, victims, tasks, placements } of plan.decisions) {
-        const held = fleet.held.get(machine)!;
+        const held = autoscaler.held.get(machine)!;
         const specs = victims.map(({ task }) => {
           assert.ok(held.some((h) => h.task === task));
-          return fleet.jobs.get(parseTaskName(task)!.job)!.spec;
+          return autoscaler.jobs.get(parseTaskName(task)!.job)!.spec;
         });
-        const available = specs.reduce((sum, spec) => addResources(sum, spec), fleet.input.free.get(machine)!);
+        const available = specs.reduce((sum, spec) => addResources(sum, spec), autoscaler.input.free.get(machine)!);
         assert.ok(fitsIn(addResources(NO_RESOURCES, job.spec, tasks.length), available));
         for (const spec of specs)
           assert.ok(
@@ -255,13 +255,13 @@
         assert.equal(tasks.length, placements.length);
         for (const spec of specs) assert.ok(spec.team !== 'gone');
       }
-      const before = useOf(fleet, new Set());
+      const before = useOf(autoscaler, new Set());
       for (const account of plan.accounts) {
         const { name, gpus } = account.team;
         const foreign = plan.decisions
           .filter(({ job }) => job.spec.team !== name)
           .flatMap(({ victims }) => victims.map((v) => v.task));
-        const left = useOf(fleet, new Set(foreign)).get(name) ?? 0;
+        const left = useOf(autoscaler, new Set(foreign)).get(name) ?? 0;
         assert.ok(left >= Math.min(gpus, before.get(name) ?? 0) - 1e-6, `${name}: ${left} of ${before.get(name)}`);
         assert.ok(account.high.gpus <= Math.max(account.team.gpusMax, before.get(name) ?? 0) + 1e-6);
       }
@@ -276,7 +276,7 @@
     const batch = jobOf('j-000009', { team: 'blue', gpus: 0.1, tasks: 40 * machines });
     const surge = jobOf('j-000006', { kind: 'service', priority: 'high', tasks: 4, gpus: 1 });
     const full = Array.from({ length: 40 }, () => ({ job: batch }));
-    const fleet = fleetOf(
+    const autoscaler = fleetOf(
       [RED, teamOf('blue', 0)],
       Array.from({ length: machines }, () => full),
       [surge],
@@ -284,7 +284,7 @@
     let looked = 0;
     const rank = batch.effectivePriority;
     Object.defineProperty(batch, 'rank', { get: () => (looked++, rank) });
-    assert.ok(planReclaims(fleet.input).decisions.length > 0);
+    assert.ok(planReclaims(autoscaler.input).decisions.length > 0);
     return looked;
   };
   const [small, large] = [timesLooked(20), timesLooked(200)] as [number, number];
--- a/packages/clients/src/cloud.ts
+++ b/packages/clients/src/cloud.ts
@@ -66,7 +66,7 @@
   }
 
   /** True: they are gone, with everything on them. */
-  async giveBack(names: readonly string[]): Promise<boolean> {
+  async scaleIn(names: readonly string[]): Promise<boolean> {
     const body = encode(returnMap(names.slice(0, RETURN_MOST)));
     const answer = await this.http(this.addr, 'POST', CLOUD_PATHS.giveBack, body, this.timeoutMs);
     return answer.status === 200;
--- a/packages/core/src/fleet.ts
+++ b/packages/core/src/autoscaler.ts
@@ -1,11 +1,11 @@
 // What the leader rents, drains and returns. It only plans; the controller talks to the cloud and to the owners.
 import { type CloudMachine, isRentable, type JobSpec, type MachineType, type RentRequest } from '@gingerlock/wire';
 import type { MachineStatus, PartitionStatus, UnschedulableDemand } from './assignment';
-import { FleetInventory, type KnownMachine } from './fleet-inventory';
+import { MachineInventory, type KnownMachine } from './machine-inventory';
 import { machineUse } from './machine-use';
 import { BATCH_PRIORITY, isSuspect, ConsolidationPlan } from './consolidation';
-import { type RentalOption, unitPrice } from './rental-choice';
-import { type PlannedRental, placeOf, RentalPlan } from './rental-plan';
+import { type MachineOption, unitPrice } from './scale-out-choice';
+import { type PlannedScaleOut, machineOptionKey, ScaleOutPlan } from './scale-out-plan';
 import {
   bootMsOf,
   type ClusterConfig,
@@ -18,14 +18,14 @@
 } from './facts';
 
 /** What the operators have set. */
-export interface FleetLimits {
+export interface AutoscalerLimits {
   /** Free room kept on ordinary machines, as a share of what is in use. */
   readonly headroom: number;
   readonly maxOrdinaryMachines: number;
   readonly maxSpotMachines: number;
 }
 
-export interface FleetInput {
+export interface AutoscalerInput {
   readonly now: number;
   readonly types: ReadonlyMap<string, MachineType>;
   readonly statuses: readonly PartitionStatus[];
@@ -35,14 +35,14 @@
   readonly pinned?: ReadonlySet<string>;
 }
 
-export interface FleetPlan {
-  readonly rent: PlannedRental[];
-  readonly giveBack: string[];
+export interface AutoscalerPlan {
+  readonly scaleOut: PlannedScaleOut[];
+  readonly scaleIn: string[];
   /** Machines that are to get no more work. */
   readonly drain: string[];
 }
 
-interface Refusal {
+interface CapacityBackoff {
   until: number;
   backoff: number;
 }
@@ -53,13 +53,13 @@
 const STUCK_BOOTS = 4;
 
 /** What was refused is not asked for again for so many report intervals at the most, and after others for as many more. */
-const REFUSAL_INTERVALS = 16;
+const CAPACITY_BACKOFF_INTERVALS = 16;
 
-export class Fleet {
-  readonly #inventory: FleetInventory;
+export class Autoscaler {
+  readonly #inventory: MachineInventory;
   /** By part: its owner's term, and since when that owner has told of it. */
-  readonly #partitionSince = new Map<number, { term: number; since: number }>();
-  readonly #refused = new Map<string, Refusal>();
+  readonly #ownerSinceByPartition = new Map<number, { term: number; since: number }>();
+  readonly #capacityRefused = new Map<string, CapacityBackoff>();
   /** Zones in which most machines have fallen silent, and until when nothing is rented there for that. */
   readonly #silentZones = new Map<string, number>();
   #draining = new Set<string>();
@@ -69,34 +69,34 @@
   constructor(
     readonly clusterConfig: ClusterConfig,
     readonly term: number,
-    readonly limits: FleetLimits,
+    readonly limits: AutoscalerLimits,
   ) {
-    this.#inventory = new FleetInventory(clusterConfig);
+    this.#inventory = new MachineInventory(clusterConfig);
     this.#consolidation = new ConsolidationPlan(clusterConfig);
   }
 
-  rented(names: readonly string[], r: RentRequest, now: number): void {
-    this.#refused.delete(placeOf(r.type, r.zone, r.spot));
-    this.#inventory.rented(names, r, now);
-    if (names.length < r.count) this.refused(r, now);
+  recordScaleOut(names: readonly string[], r: RentRequest, now: number): void {
+    this.#capacityRefused.delete(machineOptionKey(r.type, r.zone, r.spot));
+    this.#inventory.recordScaleOut(names, r, now);
+    if (names.length < r.count) this.capacityRefused(r, now);
   }
 
-  refused(r: RentRequest, now: number): void {
-    const key = placeOf(r.type, r.zone, r.spot);
-    const last = this.#refused.get(key);
+  capacityRefused(r: RentRequest, now: number): void {
+    const key = machineOptionKey(r.type, r.zone, r.spot);
+    const last = this.#capacityRefused.get(key);
     const backoff = Math.min(
       (last?.backoff ?? this.clusterConfig.heartbeatIntervalMs) * 2,
-      this.clusterConfig.heartbeatIntervalMs * REFUSAL_INTERVALS,
+      this.clusterConfig.heartbeatIntervalMs * CAPACITY_BACKOFF_INTERVALS,
     );
-    this.#refused.set(key, { until: now + backoff, backoff });
+    this.#capacityRefused.set(key, { until: now + backoff, backoff });
   }
 
-  #refusalOf({ type, zone, spot }: RentalOption): Refusal | undefined {
-    return this.#refused.get(placeOf(type.name, zone, spot));
+  #capacityBackoffOf({ type, zone, spot }: MachineOption): CapacityBackoff | undefined {
+    return this.#capacityRefused.get(machineOptionKey(type.name, zone, spot));
   }
 
   /** Whether the cloud had no more lately of any type and kind that the job may run on in the zone. */
-  isFullFor(spec: JobSpec, zone: string, types: ReadonlyMap<string, MachineType>, now: number): boolean {
+  lacksCapacityFor(spec: JobSpec, zone: string, types: ReadonlyMap<string, MachineType>, now: number): boolean {
     const options = [...types.values()]
       .filter((type) => isRentable(type) && type.zones.includes(zone) && fitsIn(spec, type))
       .flatMap((type) => [false, true].map((spot) => ({ type, zone, spot })))
@@ -104,42 +104,44 @@
     return options.every((option) => this.#wasRefused(option, now));
   }
 
-  #wasRefused(option: RentalOption, now: number): boolean {
-    const refusal = this.#refusalOf(option);
-    return refusal !== undefined && now - refusal.until < this.clusterConfig.heartbeatIntervalMs * REFUSAL_INTERVALS;
+  #wasRefused(option: MachineOption, now: number): boolean {
+    const refusal = this.#capacityBackoffOf(option);
+    return (
+      refusal !== undefined && now - refusal.until < this.clusterConfig.heartbeatIntervalMs * CAPACITY_BACKOFF_INTERVALS
+    );
   }
 
-  returned(names: readonly string[], now: number): void {
-    this.#inventory.returned(names, now);
+  recordScaleIn(names: readonly string[], now: number): void {
+    this.#inventory.recordScaleIn(names, now);
     for (const name of names) this.#draining.delete(name);
   }
 
   /** Takes a whole list of machines. Returns those that are surely gone. */
-  listed(machines: readonly CloudMachine[], now: number): { failed: string[] } {
-    return this.#inventory.listed(machines, now);
+  applyCloudList(machines: readonly CloudMachine[], now: number): { failed: string[] } {
+    return this.#inventory.applyCloudList(machines, now);
   }
 
   /** Whether the owners have heard every machine that is listed as up. */
-  allHeard(statuses: readonly PartitionStatus[]): boolean {
-    return this.#inventory.allHeard(statuses);
+  hasHeardAll(statuses: readonly PartitionStatus[]): boolean {
+    return this.#inventory.hasHeardAll(statuses);
   }
 
   /** Whether there is a machine of that type. */
   has(type: string): boolean {
-    return [...this.known.values()].some((machine) => machine.type === type);
+    return [...this.machines.values()].some((machine) => machine.type === type);
   }
 
   /** By name. */
-  get known(): ReadonlyMap<string, KnownMachine> {
-    return this.#inventory.known;
+  get machines(): ReadonlyMap<string, KnownMachine> {
+    return this.#inventory.machines;
   }
 
   /** How the fleet stands, for the log. */
   figures(statuses: readonly PartitionStatus[], types: ReadonlyMap<string, MachineType>): Record<string, number> {
-    const f = { ordinary: 0, spot: 0, notHeard: 0, idle: 0, used: 0, batch: 0, free: 0 };
-    for (const k of this.known.values()) f[k.spot ? 'spot' : 'ordinary']++;
+    const f = { ordinary: 0, spot: 0, unheardMachines: 0, idle: 0, used: 0, batch: 0, free: 0 };
+    for (const k of this.machines.values()) f[k.spot ? 'spot' : 'ordinary']++;
     const machines = statuses.flatMap((s) => s.machines);
-    f.notHeard = f.ordinary + f.spot - machines.length;
+    f.unheardMachines = f.ordinary + f.spot - machines.length;
     for (const m of machines) {
       if (machineUse(m) === 'idle') f.idle++;
       if (m.spot) continue;
@@ -152,7 +154,7 @@
   }
 
   /** How long until a machine that is rented now could run a task of the job, in milliseconds; Infinity: none can be had. */
-  rentMs(spec: JobSpec, types: ReadonlyMap<string, MachineType>): number {
+  scaleOutMs(spec: JobSpec, types: ReadonlyMap<string, MachineType>): number {
     let least = Infinity;
     for (const type of types.values()) {
       if (
@@ -166,51 +168,51 @@
     return least;
   }
 
-  plan(input: FleetInput): FleetPlan {
+  plan(input: AutoscalerInput): AutoscalerPlan {
     const { now, types } = input;
     const machinesByName = new Map<string, MachineStatus>();
     for (const s of input.statuses) for (const m of s.machines) machinesByName.set(m.name, m);
-    this.#inventory.heard(machinesByName.values(), now);
+    this.#inventory.observe(machinesByName.values(), now);
 
     for (const s of input.statuses) {
-      if (this.#partitionSince.get(s.partitionId)?.term !== s.term)
-        this.#partitionSince.set(s.partitionId, { term: s.term, since: now });
+      if (this.#ownerSinceByPartition.get(s.partitionId)?.term !== s.term)
+        this.#ownerSinceByPartition.set(s.partitionId, { term: s.term, since: now });
     }
     const heard = new Set(input.statuses.map((s) => s.partitionId));
-    for (const partitionId of this.#partitionSince.keys())
-      if (!heard.has(partitionId)) this.#partitionSince.delete(partitionId);
+    for (const partitionId of this.#ownerSinceByPartition.keys())
+      if (!heard.has(partitionId)) this.#ownerSinceByPartition.delete(partitionId);
 
-    this.#watchZones(input, machinesByName);
-    const giveBack: string[] = [];
+    this.#observeZones(input, machinesByName);
+    const scaleIn: string[] = [];
     const drain = new Set<string>();
     const booting: KnownMachine[] = [];
-    for (const k of this.known.values()) {
+    for (const k of this.machines.values()) {
       const bootMs = bootMsOf(types.get(k.type));
       const machine = machinesByName.get(k.name);
-      if (k.state === 'failed' || k.state === 'vanished') giveBack.push(k.name);
+      if (k.state === 'failed' || k.state === 'vanished') scaleIn.push(k.name);
       else if (k.state === 'booting' && machine === undefined) {
-        if (now - k.bornAt > bootMs * STUCK_BOOTS) giveBack.push(k.name);
-        else if (now - k.bornAt < bootMs * LATE_BOOTS) booting.push(k);
+        if (now - k.createdAt > bootMs * STUCK_BOOTS) scaleIn.push(k.name);
+        else if (now - k.createdAt < bootMs * LATE_BOOTS) booting.push(k);
       } else if (now - this.#quietSince(k, input) > 2 * workerLeaseBoundMs(this.clusterConfig)) {
         // Up, and silent for longer than any lease. The answer proves it gone, sooner than the time that clears its part.
-        giveBack.push(k.name);
+        scaleIn.push(k.name);
       } else if (machine?.unhealthy === true) drain.add(k.name);
     }
-    const { rent, kept } = this.#rent(input, booting, machinesByName);
-    this.#idle(input, machinesByName, booting, drain, giveBack, rent.length > 0, kept);
+    const { scaleOut, kept } = this.#scaleOut(input, booting, machinesByName);
+    this.#planScaleIn(input, machinesByName, booting, drain, scaleIn, scaleOut.length > 0, kept);
     this.#draining = drain;
-    return { rent, giveBack, drain: [...drain] };
+    return { scaleOut, scaleIn, drain: [...drain] };
   }
 
   /**
    * Since when a machine could have been heard and was not. A new owner of its part, or a new leader, has to be given
    * the time to hear it first: silence from before proves nothing, and healthy machines were once returned for it.
    */
-  #quietSince(k: KnownMachine, input: FleetInput): number {
+  #quietSince(k: KnownMachine, input: AutoscalerInput): number {
     const partitionId = input.partitioner.partitionOf(k.name, k.zone);
-    const owner = this.#partitionSince.get(partitionId);
+    const owner = this.#ownerSinceByPartition.get(partitionId);
     if (owner === undefined) return Infinity;
-    return Math.max(k.heardAt ?? -Infinity, k.upSince ?? -Infinity, owner.since);
+    return Math.max(k.lastHeartbeatAt ?? -Infinity, k.upSince ?? -Infinity, owner.since);
   }
 
   /**
@@ -218,10 +220,10 @@
    * Their silent machines are returned in time, so the note stands until one of the zone is heard, or a new one should
    * have been.
    */
-  #watchZones(input: FleetInput, machinesByName: ReadonlyMap<string, MachineStatus>): void {
+  #observeZones(input: AutoscalerInput, machinesByName: ReadonlyMap<string, MachineStatus>): void {
     const { now } = input;
     const zones = new Map<string, { heard: number; silent: number }>();
-    for (const k of this.known.values()) {
+    for (const k of this.machines.values()) {
       if (k.state !== 'running') continue;
       const machine = machinesByName.get(k.name);
       const heard = machine !== undefined && !isSuspect(machine, this.clusterConfig);
@@ -243,7 +245,7 @@
   }
 
   /** Idle machines that get no more work, and are to be given back for that alone. */
-  #leaving(machinesByName: ReadonlyMap<string, MachineStatus>): MachineStatus[] {
+  #drainingIdleMachines(machinesByName: ReadonlyMap<string, MachineStatus>): MachineStatus[] {
     return [...machinesByName.values()].filter(
       (m) =>
         this.#draining.has(m.name) &&
@@ -255,22 +257,22 @@
     );
   }
 
-  #rent(
-    input: FleetInput,
+  #scaleOut(
+    input: AutoscalerInput,
     booting: readonly KnownMachine[],
     machinesByName: ReadonlyMap<string, MachineStatus>,
-  ): { rent: PlannedRental[]; kept: ReadonlySet<string> } {
+  ): { scaleOut: PlannedScaleOut[]; kept: ReadonlySet<string> } {
     const { now, types } = input;
     const isSilent = (zone: string): boolean => (this.#silentZones.get(zone) ?? 0) > now;
-    const plan = new RentalPlan({
+    const plan = new ScaleOutPlan({
       clusterConfig: this.clusterConfig,
       types,
       booting,
-      leaving: this.#leaving(machinesByName),
-      known: this.known.values(),
+      drainingIdleMachines: this.#drainingIdleMachines(machinesByName),
+      known: this.machines.values(),
       maxOrdinaryMachines: this.limits.maxOrdinaryMachines,
       maxSpotMachines: this.limits.maxSpotMachines,
-      isOpen: (option) => !isSilent(option.zone) && (this.#refusalOf(option)?.until ?? 0) <= now,
+      isOpen: (option) => !isSilent(option.zone) && (this.#capacityBackoffOf(option)?.until ?? 0) <= now,
       wasRefused: (option) => this.#wasRefused(option, now),
       isSilent,
       onlySpot: (spec) => this.#waitsForSpot(spec),
@@ -289,14 +291,14 @@
     plan.serve(input.unschedulable, headroom - free);
     plan.keepSpare(free, headroom);
     // Names are never reused: they carry the leader's term.
-    return { rent: plan.requests(() => `r-${this.term}-${++this.#counter}`), kept: plan.kept };
+    return { scaleOut: plan.requests(() => `r-${this.term}-${++this.#counter}`), kept: plan.kept };
   }
 
   /**
    * How much room, in accelerators, ordinary machines should have: for new services, and for those that new owners are
    * still waiting to hear of.
    */
-  #headroom(input: FleetInput, machinesByName: ReadonlyMap<string, MachineStatus>): number {
+  #headroom(input: AutoscalerInput, machinesByName: ReadonlyMap<string, MachineStatus>): number {
     let used = 0;
     for (const m of machinesByName.values()) {
       const type = input.types.get(m.type);
@@ -307,12 +309,12 @@
   }
 
   /** Machines that have been empty for about a boot time go, the dearest first, if enough room is left without them. */
-  #idle(
-    input: FleetInput,
+  #planScaleIn(
+    input: AutoscalerInput,
     machinesByName: ReadonlyMap<string, MachineStatus>,
     booting: readonly KnownMachine[],
     drain: Set<string>,
-    giveBack: string[],
+    scaleIn: string[],
     renting: boolean,
     kept: ReadonlySet<string>,
   ): void {
@@ -327,7 +329,7 @@
     const headroom = this.#headroom(input, machinesByName);
     const priceOf = (m: MachineStatus): number => unitPrice(input.types.get(m.type)!, m.spot);
     for (const m of empties.sort((a, b) => priceOf(b) - priceOf(a) || b.emptyMs - a.emptyMs)) {
-      if (giveBack.includes(m.name) || kept.has(m.name) || input.pinned?.has(m.name) === true) continue;
+      if (scaleIn.includes(m.name) || kept.has(m.name) || input.pinned?.has(m.name) === true) continue;
       const type = input.types.get(m.type)!;
       const idle = m.emptyMs > Math.max(bootMsOf(type) * IDLE_BOOTS, this.clusterConfig.heartbeatIntervalMs * 5);
       const spare = m.spot || ordinary - type.gpus >= headroom;
@@ -337,7 +339,7 @@
       if (!m.spot && m.takesWork) ordinary -= type.gpus;
       drain.add(m.name);
       // The owner says that it binds nothing there any more and that nothing is there.
-      if (m.draining) giveBack.push(m.name);
+      if (m.draining) scaleIn.push(m.name);
     }
     const isShort = input.unschedulable.some(({ job }) => !this.#waitsForSpot(job.spec));
     if (!renting && !isShort)
--- a/packages/core/src/consolidation.ts
+++ b/packages/core/src/consolidation.ts
@@ -2,7 +2,7 @@
 import { type MachineType, PRIORITIES } from '@gingerlock/wire';
 import type { MachineStatus } from './assignment';
 import { machineUse } from './machine-use';
-import { unitPrice } from './rental-choice';
+import { unitPrice } from './scale-out-choice';
 import { bootMsOf, type ClusterConfig, type Partitioner, SUSPECT_INTERVALS } from './facts';
 
 /** Work of this rank and below makes way for services. */
--- a/packages/core/src/fleet-inventory.ts
+++ b/packages/core/src/machine-inventory.ts
@@ -10,7 +10,7 @@
   readonly zone: string;
   readonly spot: boolean;
   /** When it was rented, at the latest: known for what this leader rented, otherwise bounded by each list that shows it. */
-  bornAt: number;
+  createdAt: number;
   /** vanished: not listed any more. Returned once more, for the answer to that is proof. */
   state: 'booting' | 'running' | 'failed' | 'vanished';
   /** The latest time that a list describes in which it stood; null: none has. */
@@ -18,77 +18,77 @@
   /** Since when it is up, as far as lists and reports tell. */
   upSince: number | null;
   /** When it was last seen in a summary, or, if it never was, null. */
-  heardAt: number | null;
+  lastHeartbeatAt: number | null;
   missingSince: number | null;
 }
 
-export class FleetInventory {
-  readonly known = new Map<string, KnownMachine>();
-  readonly #returned = new Map<string, number>();
+export class MachineInventory {
+  readonly machines = new Map<string, KnownMachine>();
+  readonly #recordScaleIn = new Map<string, number>();
   #firstList = true;
 
   constructor(readonly clusterConfig: ClusterConfig) {}
 
-  rented(names: readonly string[], r: RentRequest, now: number): void {
+  recordScaleOut(names: readonly string[], r: RentRequest, now: number): void {
     for (const name of names) {
-      if (this.known.has(name) || this.#returned.has(name)) continue;
-      this.known.set(name, this.#entry(name, r.type, r.zone, r.spot, now));
+      if (this.machines.has(name) || this.#recordScaleIn.has(name)) continue;
+      this.machines.set(name, this.#entry(name, r.type, r.zone, r.spot, now));
     }
   }
 
-  returned(names: readonly string[], now: number): void {
+  recordScaleIn(names: readonly string[], now: number): void {
     for (const name of names) {
-      this.known.delete(name);
-      this.#returned.set(name, now);
+      this.machines.delete(name);
+      this.#recordScaleIn.set(name, now);
     }
   }
 
   /** Whether the machine was given back: lists and owners may still show it. */
   isReturned(name: string): boolean {
-    return this.#returned.has(name);
+    return this.#recordScaleIn.has(name);
   }
 
   /** Takes what the owners tell of their machines. */
-  heard(machines: Iterable<MachineStatus>, now: number): void {
+  observe(machines: Iterable<MachineStatus>, now: number): void {
     for (const m of machines) {
-      if (this.#returned.has(m.name)) continue;
-      let k = this.known.get(m.name);
+      if (this.#recordScaleIn.has(m.name)) continue;
+      let k = this.machines.get(m.name);
       if (k === undefined) {
         k = this.#entry(m.name, m.type, m.zone, m.spot, now);
-        this.known.set(m.name, k);
+        this.machines.set(m.name, k);
       }
       if (k.state === 'booting') k.state = 'running';
       k.upSince ??= now;
-      if (m.silentMs < this.clusterConfig.workerLeaseMs) k.heardAt = now - m.silentMs;
+      if (m.silentMs < this.clusterConfig.workerLeaseMs) k.lastHeartbeatAt = now - m.silentMs;
     }
   }
 
-  #entry(name: string, type: string, zone: string, spot: boolean, bornAt: number): KnownMachine {
+  #entry(name: string, type: string, zone: string, spot: boolean, createdAt: number): KnownMachine {
     return {
       name,
       type,
       zone,
       spot,
-      bornAt,
+      createdAt,
       state: 'booting',
       listedAsOf: null,
       upSince: null,
-      heardAt: null,
+      lastHeartbeatAt: null,
       missingSince: null,
     };
   }
 
   /** Takes a whole list of machines. Returns those that are surely gone. */
-  listed(machines: readonly CloudMachine[], now: number): { failed: string[] } {
+  applyCloudList(machines: readonly CloudMachine[], now: number): { failed: string[] } {
     const names = new Set(machines.map((m) => m.name));
     const describedAt = this.#describedAt(machines, now);
     for (const m of machines) {
       // A list may be older than the return.
-      if (this.#returned.has(m.name)) continue;
-      let k = this.known.get(m.name);
+      if (this.#recordScaleIn.has(m.name)) continue;
+      let k = this.machines.get(m.name);
       if (k === undefined) {
         k = this.#entry(m.name, m.type, m.zone, m.spot, now - m.ageS * 1000);
-        this.known.set(m.name, k);
+        this.machines.set(m.name, k);
       }
       k.listedAsOf = Math.max(k.listedAsOf ?? -Infinity, describedAt);
       k.missingSince = null;
@@ -96,18 +96,21 @@
       if (m.state === 'running') k.upSince ??= this.#firstList ? now - m.ageS * 1000 : now;
     }
     this.#firstList = false;
-    for (const k of this.known.values()) {
+    for (const k of this.machines.values()) {
       if (names.has(k.name) || !this.#shouldBeListed(k, describedAt)) continue;
       k.missingSince ??= now;
       // Listed once and missing now: deleted or taken. Lists may go back in time, so not at once. It is not just forgotten:
       // its part would show it as silent ever after, and a zone of such machines was taken for cut off and never served.
       const wait = this.clusterConfig.cloudListLagMs * (k.listedAsOf !== null ? 2 : 6);
-      if (now - k.missingSince > wait && (k.heardAt === null || now - k.heardAt > this.clusterConfig.workerLeaseMs))
+      if (
+        now - k.missingSince > wait &&
+        (k.lastHeartbeatAt === null || now - k.lastHeartbeatAt > this.clusterConfig.workerLeaseMs)
+      )
         k.state = 'vanished';
     }
-    for (const [name, at] of this.#returned)
-      if (now - at > this.clusterConfig.cloudListLagMs * 20) this.#returned.delete(name);
-    return { failed: [...this.known.values()].filter((k) => k.state === 'failed').map((k) => k.name) };
+    for (const [name, at] of this.#recordScaleIn)
+      if (now - at > this.clusterConfig.cloudListLagMs * 20) this.#recordScaleIn.delete(name);
+    return { failed: [...this.machines.values()].filter((k) => k.state === 'failed').map((k) => k.name) };
   }
 
   /**
@@ -117,23 +120,23 @@
   #describedAt(machines: readonly CloudMachine[], now: number): number {
     let earliest = Infinity;
     for (const { name, ageS } of machines) {
-      const known = this.known.get(name);
+      const known = this.machines.get(name);
       if (known === undefined) continue;
-      known.bornAt = Math.min(known.bornAt, now - ageS * 1000);
-      earliest = Math.min(earliest, known.bornAt + ageS * 1000);
+      known.createdAt = Math.min(known.createdAt, now - ageS * 1000);
+      earliest = Math.min(earliest, known.createdAt + ageS * 1000);
     }
     return Math.min(now, earliest);
   }
 
   /** Whether a list that describes that time shows the machine if it is not gone. An old list once had machines returned while they booted. */
-  #shouldBeListed({ listedAsOf, bornAt }: KnownMachine, describedAt: number): boolean {
-    return describedAt > (listedAsOf ?? bornAt);
+  #shouldBeListed({ listedAsOf, createdAt }: KnownMachine, describedAt: number): boolean {
+    return describedAt > (listedAsOf ?? createdAt);
   }
 
   /** Whether the owners have heard every machine that is listed as up. */
-  allHeard(statuses: readonly PartitionStatus[]): boolean {
+  hasHeardAll(statuses: readonly PartitionStatus[]): boolean {
     const heard = new Set(statuses.flatMap((s) => s.machines.map((m) => m.name)));
-    const up = [...this.known.values()].filter((k) => k.state === 'running');
+    const up = [...this.machines.values()].filter((k) => k.state === 'running');
     return up.length > 0 && up.every((k) => heard.has(k.name));
   }
 }
--- a/packages/core/src/rental-choice.ts
+++ b/packages/core/src/scale-out-choice.ts
@@ -4,14 +4,14 @@
 import { fetchMs } from './start-time';
 
 /** A kind of machine in one zone that could be rented. */
-export interface RentalOption {
+export interface MachineOption {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
 }
 
 /** Tasks, all alike, that wait for room. */
-export interface RentalDemand {
+export interface ScaleOutDemand {
   readonly need: Resources;
   readonly count: number;
   readonly imageGb: number;
@@ -24,33 +24,33 @@
 }
 
 /** What an option costs, and of what that is made. */
-export interface RentalCost {
-  readonly option: RentalOption;
+export interface ScaleOutCost {
+  readonly option: MachineOption;
   /** How soon a task could run there: boot and fetch of its image. */
   readonly startMs: number;
   /** Price per hour of what the waiting tasks would use, against the least that any type asks for the same room. */
-  readonly dearness: number;
+  readonly costRatio: number;
   /** Dearness, weighted by the time to start. The least is chosen. */
   readonly cost: number;
 }
 
-export interface RentalChoice {
-  readonly chosen: RentalCost;
+export interface ScaleOutChoice {
+  readonly chosen: ScaleOutCost;
   /** The best option of another type or kind; null: there is none. */
-  readonly nextBest: RentalCost | null;
+  readonly nextBest: ScaleOutCost | null;
 }
 
-export interface RentalSituation {
+export interface ScaleOutContext {
   readonly clusterConfig: ClusterConfig;
   readonly types: ReadonlyMap<string, MachineType>;
   /** Machines that each zone has, those to be rented now included. */
   readonly machinesIn: ReadonlyMap<string, number>;
   /** The tasks to be served, and after them what else waits: it could share the machine. */
-  readonly demands: readonly RentalDemand[];
+  readonly demands: readonly ScaleOutDemand[];
   /** What may be rented. */
-  readonly options: readonly RentalOption[];
+  readonly options: readonly MachineOption[];
   /** Whether the cloud had no more of it lately: it may be full still. */
-  readonly wasRefused: (option: RentalOption) => boolean;
+  readonly wasRefused: (option: MachineOption) => boolean;
 }
 
 /** The time until a task starts is paid for, and it is waited for. */
@@ -60,7 +60,7 @@
 const SERVICE_LEASES = 10;
 
 /** The option that serves the first demand best; null: nothing may be rented. */
-export function chooseRental(situation: RentalSituation): RentalChoice | null {
+export function chooseMachineOption(situation: ScaleOutContext): ScaleOutChoice | null {
   const byType = new Map<MachineType, TypeCost>();
   const costs = situation.options.map((option) => {
     const ofType = byType.get(option.type) ?? typeCost(situation, option.type);
@@ -70,7 +70,7 @@
   const order = costs.sort((a, b) => a.cost - b.cost || compareOptions(situation, a.option, b.option));
   const [chosen] = order;
   if (chosen === undefined) return null;
-  const isOther = ({ option: { type, spot } }: RentalCost): boolean =>
+  const isOther = ({ option: { type, spot } }: ScaleOutCost): boolean =>
     type !== chosen.option.type || spot !== chosen.option.spot;
   return { chosen, nextBest: order.find(isOther) ?? null };
 }
@@ -82,7 +82,7 @@
   readonly worth: number;
 }
 
-function typeCost({ types, demands }: RentalSituation, type: MachineType): TypeCost {
+function typeCost({ types, demands }: ScaleOutContext, type: MachineType): TypeCost {
   const [first] = demands;
   if (first === undefined) return { startMs: bootMsOf(type), worth: 0 };
   let left: Resources = capacityOf(type);
@@ -98,21 +98,21 @@
   return { startMs: bootMsOf(type) + fetchMs(first.imageGb, false, type), worth };
 }
 
-function costOf(situation: RentalSituation, option: RentalOption, { startMs, worth }: TypeCost): RentalCost {
+function costOf(situation: ScaleOutContext, option: MachineOption, { startMs, worth }: TypeCost): ScaleOutCost {
   const { clusterConfig, demands } = situation;
   const price = option.spot ? option.type.spotPrice : option.type.price;
-  const dearness = worth > 0 ? price / worth : price;
+  const costRatio = worth > 0 ? price / worth : price;
   const runMs = demands[0]?.runMs ?? 0;
   const useMs = Math.max(
     clusterConfig.heartbeatIntervalMs,
     runMs > 0 ? runMs : clusterConfig.workerLeaseMs * SERVICE_LEASES,
   );
   const slowness = 1 + (START_WEIGHT * startMs) / useMs;
-  return { option, startMs, dearness, cost: dearness * slowness };
+  return { option, startMs, costRatio, cost: costRatio * slowness };
 }
 
 /** The least price per hour of the room for one task, on any type and kind that it may run on. */
-function leastPrice(demand: RentalDemand, types: ReadonlyMap<string, MachineType>): number {
+function leastPrice(demand: ScaleOutDemand, types: ReadonlyMap<string, MachineType>): number {
   let least = Infinity;
   for (const type of types.values()) {
     const count = countFitting(demand.need, capacityOf(type));
@@ -123,7 +123,7 @@
   return least === Infinity ? 0 : least;
 }
 
-function allowsType(demand: RentalDemand, type: MachineType): boolean {
+function allowsType(demand: ScaleOutDemand, type: MachineType): boolean {
   return demand.types === null || demand.types.includes(type.name);
 }
 
@@ -131,10 +131,10 @@
  * The order of options that cost the same, whatever order they come in: those that were not refused lately first, then the
  * zone with the fewest machines, then as the settings list the zones.
  */
-function compareOptions(situation: RentalSituation, a: RentalOption, b: RentalOption): number {
+function compareOptions(situation: ScaleOutContext, a: MachineOption, b: MachineOption): number {
   const { clusterConfig, machinesIn, wasRefused } = situation;
   if (wasRefused(a) !== wasRefused(b)) return Number(wasRefused(a)) - Number(wasRefused(b));
-  const machines = ({ zone }: RentalOption): number => machinesIn.get(zone) ?? 0;
+  const machines = ({ zone }: MachineOption): number => machinesIn.get(zone) ?? 0;
   if (machines(a) !== machines(b)) return machines(a) - machines(b);
   if (a.zone !== b.zone) return clusterConfig.zones.indexOf(a.zone) - clusterConfig.zones.indexOf(b.zone);
   if (a.spot !== b.spot) return Number(a.spot) - Number(b.spot);
--- a/packages/core/test/fleet.test.ts
+++ b/packages/core/test/autoscaler.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import type { CloudMachine, MachineType } from '@gingerlock/wire';
 import {
-  Fleet,
-  type FleetPlan,
+  Autoscaler,
+  type AutoscalerPlan,
   Job,
   type MachineStatus,
   machineUse,
@@ -57,11 +57,11 @@
 }
 
 test('a new leader gives machines time to be heard before it returns silent ones', () => {
-  const fleet = new Fleet(clusterConfig, 1, limits);
-  fleet.listed([listed('m-1', 500), listed('m-2', 500)], 0);
+  const autoscaler = new Autoscaler(clusterConfig, 1, limits);
+  autoscaler.applyCloudList([listed('m-1', 500), listed('m-2', 500)], 0);
   const plan = (now: number, machines: readonly MachineStatus[], term: number): readonly string[] =>
-    fleet.plan({ now, types, statuses: statuses(term, machines), unschedulable: [], partitioner: PARTITIONER })
-      .giveBack;
+    autoscaler.plan({ now, types, statuses: statuses(term, machines), unschedulable: [], partitioner: PARTITIONER })
+      .scaleIn;
   assert.deepEqual(plan(100, [], 1), []);
   assert.deepEqual(plan(10_000, [machineStatusOf('m-1')], 1), []);
   // Its part has a new owner: that one, too, is given the time.
@@ -71,11 +71,11 @@
 });
 
 test('machines that boot at once are kept until work can be assigned to them', () => {
-  const fleet = new Fleet(clusterConfig, 1, limits);
+  const autoscaler = new Autoscaler(clusterConfig, 1, limits);
   const quick = new Map([['box', { ...type, bootS: 0.1 }]]);
   const empty = [machineStatusOf('m-1', { empty: true, emptyMs: 1500 }), used('m-2', 3), used('m-3', 3)];
-  fleet.listed([listed('m-1', 5), listed('m-2', 5), listed('m-3', 5)], 0);
-  const plan = fleet.plan({
+  autoscaler.applyCloudList([listed('m-1', 5), listed('m-2', 5), listed('m-3', 5)], 0);
+  const plan = autoscaler.plan({
     now: 100,
     types: quick,
     statuses: statuses(1, empty),
@@ -86,14 +86,14 @@
 });
 
 test('a machine is returned only once its owner says that it is drained and empty', () => {
-  const fleet = new Fleet(clusterConfig, 1, limits);
+  const autoscaler = new Autoscaler(clusterConfig, 1, limits);
   const others = [used('m-2', 3), used('m-3', 3)];
-  fleet.listed(
+  autoscaler.applyCloudList(
     ['m-1', 'm-2', 'm-3'].map((n) => listed(n, 100)),
     0,
   );
   const idle = machineStatusOf('m-1', { empty: true, emptyMs: 60_000 });
-  const first = fleet.plan({
+  const first = autoscaler.plan({
     now: 100,
     types,
     statuses: statuses(1, [idle, ...others]),
@@ -101,16 +101,16 @@
     partitioner: PARTITIONER,
   });
   assert.deepEqual(first.drain, ['m-1']);
-  assert.deepEqual(first.giveBack, []);
+  assert.deepEqual(first.scaleIn, []);
   const drained = { ...idle, draining: true, takesWork: false };
-  const second = fleet.plan({
+  const second = autoscaler.plan({
     now: 200,
     types,
     statuses: statuses(1, [drained, ...others]),
     unschedulable: [],
     partitioner: PARTITIONER,
   });
-  assert.deepEqual(second.giveBack, ['m-1']);
+  assert.deepEqual(second.scaleIn, ['m-1']);
 });
 
 /** A machine that holds nothing and for which waiting batch work is planned. */
@@ -129,13 +129,13 @@
   assert.equal(machineUse(planned('m-1')), 'planned');
   assert.equal(machineUse(planned('m-1', { empty: false })), 'in use');
   assert.equal(machineUse(machineStatusOf('m-1', { empty: true })), 'idle');
-  const fleet = new Fleet(clusterConfig, 1, limits);
+  const autoscaler = new Autoscaler(clusterConfig, 1, limits);
   const machines = [planned('m-1'), planned('m-2', { spot: true }), machineStatusOf('m-3'), machineStatusOf('m-4')];
-  fleet.listed(
+  autoscaler.applyCloudList(
     machines.map((m) => listed(m.name, 100)),
     0,
   );
-  const plan = fleet.plan({
+  const plan = autoscaler.plan({
     now: 100,
     types,
     statuses: statuses(1, machines),
@@ -146,13 +146,13 @@
     plan.drain.filter((name) => name === 'm-1' || name === 'm-2'),
     [],
   );
-  assert.deepEqual(plan.giveBack, []);
+  assert.deepEqual(plan.scaleIn, []);
 });
 
 test('an idle machine that was to be given back is kept, and none rented, when a task comes that fits it', () => {
-  const fleet = new Fleet(clusterConfig, 1, limits);
+  const autoscaler = new Autoscaler(clusterConfig, 1, limits);
   const others = [used('m-2', 4), used('m-3', 4)];
-  fleet.listed(
+  autoscaler.applyCloudList(
     ['m-1', 'm-2', 'm-3'].map((n) => listed(n, 100)),
     0,
   );
@@ -160,8 +160,8 @@
   const drained = { ...idle, draining: true, takesWork: false };
   const job = new Job('j-1');
   job.spec = specOf('j-1');
-  const planWith = (now: number, machine: MachineStatus, count: number): FleetPlan =>
-    fleet.plan({
+  const planWith = (now: number, machine: MachineStatus, count: number): AutoscalerPlan =>
+    autoscaler.plan({
       now,
       types,
       statuses: statuses(1, [machine, ...others]),
@@ -170,23 +170,23 @@
     });
   assert.deepEqual(planWith(100, idle, 0).drain, ['m-1']);
   const kept = planWith(200, drained, 4);
-  assert.deepEqual([kept.rent, kept.giveBack, kept.drain], [[], [], []]);
+  assert.deepEqual([kept.scaleOut, kept.scaleIn, kept.drain], [[], [], []]);
   // More than it holds: what is left is rented for.
   assert.deepEqual(planWith(300, idle, 0).drain, ['m-1']);
   const both = planWith(400, drained, 5);
-  assert.deepEqual([both.giveBack, both.rent.map(({ count }) => count)], [[], [1]]);
+  assert.deepEqual([both.scaleIn, both.scaleOut.map(({ count }) => count)], [[], [1]]);
   // Of no use to what waits, it goes.
   job.spec = specOf('j-1', { zone: 'b' });
   assert.deepEqual(planWith(500, idle, 0).drain, ['m-1']);
-  assert.deepEqual(planWith(600, drained, 1).giveBack, ['m-1']);
+  assert.deepEqual(planWith(600, drained, 1).scaleIn, ['m-1']);
 });
 
 test('a machine that never comes up is returned, one that is only late is rented once more', () => {
-  const fleet = new Fleet(clusterConfig, 1, limits);
-  fleet.rented(['m-9'], { request: 'r', type: 'box', zone: 'a', spot: false, count: 1 }, 0);
+  const autoscaler = new Autoscaler(clusterConfig, 1, limits);
+  autoscaler.recordScaleOut(['m-9'], { request: 'r', type: 'box', zone: 'a', spot: false, count: 1 }, 0);
   const plan = (now: number): readonly string[] =>
-    fleet.plan({ now, types, statuses: statuses(1, []), unschedulable: [], partitioner: PARTITIONER }).giveBack;
-  fleet.listed([{ ...listed('m-9', 10), state: 'booting' }], 10_000);
+    autoscaler.plan({ now, types, statuses: statuses(1, []), unschedulable: [], partitioner: PARTITIONER }).scaleIn;
+  autoscaler.applyCloudList([{ ...listed('m-9', 10), state: 'booting' }], 10_000);
   assert.deepEqual(plan(25_000), []);
   assert.deepEqual(plan(41_000), ['m-9']);
 });
@@ -201,20 +201,20 @@
     ...['m-3', 'm-4'].map((n) => ({ ...listed(n, 500), zone: 'b' })),
   ];
   const wanted = { headroom: 1, maxOrdinaryMachines: Infinity, maxSpotMachines: Infinity };
-  const zones = (fleet: Fleet, now: number, machines: readonly MachineStatus[]): string[] =>
-    fleet
+  const zones = (autoscaler: Autoscaler, now: number, machines: readonly MachineStatus[]): string[] =>
+    autoscaler
       .plan({ now, types, statuses: statuses(1, machines), unschedulable: [], partitioner: PARTITIONER })
-      .rent.map((r) => r.zone);
+      .scaleOut.map((r) => r.zone);
 
-  const old = new Fleet(clusterConfig, 1, wanted);
-  old.listed(list, 0);
+  const old = new Autoscaler(clusterConfig, 1, wanted);
+  old.applyCloudList(list, 0);
   assert.deepEqual(zones(old, 100, [...heard, ...cut]), ['a']);
 
-  const fresh = new Fleet(clusterConfig, 2, wanted);
-  fresh.listed(list, 0);
+  const fresh = new Autoscaler(clusterConfig, 2, wanted);
+  fresh.applyCloudList(list, 0);
   assert.deepEqual(zones(fresh, 100, heard), ['a']);
   // Its silent machines are returned in time: the note outlasts them.
-  fresh.returned(['m-3', 'm-4'], 200);
+  fresh.recordScaleIn(['m-3', 'm-4'], 200);
   assert.deepEqual(zones(fresh, 300, heard), ['a']);
   // Heard again.
   const back = [...heard, used('m-5', 4, { zone: 'b' })];
@@ -224,33 +224,33 @@
 // Machines that the cloud had taken stayed in their parts' books as silent ones: where all of a zone's were of that kind, the
 // zone was taken for cut off, and jobs that had to run there waited for ever.
 test('a silent machine that is listed no more is returned, so that its part forgets it and its zone is served', () => {
-  const fleet = new Fleet(clusterConfig, 1, limits);
-  fleet.listed([listed('m-1', 500)], 0);
+  const autoscaler = new Autoscaler(clusterConfig, 1, limits);
+  autoscaler.applyCloudList([listed('m-1', 500)], 0);
   const gone = { ...used('m-1', 2), silentMs: 1e9 };
   const plan = (now: number): readonly string[] =>
-    fleet.plan({ now, types, statuses: statuses(1, [gone]), unschedulable: [], partitioner: PARTITIONER }).giveBack;
+    autoscaler.plan({ now, types, statuses: statuses(1, [gone]), unschedulable: [], partitioner: PARTITIONER }).scaleIn;
   for (let now = 1000; now <= 4000; now += 1000) {
-    assert.deepEqual(fleet.listed([], now).failed, []);
+    assert.deepEqual(autoscaler.applyCloudList([], now).failed, []);
     assert.deepEqual(plan(now), []);
   }
-  fleet.listed([], 6000);
+  autoscaler.applyCloudList([], 6000);
   assert.deepEqual(plan(6000), ['m-1']);
   // A list that is newer than the one it was missing from.
-  fleet.listed([listed('m-1', 500)], 7000);
+  autoscaler.applyCloudList([listed('m-1', 500)], 7000);
   assert.deepEqual(plan(7000), []);
 });
 
 test('a machine that fell silent, or is not heard by a new owner, has its room rented before its lease is over', () => {
   const plan = (machines: readonly MachineStatus[], missing = NO_RESOURCES): number => {
-    const fleet = new Fleet(clusterConfig, 1, limits);
-    fleet.listed(
+    const autoscaler = new Autoscaler(clusterConfig, 1, limits);
+    autoscaler.applyCloudList(
       machines.map((m) => listed(m.name, 500)),
       0,
     );
     const heard = statuses(1, machines).map((s, i) => (i === 0 ? { ...s, missing } : s));
-    return fleet
+    return autoscaler
       .plan({ now: 100, types, statuses: heard, unschedulable: [], partitioner: PARTITIONER })
-      .rent.reduce((n, r) => n + r.count, 0);
+      .scaleOut.reduce((n, r) => n + r.count, 0);
   };
   const well = [used('m-1', 4), used('m-2', 4), used('m-3', 4)];
   assert.equal(plan(well), 0);
@@ -266,9 +266,14 @@
 
 test('a nearly empty machine is emptied only while what is there fits elsewhere and room enough is left', () => {
   const plan = (machines: readonly MachineStatus[]): readonly string[] => {
-    const fleet = new Fleet(clusterConfig, 1, { ...limits, headroom: 0.1 });
-    return fleet.plan({ now: 100, types, statuses: statuses(1, machines), unschedulable: [], partitioner: PARTITIONER })
-      .drain;
+    const autoscaler = new Autoscaler(clusterConfig, 1, { ...limits, headroom: 0.1 });
+    return autoscaler.plan({
+      now: 100,
+      types,
+      statuses: statuses(1, machines),
+      unschedulable: [],
+      partitioner: PARTITIONER,
+    }).drain;
   };
   assert.deepEqual(plan([used('m-1', 1), used('m-2', 2), used('m-3', 2), used('m-4', 3)]), ['m-1']);
   assert.deepEqual(plan([used('m-1', 1), used('m-2', 4), used('m-3', 3)]), [], 'no room to spare');
@@ -283,30 +288,40 @@
 // The cloud's list may be far older than usual. Machines that it did not show yet, or not any more as it had gone back in time, were
 // taken for gone and returned while they booted, and rented again.
 test('a list that describes the past has no machine returned that was rented after that time', () => {
-  const fleet = new Fleet(clusterConfig, 1, limits);
+  const autoscaler = new Autoscaler(clusterConfig, 1, limits);
   const plan = (now: number): readonly string[] =>
-    fleet.plan({ now, types, statuses: statuses(1, [used('m-1', 4)]), unschedulable: [], partitioner: PARTITIONER })
-      .giveBack;
+    autoscaler.plan({
+      now,
+      types,
+      statuses: statuses(1, [used('m-1', 4)]),
+      unschedulable: [],
+      partitioner: PARTITIONER,
+    }).scaleIn;
   const booting = (name: string, ageS: number): CloudMachine => ({ ...listed(name, ageS), state: 'booting' });
-  fleet.listed([listed('m-1', 100)], 0);
-  fleet.rented(['m-2'], { request: 'r', type: 'box', zone: 'a', spot: false, count: 1 }, 1000);
-  fleet.listed([listed('m-1', 103), booting('m-2', 2)], 3000);
+  autoscaler.applyCloudList([listed('m-1', 100)], 0);
+  autoscaler.recordScaleOut(['m-2'], { request: 'r', type: 'box', zone: 'a', spot: false, count: 1 }, 1000);
+  autoscaler.applyCloudList([listed('m-1', 103), booting('m-2', 2)], 3000);
   // From now on the list stands at its first second, or describes an earlier one than the list before.
   for (let now = 4000; now <= 1000 + 3 * type.bootS * 1000; now += 1000) {
-    fleet.listed([listed('m-1', now % 2000 === 0 ? 100 : 100.5)], now);
+    autoscaler.applyCloudList([listed('m-1', now % 2000 === 0 ? 100 : 100.5)], now);
     assert.deepEqual(plan(now), [], `at ${now}`);
   }
 });
 
 test('a machine that a list of a later time lacks is returned once more, for the answer proves it gone', () => {
-  const fleet = new Fleet(clusterConfig, 1, limits);
+  const autoscaler = new Autoscaler(clusterConfig, 1, limits);
   const plan = (now: number): readonly string[] =>
-    fleet.plan({ now, types, statuses: statuses(1, [used('m-1', 4)]), unschedulable: [], partitioner: PARTITIONER })
-      .giveBack;
-  fleet.listed([listed('m-1', 100), { ...listed('m-2', 5), state: 'booting' }], 0);
-  fleet.listed([listed('m-1', 101)], 1000);
+    autoscaler.plan({
+      now,
+      types,
+      statuses: statuses(1, [used('m-1', 4)]),
+      unschedulable: [],
+      partitioner: PARTITIONER,
+    }).scaleIn;
+  autoscaler.applyCloudList([listed('m-1', 100), { ...listed('m-2', 5), state: 'booting' }], 0);
+  autoscaler.applyCloudList([listed('m-1', 101)], 1000);
   assert.deepEqual(plan(1000 + clusterConfig.cloudListLagMs * 2), []);
-  fleet.listed([listed('m-1', 106)], 6000);
+  autoscaler.applyCloudList([listed('m-1', 106)], 6000);
   assert.deepEqual(plan(6000), ['m-2']);
 });
 
@@ -317,18 +332,25 @@
     ['guests', { name: 'guests', cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 0 }],
   ]);
   const machines = [used('m-1', 1), used('m-2', 2), used('m-3', 2), used('m-4', 3)];
-  const plan = (team: string, spot: boolean): FleetPlan => {
-    const fleet = new Fleet({ ...clusterConfig, teams }, 1, { ...limits, headroom: 0.1 });
-    for (const zone of type.zones) fleet.refused({ request: 'r', type: 'box', zone, spot: true, count: 1 }, 0);
+  const plan = (team: string, spot: boolean): AutoscalerPlan => {
+    const autoscaler = new Autoscaler({ ...clusterConfig, teams }, 1, { ...limits, headroom: 0.1 });
+    for (const zone of type.zones)
+      autoscaler.capacityRefused({ request: 'r', type: 'box', zone, spot: true, count: 1 }, 0);
     const job = new Job('j-1');
     job.spec = specOf('j-1', { team, spot, gpus: 4 });
     const unschedulable = [{ job, count: 2, zones: null }];
-    return fleet.plan({ now: 100, types, statuses: statuses(1, machines), unschedulable, partitioner: PARTITIONER });
+    return autoscaler.plan({
+      now: 100,
+      types,
+      statuses: statuses(1, machines),
+      unschedulable,
+      partitioner: PARTITIONER,
+    });
   };
-  const rented = ({ rent }: FleetPlan): number => rent.reduce((n, r) => n + r.count, 0);
-  assert.equal(rented(plan('red', true)), 2);
-  assert.equal(rented(plan('guests', false)), 2);
-  assert.equal(rented(plan('guests', true)), 0);
+  const countRented = ({ scaleOut }: AutoscalerPlan): number => scaleOut.reduce((n, r) => n + r.count, 0);
+  assert.equal(countRented(plan('red', true)), 2);
+  assert.equal(countRented(plan('guests', false)), 2);
+  assert.equal(countRented(plan('guests', true)), 0);
   assert.deepEqual(plan('guests', true).drain, ['m-1']);
   assert.deepEqual(plan('red', true).drain, []);
 });
@@ -338,8 +360,8 @@
   const dear = { ...type, name: 'dear', gpus: 2, cpus: 4, memoryGb: 16, price: 3, spotPrice: 0.8 };
   const two = new Map([type, dear].map((t) => [t.name, t]));
   const drained = (machines: readonly MachineStatus[], headroom: number): readonly string[] => {
-    const fleet = new Fleet(clusterConfig, 1, { ...limits, headroom });
-    return fleet.plan({
+    const autoscaler = new Autoscaler(clusterConfig, 1, { ...limits, headroom });
+    return autoscaler.plan({
       now: 100,
       types: two,
       statuses: statuses(1, machines),
--- a/packages/core/test/rental-choice.test.ts
+++ b/packages/core/test/scale-out-choice.test.ts
@@ -3,15 +3,15 @@
 import fc from 'fast-check';
 import type { MachineType } from '@gingerlock/wire';
 import {
-  chooseRental,
+  chooseMachineOption,
   Job,
   NO_RESOURCES,
-  type RentalChoice,
-  type RentalDemand,
-  type RentalOption,
-  RentalPlan,
-  type RentalPlanInput,
-  type RentalSituation,
+  type ScaleOutChoice,
+  type ScaleOutDemand,
+  type MachineOption,
+  ScaleOutPlan,
+  type ScaleOutPlanInput,
+  type ScaleOutContext,
   countFitting,
 } from '../src/index';
 import { CLUSTER_CONFIG, specOf } from './fixtures';
@@ -45,7 +45,7 @@
     .integer({ min: 1, max: most })
     .chain((n) => fc.tuple(...Array.from({ length: n }, (_, i) => machineType(`t-${i}`))));
 
-const demand: fc.Arbitrary<RentalDemand> = fc.record({
+const demand: fc.Arbitrary<ScaleOutDemand> = fc.record({
   need: fc.record({
     cpus: fc.constantFrom(0, 4, 8),
     gpus: fc.constantFrom(1, 2),
@@ -58,7 +58,7 @@
   runMs: fc.constantFrom(0, 500, 60_000),
 });
 
-const situation = (most: number): fc.Arbitrary<RentalSituation> =>
+const situation = (most: number): fc.Arbitrary<ScaleOutContext> =>
   fc
     .record({
       types: types(most),
@@ -75,31 +75,31 @@
       wasRefused: () => false,
     }));
 
-function allOptions(all: readonly MachineType[]): RentalOption[] {
+function allOptions(all: readonly MachineType[]): MachineOption[] {
   return all.flatMap((type) => type.zones.flatMap((zone) => [false, true].map((spot) => ({ type, zone, spot }))));
 }
 
-type Choose = (situation: RentalSituation) => RentalChoice | null;
+type Choose = (situation: ScaleOutContext) => ScaleOutChoice | null;
 
 /** What is wrong with a choice; null: nothing. */
-function fault(given: RentalSituation, choice: RentalChoice | null): string | null {
+function fault(given: ScaleOutContext, choice: ScaleOutChoice | null): string | null {
   if (choice === null) return given.options.length > 0 ? 'nothing chosen though something may be rented' : null;
   const { chosen } = choice;
   if (!given.options.includes(chosen.option)) return 'not allowed';
   for (const other of given.options) {
-    const alone = chooseRental({ ...given, options: [other] })!.chosen;
-    const isDearer = alone.dearness < chosen.dearness && alone.startMs <= chosen.startMs;
-    const isSlower = alone.startMs < chosen.startMs && alone.dearness <= chosen.dearness;
+    const alone = chooseMachineOption({ ...given, options: [other] })!.chosen;
+    const isDearer = alone.costRatio < chosen.costRatio && alone.startMs <= chosen.startMs;
+    const isSlower = alone.startMs < chosen.startMs && alone.costRatio <= chosen.costRatio;
     if (isDearer || isSlower) return 'another is neither dearer nor slower';
   }
   return null;
 }
 
 /** What was chosen before there were several types: the least price of a whole machine. */
-function cheapestMachine(given: RentalSituation): RentalChoice | null {
-  const price = ({ type, spot }: RentalOption): number => (spot ? type.spotPrice : type.price);
+function cheapestMachine(given: ScaleOutContext): ScaleOutChoice | null {
+  const price = ({ type, spot }: MachineOption): number => (spot ? type.spotPrice : type.price);
   const [option] = [...given.options].sort((a, b) => price(a) - price(b));
-  return option === undefined ? null : chooseRental({ ...given, options: [option] });
+  return option === undefined ? null : chooseMachineOption({ ...given, options: [option] });
 }
 
 const RUNS = { numRuns: 500, seed: 31 };
@@ -107,7 +107,7 @@
 test('what is rented is never dearer and slower than another allowed choice', () => {
   fc.assert(
     fc.property(situation(4), (given) => {
-      assert.equal(fault(given, chooseRental(given)), null);
+      assert.equal(fault(given, chooseMachineOption(given)), null);
     }),
     RUNS,
   );
@@ -116,7 +116,8 @@
 test('the check of choices finds mutants: the cheapest machine, the first option, none', () => {
   const mutants: Choose[] = [
     cheapestMachine,
-    (given) => (given.options.length === 0 ? null : chooseRental({ ...given, options: given.options.slice(0, 1) })),
+    (given) =>
+      given.options.length === 0 ? null : chooseMachineOption({ ...given, options: given.options.slice(0, 1) }),
     () => null,
   ];
   for (const mutant of mutants) {
@@ -131,13 +132,13 @@
 test('the order of types, zones and options is of no effect', () => {
   fc.assert(
     fc.property(situation(4), (given) => {
-      const turned: RentalSituation = {
+      const turned: ScaleOutContext = {
         ...given,
         types: new Map([...given.types].reverse()),
         machinesIn: new Map([...given.machinesIn].reverse()),
         options: [...given.options].reverse(),
       };
-      assert.deepEqual(chooseRental(turned)?.chosen.option, chooseRental(given)?.chosen.option);
+      assert.deepEqual(chooseMachineOption(turned)?.chosen.option, chooseMachineOption(given)?.chosen.option);
     }),
     RUNS,
   );
@@ -146,8 +147,8 @@
 test('with one type the cheaper kind is chosen, in the zone with the fewest machines', () => {
   fc.assert(
     fc.property(situation(1), (given) => {
-      const price = ({ type, spot }: RentalOption): number => (spot ? type.spotPrice : type.price);
-      const machines = ({ zone }: RentalOption): number => given.machinesIn.get(zone)!;
+      const price = ({ type, spot }: MachineOption): number => (spot ? type.spotPrice : type.price);
+      const machines = ({ zone }: MachineOption): number => given.machinesIn.get(zone)!;
       const [expected] = [...given.options].sort(
         (a, b) =>
           price(a) - price(b) ||
@@ -155,7 +156,7 @@
           ZONES.indexOf(a.zone) - ZONES.indexOf(b.zone) ||
           Number(a.spot) - Number(b.spot),
       );
-      assert.deepEqual(chooseRental(given)?.chosen.option, expected);
+      assert.deepEqual(chooseMachineOption(given)?.chosen.option, expected);
     }),
     RUNS,
   );
@@ -186,12 +187,12 @@
   bootS: 30,
 };
 
-function planOf(over: Partial<RentalPlanInput> = {}): RentalPlan {
-  return new RentalPlan({
+function planOf(over: Partial<ScaleOutPlanInput> = {}): ScaleOutPlan {
+  return new ScaleOutPlan({
     clusterConfig,
     types: new Map([SMALL, LARGE].map((t) => [t.name, t])),
     booting: [],
-    leaving: [],
+    drainingIdleMachines: [],
     known: [],
     maxOrdinaryMachines: Infinity,
     maxSpotMachines: Infinity,
@@ -210,7 +211,7 @@
 }
 
 /** By type: how many machines the plan asks for. */
-function rented(plan: RentalPlan): Record<string, number> {
+function countRented(plan: ScaleOutPlan): Record<string, number> {
   const byType: Record<string, number> = {};
   for (const r of plan.requests(() => 'r')) byType[r.type] = (byType[r.type] ?? 0) + r.count;
   return byType;
@@ -220,26 +221,26 @@
 test('a fleet that starts empty is rented of the type that is cheaper for the room and quicker', () => {
   const plan = planOf();
   plan.serve([waiting(40)], 0);
-  assert.deepEqual(rented(plan), { large: 10 });
+  assert.deepEqual(countRented(plan), { large: 10 });
 });
 
 test('for a single task a machine of its size is rented, unless spare room is wanted too', () => {
   const alone = planOf();
   alone.serve([waiting(1)], 0);
-  assert.deepEqual(rented(alone), { small: 1 });
+  assert.deepEqual(countRented(alone), { small: 1 });
   const withSpare = planOf();
   withSpare.serve([waiting(1)], 6);
-  assert.deepEqual(rented(withSpare), { large: 1 });
+  assert.deepEqual(countRented(withSpare), { large: 1 });
 });
 
 test('a type that is refused gives way to the next best, and comes back', () => {
   const plan = planOf({ isOpen: ({ type }) => type !== LARGE });
   plan.serve([waiting(8)], 0);
   plan.keepSpare(0, 4);
-  assert.deepEqual(rented(plan), { small: 5 });
+  assert.deepEqual(countRented(plan), { small: 5 });
   const later = planOf();
   later.serve([waiting(8)], 0);
-  assert.deepEqual(rented(later), { large: 2 });
+  assert.deepEqual(countRented(later), { large: 2 });
 });
 
 // Zones that were full were asked again and again before one that was not, for it had more machines.
@@ -260,13 +261,13 @@
     spot: false,
     byPriority: [{ cpus: 16, gpus: 8, memoryGb: 64 }, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES],
   };
-  const suspect = { ...machine } as unknown as Parameters<RentalPlan['replace']>[0];
+  const suspect = { ...machine } as unknown as Parameters<ScaleOutPlan['replace']>[0];
   const plan = planOf();
   plan.replace(suspect);
-  assert.deepEqual(rented(plan), { large: 1 });
+  assert.deepEqual(countRented(plan), { large: 1 });
   const refused = planOf({ isOpen: ({ type }) => type !== LARGE });
   refused.replace(suspect);
-  assert.deepEqual(rented(refused), { small: 2 });
+  assert.deepEqual(countRented(refused), { small: 2 });
 });
 
 test('for room in GPUs no machine without any is rented, however cheap', () => {
@@ -274,10 +275,10 @@
   const plan = planOf({ types: new Map([SMALL, without].map((t) => [t.name, t])) });
   plan.keepSpare(0, 4);
   plan.replace({ spot: false, byPriority: [{ cpus: 16, gpus: 2, memoryGb: 8 }] } as unknown as Parameters<
-    RentalPlan['replace']
+    ScaleOutPlan['replace']
   >[0]);
-  assert.equal(rented(plan).without ?? 0, 0);
-  assert.ok(rented(plan).small! > 0);
+  assert.equal(countRented(plan).without ?? 0, 0);
+  assert.ok(countRented(plan).small! > 0);
 });
 
 test('no need is left unmet that an open place could serve, and none is rented for twice', () => {
--- a/packages/daemon/src/fleet-manager.ts
+++ b/packages/daemon/src/autoscaling-loop.ts
@@ -1,6 +1,6 @@
 // The leader's dealings with the cloud: reads its lists, rents and returns machines as the fleet's plan says.
 import { Cloud, type Http, sleep, URGENCY } from '@gingerlock/clients';
-import { Fleet, type PartitionStatus, type OwnershipTerm, type UnschedulableDemand } from '@gingerlock/core';
+import { Autoscaler, type PartitionStatus, type OwnershipTerm, type UnschedulableDemand } from '@gingerlock/core';
 import {
   type CloudMachine,
   type JobSpec,
@@ -9,11 +9,11 @@
   type RentRequest,
   RETURN_MOST,
 } from '@gingerlock/wire';
-import { MachineOffers } from './machine-offers';
+import { MachineTypeCatalog } from './machine-type-catalog';
 import type { Shared } from './shared';
 
 /** What the leader knows of the work and of the machines, as of now. */
-export interface FleetView {
+export interface SchedulerView {
   statuses(now: number): readonly PartitionStatus[];
   /** Tasks that have no room anywhere. */
   unschedulable(): readonly UnschedulableDemand[];
@@ -22,7 +22,7 @@
 }
 
 /** Machines that get no more work, and those that are surely gone: told to the owners again and again. */
-export interface FleetOrders {
+export interface MachineDirectives {
   readonly drain: readonly string[];
   readonly gone: readonly string[];
 }
@@ -30,10 +30,10 @@
 /** How often a rental is sent under one name while its outcome is not known. */
 const RENT_TRIES = 4;
 
-export class FleetManager {
-  readonly #fleet: Fleet;
+export class AutoscalingLoop {
+  readonly #autoscaler: Autoscaler;
   readonly #cloud: Cloud;
-  readonly #offers: MachineOffers;
+  readonly #machineTypes: MachineTypeCatalog;
   /** Since when it has listened to the owners without standing still. */
   #since: number;
   #drain: readonly string[] = [];
@@ -47,11 +47,11 @@
     readonly shared: Shared,
     readonly ownershipTerm: OwnershipTerm,
     http: Http,
-    readonly view: FleetView,
+    readonly view: SchedulerView,
   ) {
-    this.#fleet = new Fleet(shared.clusterConfig, ownershipTerm.term, shared.settings.operators);
+    this.#autoscaler = new Autoscaler(shared.clusterConfig, ownershipTerm.term, shared.settings.operators);
     this.#cloud = new Cloud(http, shared.settings.cloud, shared.clusterConfig.heartbeatIntervalMs * 2);
-    this.#offers = new MachineOffers(shared.clusterConfig.zones, shared.log);
+    this.#machineTypes = new MachineTypeCatalog(shared.clusterConfig.zones, shared.log);
     this.#since = shared.clock.now();
     void this.#loop();
   }
@@ -65,18 +65,18 @@
     this.#since = now;
   }
 
-  orders(): FleetOrders {
+  directives(): MachineDirectives {
     return { drain: this.#drain, gone: [...this.#gone.keys()] };
   }
 
   /** How long until a machine that is rented now could run a task of the job, in milliseconds; Infinity: none can be had. */
-  rentMs(job: JobSpec): number {
-    return this.#fleet.rentMs(job, this.shared.store.types);
+  scaleOutMs(job: JobSpec): number {
+    return this.#autoscaler.scaleOutMs(job, this.shared.store.types);
   }
 
   /** Whether the cloud had no room lately for the job in the zone. */
-  isFullFor(job: JobSpec, zone: string): boolean {
-    return this.#fleet.isFullFor(job, zone, this.#offers.current, this.shared.clock.now());
+  lacksCapacityFor(job: JobSpec, zone: string): boolean {
+    return this.#autoscaler.lacksCapacityFor(job, zone, this.#machineTypes.current, this.shared.clock.now());
   }
 
   #isLeading(): boolean {
@@ -100,7 +100,10 @@
           await this.#types();
         if (now - listAt > Math.max(clusterConfig.cloudListLagMs / 2, pace)) {
           listAt = now;
-          const { failed } = this.#fleet.listed(this.#knownMachines(await this.#cloud.list()), clock.now());
+          const { failed } = this.#autoscaler.applyCloudList(
+            this.#knownMachines(await this.#cloud.list()),
+            clock.now(),
+          );
           for (const name of failed) this.#gone.set(name, clock.now());
           this.#listed = true;
         }
@@ -115,7 +118,7 @@
   }
 
   #knownMachines(listed: readonly CloudMachine[]): CloudMachine[] {
-    return this.#offers.knownKinds(listed, (machine) => this.#fleet.known.has(machine));
+    return this.#machineTypes.knownKinds(listed, (machine) => this.#autoscaler.machines.has(machine));
   }
 
   async #types(): Promise<void> {
@@ -124,7 +127,11 @@
     const list = await this.#cloud.types();
     this.#typesAt = shared.clock.now();
     // Before the machines have been listed it is not known which types are used.
-    const types = this.#offers.read(list, store.types.values(), (type) => !this.#listed || this.#fleet.has(type));
+    const types = this.#machineTypes.read(
+      list,
+      store.types.values(),
+      (type) => !this.#listed || this.#autoscaler.has(type),
+    );
     const value = machineTypesMap(types);
     const before = machineTypesMap([...store.types.values()]);
     // Prices of spot machines move all the time; what matters to all is what the machines are.
@@ -142,11 +149,12 @@
     const current = this.view.statuses(now);
     const allHeard = current.length === (store.meta?.partitionCount ?? Infinity);
     // Until all that is up has been heard, or has had the time to be, what is free is not known.
-    const isFleetHeard = now - this.#since >= clusterConfig.heartbeatIntervalMs * 2 || this.#fleet.allHeard(current);
-    if (!this.#listed || !allHeard || !isFleetHeard || this.#offers.current.size === 0) return;
-    const plan = this.#fleet.plan({
+    const isFleetHeard =
+      now - this.#since >= clusterConfig.heartbeatIntervalMs * 2 || this.#autoscaler.hasHeardAll(current);
+    if (!this.#listed || !allHeard || !isFleetHeard || this.#machineTypes.current.size === 0) return;
+    const plan = this.#autoscaler.plan({
       now,
-      types: this.#offers.current,
+      types: this.#machineTypes.current,
       statuses: current,
       unschedulable: this.view.unschedulable(),
       partitioner: store.partitioner!,
@@ -155,39 +163,39 @@
     this.#drain = plan.drain;
     if (now - this.#toldAt > clusterConfig.cloudListLagMs) {
       this.#toldAt = now;
-      log.debug(this.#fleet.figures(current, store.types), 'fleet');
+      log.debug(this.#autoscaler.figures(current, store.types), 'fleet');
     }
-    if (plan.giveBack.length > 0) await this.#giveBack(plan.giveBack.slice(0, RETURN_MOST));
+    if (plan.scaleIn.length > 0) await this.#scaleIn(plan.scaleIn.slice(0, RETURN_MOST));
     // The lead may have been lost, or this controller have stood still, while the cloud was asked: the next leader rents too.
-    for (const r of plan.rent) if (this.#mayManage()) await this.#rent(r);
+    for (const r of plan.scaleOut) if (this.#mayManage()) await this.#scaleOut(r);
   }
 
-  async #giveBack(names: readonly string[]): Promise<void> {
+  async #scaleIn(names: readonly string[]): Promise<void> {
     const { clock, log } = this.shared;
-    if (!(await this.#cloud.giveBack(names))) return;
-    this.#fleet.returned(names, clock.now());
+    if (!(await this.#cloud.scaleIn(names))) return;
+    this.#autoscaler.recordScaleIn(names, clock.now());
     for (const name of names) this.#gone.set(name, clock.now());
     log.info({ machines: names }, 'machines returned');
   }
 
-  async #rent(r: RentRequest): Promise<void> {
+  async #scaleOut(r: RentRequest): Promise<void> {
     const { clock, log, clusterConfig } = this.shared;
     // An unknown outcome is asked again under the same name: that rents nothing twice.
     for (let tries = 0; tries < RENT_TRIES && this.#mayManage(); tries++) {
       const result = await this.#cloud.rent(r);
       if (result.kind === 'rented') {
-        this.#fleet.rented(result.names, r, clock.now());
+        this.#autoscaler.recordScaleOut(result.names, r, clock.now());
         log.info({ ...r, machines: result.names }, 'machines rented');
         return;
       }
       if (result.kind === 'no capacity') {
-        this.#fleet.refused(r, clock.now());
+        this.#autoscaler.capacityRefused(r, clock.now());
         log.info({ ...r }, 'no capacity');
         return;
       }
       log.info({ ...r, why: result.why }, 'rental not answered');
       await sleep(clock, clusterConfig.heartbeatIntervalMs / 2);
     }
-    this.#fleet.refused(r, clock.now());
+    this.#autoscaler.capacityRefused(r, clock.now());
   }
 }
--- a/packages/daemon/src/controller.ts
+++ b/packages/daemon/src/controller.ts
@@ -411,7 +411,7 @@
       case 'PartitionStatusFragment':
         if (!this.#owners.has(message.partitionId)) this.#statuses.onFragment(from, message, now);
         return;
-      case 'FleetOrders':
+      case 'MachineDirectives':
         if (this.store.owners.get(LEADERSHIP)?.record.term === message.term) this.#obey(message.drain, message.gone);
         return;
       case 'ConfirmationRequest':
@@ -453,9 +453,14 @@
     if (!this.#publisher.publish(this.owned(), this.#contactAgeMs(now), now)) return;
     const leader = this.#leader;
     if (leader === null || !leader.ownershipTerm.isCurrent) return;
-    const { drain, gone } = leader.orders();
+    const { drain, gone } = leader.directives();
     this.#obey(drain, gone);
-    this.#peers.broadcast({ kind: 'FleetOrders', term: leader.ownershipTerm.term, drain: [...drain], gone: [...gone] });
+    this.#peers.broadcast({
+      kind: 'MachineDirectives',
+      term: leader.ownershipTerm.term,
+      drain: [...drain],
+      gone: [...gone],
+    });
   }
 
   #contactAgeMs(now: number): number {
--- a/packages/daemon/src/leader-borrowing.ts
+++ b/packages/daemon/src/leader-borrowing.ts
@@ -49,7 +49,7 @@
   /** Jobs that the transaction changes already. */
   readonly taken: ReadonlySet<string>;
   readonly most: number;
-  readonly rentMs: (job: Job) => number;
+  readonly scaleOutMs: (job: Job) => number;
 }
 
 export class LeaderBorrowing {
@@ -91,7 +91,7 @@
       claims: this.#claims(view.statuses),
       pending: this.#pending(),
       most: view.most,
-      rentMs: view.rentMs,
+      scaleOutMs: view.scaleOutMs,
       stopMs: STOP_MS + clusterConfig.heartbeatIntervalMs / 2,
     });
     this.#tell(plan.refused, plan.accounts, clock.now());
--- a/packages/daemon/src/leader-groups.ts
+++ b/packages/daemon/src/leader-groups.ts
@@ -34,17 +34,17 @@
 }
 
 /** What the placement of groups asks of the fleet. */
-export interface FleetOfGroups {
+export interface GroupFleetView {
   /** Machines that are to get no more work, whether their owners know it yet or not. */
   draining(): readonly string[];
   /** Whether the cloud had no room lately for the job in the zone. */
-  isFullFor(job: JobSpec, zone: string): boolean;
+  lacksCapacityFor(job: JobSpec, zone: string): boolean;
 }
 
-const NO_FLEET: FleetOfGroups = { draining: () => [], isFullFor: () => false };
+const NO_FLEET: GroupFleetView = { draining: () => [], lacksCapacityFor: () => false };
 
 export class LeaderGroups implements GroupPlanner {
-  fleet: FleetOfGroups = NO_FLEET;
+  fleetView: GroupFleetView = NO_FLEET;
   /** By job that is to be in one zone: where room is asked for, until it is placed or the zone is full. */
   readonly #wantedZones = new Map<string, string>();
   /** Machines of reservations that are on their way into the state service. */
@@ -71,7 +71,7 @@
   }
 
   choose(job: Job, candidates: readonly GroupCandidate[]): GroupChoice {
-    const draining = new Set(this.fleet.draining());
+    const draining = new Set(this.fleetView.draining());
     const open = candidates.filter(({ machine }) => !draining.has(machine));
     const chooseIn = (zones: readonly string[]): GroupChoice =>
       chooseMachines(job, open, zones, this.#stored(job)?.record.avoid ?? null);
@@ -86,9 +86,9 @@
     const { zone: asked } = job.spec;
     const known = this.#wantedZones.get(job.id);
     if (asked !== null) return asked;
-    if (known !== undefined && !this.fleet.isFullFor(job.spec, known)) return known;
+    if (known !== undefined && !this.fleetView.lacksCapacityFor(job.spec, known)) return known;
     const { zones } = this.shared.clusterConfig;
-    const withCapacity = zones.filter((zone) => !this.fleet.isFullFor(job.spec, zone));
+    const withCapacity = zones.filter((zone) => !this.fleetView.lacksCapacityFor(job.spec, zone));
     const among = withCapacity.length > 0 ? withCapacity : zones;
     const best = among.reduce((a, b) => (chooseIn([b]).missing < chooseIn([a]).missing ? b : a));
     this.#wantedZones.set(job.id, best);
--- a/packages/daemon/src/leader.ts
+++ b/packages/daemon/src/leader.ts
@@ -14,7 +14,7 @@
   type UnschedulableDemand,
 } from '@gingerlock/core';
 import { jobRecord, KEYS, reclaimRecord, type AssignedRange } from '@gingerlock/wire';
-import { FleetManager, type FleetOrders } from './fleet-manager';
+import { AutoscalingLoop, type MachineDirectives } from './autoscaling-loop';
 import { finalOf, JobBatch, recordOf, recordWith } from './job-batch';
 import { type LeaderBorrowing, unschedulableWithout } from './leader-borrowing';
 import type { LeaderGroups } from './leader-groups';
@@ -45,7 +45,7 @@
 
 /** The leader: assigns waiting tasks among the parts, closes jobs, and has the fleet managed. It commands no worker. */
 export class Leader {
-  readonly #fleet: FleetManager;
+  readonly #autoscaling: AutoscalingLoop;
   readonly #trials: TrialSchedule;
   #assigning = false;
   #pendingAssignments: PendingAssignment[] = [];
@@ -63,7 +63,7 @@
     readonly groups: LeaderGroups | null,
   ) {
     this.#trials = new TrialSchedule(shared.clusterConfig);
-    this.#fleet = new FleetManager(shared, ownershipTerm, http, {
+    this.#autoscaling = new AutoscalingLoop(shared, ownershipTerm, http, {
       statuses: (now) => this.#current(now),
       unschedulable: () => this.#unschedulable,
       pinned: () => groups?.pinnedMachines() ?? NOTHING_PINNED,
@@ -73,27 +73,27 @@
 
   #joinGroups(): void {
     if (this.groups === null) return;
-    this.groups.fleet = {
-      draining: () => this.orders().drain,
-      isFullFor: (job, zone) => this.#fleet.isFullFor(job, zone),
+    this.groups.fleetView = {
+      draining: () => this.directives().drain,
+      lacksCapacityFor: (job, zone) => this.#autoscaling.lacksCapacityFor(job, zone),
     };
   }
 
   stop(): void {
     this.#stopped = true;
-    this.#fleet.stop();
+    this.#autoscaling.stop();
   }
 
   resumedAfterStall(now: number): void {
-    this.#fleet.resumedAfterStall(now);
+    this.#autoscaling.resumedAfterStall(now);
   }
 
   #isLeading(): boolean {
     return this.ownershipTerm.isCurrent && !this.#stopped;
   }
 
-  orders(): FleetOrders {
-    return this.#fleet.orders();
+  directives(): MachineDirectives {
+    return this.#autoscaling.directives();
   }
 
   #current(now: number): PartitionStatus[] {
@@ -279,7 +279,7 @@
       statuses: current,
       taken: batch.jobs,
       most,
-      rentMs: (job) => this.#fleet.rentMs(job.spec),
+      scaleOutMs: (job) => this.#autoscaling.scaleOutMs(job.spec),
     });
     const added: AddedReclaim[] = [];
     for (const decision of decisions) {
--- a/packages/daemon/src/machine-offers.ts
+++ b/packages/daemon/src/machine-type-catalog.ts
@@ -3,7 +3,7 @@
 import type { Log } from './log';
 
 /** Takes the cloud's lists of types and machines, and logs each odd field of them once. */
-export class MachineOffers {
+export class MachineTypeCatalog {
   #current: ReadonlyMap<string, MachineType> = new Map();
   readonly #logged = new Set<string>();
 
@@ -22,11 +22,12 @@
    * without a price: nothing more is rented of them, and their machines are served.
    */
   read(
-    { types, odd }: MachineTypeList,
+    { types, invalid }: MachineTypeList,
     before: Iterable<MachineType>,
     isUsed: (type: string) => boolean,
   ): MachineType[] {
-    for (const { type, field, why } of odd) this.#logOnce(`${type} ${field}`, { type, field, why }, 'odd machine type');
+    for (const { type, field, why } of invalid)
+      this.#logOnce(`${type} ${field}`, { type, field, why }, 'odd machine type');
     const offered = types.map((type) => this.#inKnownZones(type));
     const names = new Set(offered.map(({ name }) => name));
     const kept = [...before].filter(({ name }) => !names.has(name) && isUsed(name));
@@ -45,7 +46,7 @@
   /** The machines of a list that this deployment can have, and those that are known already. */
   knownKinds(listed: readonly CloudMachine[], isKnown: (machine: string) => boolean): CloudMachine[] {
     return listed.filter((machine) => {
-      const field = this.#oddField(machine);
+      const field = this.#unknownField(machine);
       if (field === null || isKnown(machine.name)) return true;
       this.#logOnce(`machine ${machine.name}`, { field, machine: machine.name }, "odd machine in the cloud's list");
       return false;
@@ -53,7 +54,7 @@
   }
 
   /** The field of a listed machine that names no type or zone of the deployment; null: there is none. */
-  #oddField({ type, zone }: CloudMachine): 'breed' | 'yard' | null {
+  #unknownField({ type, zone }: CloudMachine): 'breed' | 'yard' | null {
     if (this.#current.size > 0 && !this.#current.has(type)) return 'breed';
     return this.zones.includes(zone) ? null : 'yard';
   }
--- a/packages/daemon/test/machine-offers.test.ts
+++ b/packages/daemon/test/machine-type-catalog.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { type CloudMachine, isRentable, readMachineTypes } from '@gingerlock/wire';
 import { SILENT } from '../src/index';
-import { MachineOffers } from '../src/machine-offers';
+import { MachineTypeCatalog } from '../src/machine-type-catalog';
 
 const box = (sku: string, yards: readonly string[] = ['a', 'b']): unknown => ({
   sku,
@@ -17,10 +17,10 @@
   yards,
 });
 
-function offersWithLog(): { offers: MachineOffers; logged: string[] } {
+function offersWithLog(): { offers: MachineTypeCatalog; logged: string[] } {
   const logged: string[] = [];
   const error = (fields: unknown, message: string): void => void logged.push(`${message} ${JSON.stringify(fields)}`);
-  return { offers: new MachineOffers(['a', 'b'], { ...SILENT, error }), logged };
+  return { offers: new MachineTypeCatalog(['a', 'b'], { ...SILENT, error }), logged };
 }
 
 test('a type that is gone from a later list is kept without a price while machines of it run', () => {
--- a/packages/peer/src/messages.ts
+++ b/packages/peer/src/messages.ts
@@ -54,7 +54,7 @@
   /** The sender tells a user that this job is cancelled. A hint to stop its tasks, also without the state service. */
   record('JobCancelled', { job: 'string' }),
   /** From the leader: which machines get no more work, and which are surely gone. */
-  record('FleetOrders', {
+  record('MachineDirectives', {
     term: 'long',
     drain: { type: 'array', items: 'string' },
     gone: { type: 'array', items: 'string' },
@@ -197,7 +197,7 @@
   PartitionStatus: PeerPartitionStatus;
   RevisionHint: { revision: number };
   JobCancelled: { job: string };
-  FleetOrders: { term: number; drain: string[]; gone: string[] };
+  MachineDirectives: { term: number; drain: string[]; gone: string[] };
   ConfirmationRequest: { id: string; revision: number };
   Confirmation: { id: string; confirms: boolean; contactAgeMs: number };
   OwnershipQuery: { id: string; partitionId: number; term: number };
--- a/packages/peer/test/link.test.ts
+++ b/packages/peer/test/link.test.ts
@@ -21,7 +21,7 @@
   { kind: 'Hello', version: 1, node: 'a' },
   { kind: 'RevisionHint', revision: 2 ** 40 },
   { kind: 'JobCancelled', job: 'j-000007' },
-  { kind: 'FleetOrders', term: 3, drain: ['m-1'], gone: [] },
+  { kind: 'MachineDirectives', term: 3, drain: ['m-1'], gone: [] },
   { kind: 'ConfirmationRequest', id: 'p-1', revision: 9 },
   { kind: 'Confirmation', id: 'p-1', confirms: true, contactAgeMs: 12.5 },
   { kind: 'OwnershipQuery', id: 'p-2', partitionId: 3, term: 9 },
--- a/packages/testkit/src/state-service.ts
+++ b/packages/testkit/src/state-service.ts
@@ -178,7 +178,7 @@
   }
 
   /** The answer to a transaction that the limits do not allow; null: they allow it. */
-  #refusalOf(conditions: readonly Condition[], changes: readonly Change[]): HttpAnswer | null {
+  #capacityBackoffOf(conditions: readonly Condition[], changes: readonly Change[]): HttpAnswer | null {
     const { limits } = this;
     if (limits === null) return null;
     const large = changes.find((c) => 'put' in c && JSON.stringify(c.value).length > limits.valueKb * 1024);
@@ -212,7 +212,7 @@
       case 'txn': {
         const { conditions, changes } = txnRequestOf(decode(body));
         this.changes += changes.length;
-        const refusal = this.#refusalOf(conditions, changes);
+        const refusal = this.#capacityBackoffOf(conditions, changes);
         if (refusal !== null) return refusal;
         this.largestTxn = Math.max(this.largestTxn, changes.length);
         for (const c of changes) {
--- a/packages/testkit/test/mutants.test.ts
+++ b/packages/testkit/test/mutants.test.ts
@@ -3,7 +3,15 @@
 import { test } from 'node:test';
 import { Accounts } from '@gingerlock/borrowing';
 import { Replica } from '@gingerlock/clients';
-import { ClaimTable, DependencyGraph, FailureAttribution, Fleet, Job, JobTable, Ownership } from '@gingerlock/core';
+import {
+  ClaimTable,
+  DependencyGraph,
+  FailureAttribution,
+  Autoscaler,
+  Job,
+  JobTable,
+  Ownership,
+} from '@gingerlock/core';
 import { Controller, LeaderBorrowing, OwnerReclaims, PartitionOwner } from '@gingerlock/daemon';
 import { MAX_FRAME_BYTES } from '@gingerlock/peer';
 import { encodeJobState, decodeSubmission, PRIORITIES } from '@gingerlock/wire';
@@ -305,13 +313,13 @@
     broken: 'machines that hold nothing are given back, whatever is planned for them',
     apply: () =>
       patch(
-        Fleet.prototype,
+        Autoscaler.prototype,
         'plan',
         (original) =>
-          function (this: Fleet, input) {
+          function (this: Autoscaler, input) {
             const plan = original.call(this, input);
             const machines = input.statuses.flatMap((status) => status.machines);
-            return { ...plan, giveBack: machines.filter(({ empty }) => empty).map(({ name }) => name) };
+            return { ...plan, scaleIn: machines.filter(({ empty }) => empty).map(({ name }) => name) };
           },
       ),
   },
@@ -425,11 +433,11 @@
     faults: [{ kind: 'boot trouble', never: 1, factor: 1, forMs: 20_000 }],
     apply: () =>
       patch(
-        Fleet.prototype,
+        Autoscaler.prototype,
         'plan',
         (original) =>
-          function (this: Fleet, input) {
-            return { ...original.call(this, input), giveBack: [] };
+          function (this: Autoscaler, input) {
+            return { ...original.call(this, input), scaleIn: [] };
           },
       ),
   },
--- a/packages/wire/src/machine-types.ts
+++ b/packages/wire/src/machine-types.ts
@@ -17,7 +17,7 @@
 }
 
 /** A field of a listed type that can't be used. */
-export interface OddTypeField {
+export interface InvalidTypeField {
   /** The type's name; null: it has none. */
   readonly type: string | null;
   readonly field: string;
@@ -26,7 +26,7 @@
 
 export interface MachineTypeList {
   readonly types: readonly MachineType[];
-  readonly odd: readonly OddTypeField[];
+  readonly invalid: readonly InvalidTypeField[];
 }
 
 const checkTypes = checker(Type.Object({ breeds: Type.Array(Type.Unknown()) }));
@@ -42,28 +42,28 @@
 /** Reads a list of types. An amount that makes no sense reads as 0, and is named in `odd`. */
 export function readMachineTypes(map: unknown): MachineTypeList {
   const types = new Map<string, MachineType>();
-  const odd: OddTypeField[] = [];
+  const invalid: InvalidTypeField[] = [];
   for (const entry of checkTypes(map).breeds) {
     const fields: Record<string, unknown> = typeof entry === 'object' && entry !== null ? { ...entry } : {};
     const { sku } = fields;
-    if (typeof sku !== 'string' || sku === '') odd.push({ type: null, field: 'sku', why: 'not a name' });
-    else if (types.has(sku)) odd.push({ type: sku, field: 'sku', why: 'listed twice' });
-    else types.set(sku, readType(sku, fields, odd));
+    if (typeof sku !== 'string' || sku === '') invalid.push({ type: null, field: 'sku', why: 'not a name' });
+    else if (types.has(sku)) invalid.push({ type: sku, field: 'sku', why: 'listed twice' });
+    else types.set(sku, readType(sku, fields, invalid));
   }
-  return { types: [...types.values()], odd };
+  return { types: [...types.values()], invalid };
 }
 
-function readType(name: string, fields: Record<string, unknown>, odd: OddTypeField[]): MachineType {
+function readType(name: string, fields: Record<string, unknown>, invalid: InvalidTypeField[]): MachineType {
   const amount = (field: AmountField, isOptional: boolean): number => {
     const value = fields[field];
     if (typeof value === 'number' && Number.isFinite(value) && (value > 0 || (isOptional && value === 0))) return value;
-    odd.push({ type: name, field, why: isOptional ? 'not a number' : 'not a positive number' });
+    invalid.push({ type: name, field, why: isOptional ? 'not a number' : 'not a positive number' });
     return 0;
   };
   const [cpus, memoryGb, fetchGbPerS, price, spotPrice, bootS] = POSITIVE.map((field) => amount(field, false));
   const [gpus, cacheGb] = OPTIONAL.map((field) => amount(field, true));
   const zones = Array.isArray(fields.yards) ? fields.yards.filter((zone) => typeof zone === 'string') : [];
-  if (zones.length === 0) odd.push({ type: name, field: 'yards', why: 'not a list of zones' });
+  if (zones.length === 0) invalid.push({ type: name, field: 'yards', why: 'not a list of zones' });
   return {
     name,
     cpus: cpus!,
--- a/packages/wire/test/machine-types.test.ts
+++ b/packages/wire/test/machine-types.test.ts
@@ -21,13 +21,13 @@
   const bad = fc.constantFrom<unknown>(0, -1, NaN, Infinity, null, undefined, '4', {});
   fc.assert(
     fc.property(fc.constantFrom(...POSITIVE), bad, (field, value) => {
-      const { types, odd } = readMachineTypes({
+      const { types, invalid } = readMachineTypes({
         breeds: [
           { ...GOOD, [field]: value },
           { ...GOOD, sku: 'other' },
         ],
       });
-      assert.deepEqual(odd, [{ type: 'box', field, why: 'not a positive number' }]);
+      assert.deepEqual(invalid, [{ type: 'box', field, why: 'not a positive number' }]);
       assert.deepEqual(types.map(isRentable), [false, true]);
       // What is stored of it is read again as the same.
       assert.deepEqual(machineTypesOf(machineTypesMap(types)), types);
@@ -37,13 +37,13 @@
 });
 
 test('a type may be without accelerators and without a cache', () => {
-  const { types, odd } = readMachineTypes({ breeds: [{ ...GOOD, accelerators: 0, cache_gb: 0 }] });
-  assert.deepEqual(odd, []);
+  const { types, invalid } = readMachineTypes({ breeds: [{ ...GOOD, accelerators: 0, cache_gb: 0 }] });
+  assert.deepEqual(invalid, []);
   assert.ok(isRentable(types[0]!));
 });
 
 test('a type that is listed twice, has no name or no zones is named', () => {
-  const { types, odd } = readMachineTypes({
+  const { types, invalid } = readMachineTypes({
     breeds: [GOOD, { ...GOOD, price: 1 }, { ...GOOD, sku: 7 }, null, { ...GOOD, sku: 'nowhere', yards: 'a' }],
   });
   assert.deepEqual(
@@ -54,7 +54,7 @@
     ],
   );
   assert.deepEqual(
-    odd.map(({ type, field }) => [type, field]),
+    invalid.map(({ type, field }) => [type, field]),
     [
       ['box', 'sku'],
       [null, 'sku'],
