--- a/packages/borrowing/src/accounts.ts
+++ b/packages/borrowing/src/accounts.ts
@@ -79,7 +79,7 @@
   }
   const waiting = new Map<string, number>();
   for (const job of jobs.values()) {
-    if (!job.ready || job.cancelled || job.failing) continue;
+    if (!job.ready || job.cancelled || job.isCrashLooping) continue;
     const tasks = job.unassigned().reduce((sum, [, count]) => sum + count, 0);
     waiting.set(job.spec.team, (waiting.get(job.spec.team) ?? 0) + tasks * job.spec.gpus);
   }
--- a/packages/borrowing/src/planner.ts
+++ b/packages/borrowing/src/planner.ts
@@ -302,7 +302,7 @@
 /** A machine that goes on for all that is known: what others hold may not run. */
 function isWell(machineStatus: MachineStatus, clusterConfig: ClusterConfig): boolean {
   const isHeard = machineStatus.silentMs <= clusterConfig.heartbeatIntervalMs * SUSPECT_INTERVALS;
-  return isHeard && !machineStatus.draining && !machineStatus.evictionNotice && !machineStatus.unhealthy;
+  return isHeard && !machineStatus.draining && !machineStatus.evictionNotice && !machineStatus.isQuarantined;
 }
 
 function keyOf({ task: taskName, attempt }: TaskAttempt): string {
--- a/packages/borrowing/test/execution.test.ts
+++ b/packages/borrowing/test/execution.test.ts
@@ -64,7 +64,7 @@
       spec: full,
       acceptedAt: 0,
       cancelled: false,
-      failing: false,
+      isCrashLooping: false,
       assignedRanges,
     } as const;
     this.jobs.applyJob(id, jobRecord.write(record), ++this.now);
--- a/packages/core/src/assignment.ts
+++ b/packages/core/src/assignment.ts
@@ -35,7 +35,7 @@
   readonly takesWork: boolean;
   readonly draining: boolean;
   readonly evictionNotice: boolean;
-  readonly unhealthy: boolean;
+  readonly isQuarantined: boolean;
   /** It surely holds no task; see `machineUse`. */
   readonly empty: boolean;
   /** How long it has been empty. */
@@ -72,9 +72,9 @@
 }
 
 /** When tasks of failing jobs are tried; see `TrialSchedule`. */
-export interface Trials {
+export interface ProbePolicy {
   isProven(job: string): boolean;
-  mayTry(job: string, now: number): boolean;
+  mayProbe(job: string, now: number): boolean;
   lastPartitionId(job: string): number | null;
 }
 
@@ -87,7 +87,7 @@
 
 export interface AssignmentInput {
   readonly now: number;
-  readonly trials: Trials;
+  readonly probes: ProbePolicy;
   readonly jobs: Iterable<Job>;
   readonly statuses: readonly PartitionStatus[];
   /** Assignments that a summary may not show yet. */
@@ -139,8 +139,8 @@
 }
 
 /** Whether the job failed wherever it was started, and no trial has shown since that it can run. */
-export function isTried(job: Job, trials: Trials): boolean {
-  return job.failing && !trials.isProven(job.id);
+export function mustBeProbed(job: Job, probes: ProbePolicy): boolean {
+  return job.isCrashLooping && !probes.isProven(job.id);
 }
 
 /** Finds room for the waiting tasks of all jobs, the most urgent first, within the limits of their teams. */
@@ -277,7 +277,7 @@
     const allowed = countWithinLimit(team, this.#usedByTeam.get(team.name) ?? NO_RESOURCES, job.spec);
     if (allowed === 0) return;
     const zones = new ZoneChoice(job, () => bestZone(job, this.#bins));
-    if (isTried(job, this.input.trials)) this.#assignTrial(job, ranges, zones);
+    if (mustBeProbed(job, this.input.probes)) this.#assignProbe(job, ranges, zones);
     else this.#assignTasks(job, ranges, allowed, zones, this.#heldBackFrom(team));
   }
 
@@ -285,7 +285,7 @@
   assignWithinGuarantee(job: Job): void {
     const ranges = job.unassigned();
     const team = this.input.clusterConfig.teams.get(job.spec.team);
-    if (ranges.length === 0 || team === undefined || job.isGroup || isTried(job, this.input.trials)) return;
+    if (ranges.length === 0 || team === undefined || job.isGroup || mustBeProbed(job, this.input.probes)) return;
     const used = this.#usedByTeam.get(team.name) ?? NO_RESOURCES;
     const allowed = Math.min(countWithinLimit(team, used, job.spec), countWithinGuarantee(team, used, job.spec));
     if (allowed === 0) return;
@@ -403,13 +403,13 @@
   }
 
   /** One task of a failing job goes to free room. It stops nobody and asks for no machine, and its next trial goes elsewhere. */
-  #assignTrial(job: Job, ranges: readonly [number, number][], zones: ZoneChoice): void {
+  #assignProbe(job: Job, ranges: readonly [number, number][], zones: ZoneChoice): void {
     const { input } = this;
-    const { trials, now } = input;
-    if (assignedUnfinished(job) > 0 || !trials.mayTry(job.id, now) || this.assignments.length >= input.maxAssignments)
+    const { probes, now } = input;
+    if (assignedUnfinished(job) > 0 || !probes.mayProbe(job.id, now) || this.assignments.length >= input.maxAssignments)
       return;
     const free = this.#bins.filter((bin) => fitsIn(job.spec, bin.free));
-    const last = trials.lastPartitionId(job.id);
+    const last = probes.lastPartitionId(job.id);
     const allows = (zone: string): boolean => zones.allows(zone);
     const elsewhere = free.filter((bin) => bin.partitionId !== last);
     const bin = pick(job, elsewhere, input, allows, undefined) ?? pick(job, free, input, allows, undefined);
--- a/packages/core/src/autoscaler.ts
+++ b/packages/core/src/autoscaler.ts
@@ -196,7 +196,7 @@
       } else if (now - this.#quietSince(k, input) > 2 * workerLeaseBoundMs(this.clusterConfig)) {
         // Up, and silent for longer than any lease. The answer proves it gone, sooner than the time that clears its part.
         scaleIn.push(k.name);
-      } else if (machine?.unhealthy === true) drain.add(k.name);
+      } else if (machine?.isQuarantined === true) drain.add(k.name);
     }
     const { scaleOut, kept } = this.#scaleOut(input, booting, machinesByName);
     this.#planScaleIn(input, machinesByName, booting, drain, scaleIn, scaleOut.length > 0, kept);
@@ -250,7 +250,7 @@
       (m) =>
         this.#draining.has(m.name) &&
         machineUse(m) === 'idle' &&
-        !m.unhealthy &&
+        !m.isQuarantined &&
         !m.evictionNotice &&
         !isSuspect(m, this.clusterConfig) &&
         !this.#inventory.isReturned(m.name),
--- a/packages/core/src/claim-queries.ts
+++ b/packages/core/src/claim-queries.ts
@@ -61,9 +61,9 @@
     if (task.state === 'waiting' && (now - task.since > heartbeatIntervalMs / 2 || task.isRelocating)) back.add(task);
   }
   for (const job of table.wakes()) {
-    const isFailing = table.isFailing(job);
+    const isCrashLooping = table.isCrashLooping(job);
     for (const task of table.waitingTasks(job)) {
-      if (isFailing && !table.mayStart(task) && now - task.since > heartbeatIntervalMs) back.add(task);
+      if (isCrashLooping && !table.mayStart(task) && now - task.since > heartbeatIntervalMs) back.add(task);
       const isCached = task.plan?.machine.cache.has(job.spec.image) ?? true;
       if (!isCached && waitsForCachedImage(task, now, table.clusterConfig)) back.add(task);
     }
--- a/packages/core/src/claim-view.ts
+++ b/packages/core/src/claim-view.ts
@@ -33,7 +33,7 @@
   freeResources(machine: Machine): Resources;
   takesWork(machine: Machine, now: number): boolean;
   isSuspect(machine: Machine, now: number): boolean;
-  isFailing(job: Job): boolean;
+  isCrashLooping(job: Job): boolean;
   mayStart(task: TaskEntry): boolean;
   /** How long until the machine reports, about, or 0 if it can be called. */
   nextHeartbeatInMs(machine: Machine, now: number): number;
--- a/packages/core/src/claims.ts
+++ b/packages/core/src/claims.ts
@@ -244,26 +244,26 @@
   }
 
   /** A machine on which several jobs failed that run elsewhere is itself at fault. */
-  isUnhealthy(machine: Machine): boolean {
-    return this.failures.isUnhealthy(machine.name);
+  isQuarantined(machine: Machine): boolean {
+    return this.failures.isQuarantined(machine.name);
   }
 
   /** Whether the job failed wherever it was started, as its record or this partition has it. */
-  isFailing(job: Job): boolean {
-    return job.failing || this.failures.verdictOn(job.id) === 'failing';
+  isCrashLooping(job: Job): boolean {
+    return job.isCrashLooping || this.failures.verdictOn(job.id) === 'crash-looping';
   }
 
   /** Whether a waiting task may be started: of a failing job only one that the leader has assigned alone, and once. */
   mayStart({ job, failures }: TaskEntry): boolean {
-    return !this.isFailing(job) || (job.failing && failures === 0 && assignedUnfinished(job) <= 1);
+    return !this.isCrashLooping(job) || (job.isCrashLooping && failures === 0 && assignedUnfinished(job) <= 1);
   }
 
   /** Whether the record of a job of which these tasks are given back is to say that it is failing. */
-  isMarkedOnReturn(job: Job, returned: readonly TaskEntry[], now: number): boolean {
+  marksCrashLoopOnReturn(job: Job, returned: readonly TaskEntry[], now: number): boolean {
     if (job.finishedCount > 0) return false;
     // No machine here is left to try it on: elsewhere it is tried as one that may fail again.
     const failedHere = returned.some((task) => task.failures > 0) && this.#evidenceOn(job.id, now).runningOn === 0;
-    return failedHere || this.isFailing(job);
+    return failedHere || this.isCrashLooping(job);
   }
 
   #evidenceOn(id: string, now: number): JobEvidence {
@@ -293,7 +293,7 @@
       machine.hasCurrentToken &&
       !machine.draining &&
       !machine.evictionNotice &&
-      !this.isUnhealthy(machine) &&
+      !this.isQuarantined(machine) &&
       !this.failures.isOnProbation(machine.name, now) &&
       now >= machine.unreachableUntil &&
       !this.isSuspect(machine, now)
--- a/packages/core/src/consolidation.ts
+++ b/packages/core/src/consolidation.ts
@@ -50,7 +50,7 @@
     for (const m of machinesByName.values()) {
       const type = types.get(m.type);
       const size = type?.gpus ?? 0;
-      if (m.evictionNotice || m.unhealthy || isSuspect(m, this.clusterConfig)) continue;
+      if (m.evictionNotice || m.isQuarantined || isSuspect(m, this.clusterConfig)) continue;
       const sum = (from: number, to: number): number => m.byPriority.slice(from, to).reduce((n, a) => n + a.gpus, 0);
       const used = m.spot ? sum(0, m.byPriority.length) : sum(0, BATCH_PRIORITY);
       if (m.spot) spot.used += used;
--- a/packages/core/src/failure-attribution.ts
+++ b/packages/core/src/failure-attribution.ts
@@ -10,7 +10,7 @@
   /** It is done or cancelled. */
   readonly isOver: boolean;
   /** Its record says that it failed on several machines and was not seen to run. */
-  readonly isMarkedFailing: boolean;
+  readonly isMarkedCrashLooping: boolean;
   /** On how many machines of the partition its tasks are reported running now. */
   readonly runningOn: number;
   /** For how long the oldest of these has been. */
@@ -18,7 +18,7 @@
 }
 
 /** unproven: failed, and not seen to run; failing: failed on more machines than it runs on; proven: it can run. */
-export type JobVerdict = 'unproven' | 'failing' | 'proven';
+export type JobVerdict = 'unproven' | 'crash-looping' | 'proven';
 
 interface FailedJob {
   verdict: JobVerdict;
@@ -29,10 +29,10 @@
 }
 
 /** A job that failed on so many machines and runs on fewer is the one at fault, until it is seen to run. */
-const FAILING_MACHINES = 2;
+const CRASH_LOOP_MACHINES = 2;
 
 /** A machine on which so many jobs failed that run elsewhere is at fault. */
-const UNHEALTHY_JOBS = 2;
+const QUARANTINE_JOBS = 2;
 
 /** A task that runs for this many times as long as others of its job took to fail, and some report intervals, proves its job. */
 const PROVEN_RUNS = 2;
@@ -42,7 +42,7 @@
   /** Jobs that failed on a machine and were not forgotten since. */
   readonly #jobs = new Map<string, FailedJob>();
   /** By machine: the jobs that run elsewhere and failed there, since a task last completed there. */
-  readonly #convictions = new Map<string, Set<string>>();
+  readonly #failedJobsByMachine = new Map<string, Set<string>>();
   /** By machine: when a task last completed there. */
   readonly #completedAt = new Map<string, number>();
 
@@ -54,7 +54,7 @@
     known.failedAt.set(machine, now);
     known.longestFailedRunMs = Math.max(known.longestFailedRunMs, ranMs);
     this.#jobs.set(job, known);
-    if (known.verdict === 'proven') this.#convict(machine, job, now);
+    if (known.verdict === 'proven') this.#holdMachineResponsible(machine, job, now);
   }
 
   /**
@@ -62,7 +62,7 @@
    * them all the same: forgotten with the machine's fault, it let a broken array be tried over and over where others completed.
    */
   completed(job: string, machine: string, now: number): void {
-    this.#convictions.delete(machine);
+    this.#failedJobsByMachine.delete(machine);
     this.#completedAt.set(machine, now);
     const own = this.#jobs.get(job);
     if (own !== undefined) this.#decide(job, own, 'proven');
@@ -78,36 +78,37 @@
   }
 
   #verdictOn({ failedAt, longestFailedRunMs }: FailedJob, evidence: JobEvidence): JobVerdict {
-    const { hasCompleted, isMarkedFailing, runningOn, longestRunMs } = evidence;
+    const { hasCompleted, isMarkedCrashLooping, runningOn, longestRunMs } = evidence;
     const provenAfterMs = longestFailedRunMs * PROVEN_RUNS + this.clusterConfig.heartbeatIntervalMs * PROVEN_INTERVALS;
     if (hasCompleted || longestRunMs > provenAfterMs) return 'proven';
-    if (isMarkedFailing || (failedAt.size >= FAILING_MACHINES && failedAt.size > runningOn)) return 'failing';
+    if (isMarkedCrashLooping || (failedAt.size >= CRASH_LOOP_MACHINES && failedAt.size > runningOn))
+      return 'crash-looping';
     return 'unproven';
   }
 
   /** The one function that changes a verdict. */
   #decide(job: string, failures: FailedJob, verdict: JobVerdict): void {
     if (verdict === 'proven' && failures.verdict !== 'proven') {
-      for (const [machine, at] of failures.failedAt) this.#convict(machine, job, at);
+      for (const [machine, at] of failures.failedAt) this.#holdMachineResponsible(machine, job, at);
     }
     failures.verdict = verdict;
   }
 
   /** Whether a failure on the machine is no fault of it, for a task has completed there since. */
-  #isCleared(machine: string, failedAt: number): boolean {
+  #isExonerated(machine: string, failedAt: number): boolean {
     return failedAt <= (this.#completedAt.get(machine) ?? -Infinity);
   }
 
-  #convict(machine: string, job: string, failedAt: number): void {
-    if (this.#isCleared(machine, failedAt)) return;
-    const jobs = this.#convictions.get(machine);
-    if (jobs === undefined) this.#convictions.set(machine, new Set([job]));
+  #holdMachineResponsible(machine: string, job: string, failedAt: number): void {
+    if (this.#isExonerated(machine, failedAt)) return;
+    const jobs = this.#failedJobsByMachine.get(machine);
+    if (jobs === undefined) this.#failedJobsByMachine.set(machine, new Set([job]));
     else jobs.add(job);
   }
 
   /** The machine is gone, or has begun anew. */
   forgetMachine(machine: string): void {
-    this.#convictions.delete(machine);
+    this.#failedJobsByMachine.delete(machine);
     this.#completedAt.delete(machine);
     for (const failures of this.#jobs.values()) failures.failedAt.delete(machine);
   }
@@ -127,14 +128,14 @@
     let jobs = 0;
     for (const { failedAt } of this.#jobs.values()) {
       const at = failedAt.get(machine);
-      if (at !== undefined && !this.#isCleared(machine, at)) jobs++;
+      if (at !== undefined && !this.#isExonerated(machine, at)) jobs++;
     }
     return jobs;
   }
 
   /** Whether the machine is at fault for good: several jobs failed there that run elsewhere. */
-  isUnhealthy(machine: string): boolean {
-    return (this.#convictions.get(machine)?.size ?? 0) >= UNHEALTHY_JOBS;
+  isQuarantined(machine: string): boolean {
+    return (this.#failedJobsByMachine.get(machine)?.size ?? 0) >= QUARANTINE_JOBS;
   }
 
   /**
@@ -145,9 +146,9 @@
     let jobs = 0;
     for (const { verdict, failedAt } of this.#jobs.values()) {
       const at = failedAt.get(machine);
-      if (verdict === 'failing' || at === undefined || this.#isCleared(machine, at)) continue;
+      if (verdict === 'crash-looping' || at === undefined || this.#isExonerated(machine, at)) continue;
       if (now - at < this.clusterConfig.workerLeaseMs) jobs++;
     }
-    return jobs >= UNHEALTHY_JOBS;
+    return jobs >= QUARANTINE_JOBS;
   }
 }
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -7,7 +7,7 @@
 export { plannedByPriority, advertisedPriority } from './claim-queries';
 export * from './members';
 export * from './failure-attribution';
-export * from './trials';
+export * from './probe-schedule';
 export { fetchMs, STOP_MS } from './start-time';
 export * from './job-use';
 export type { ClaimView } from './claim-view';
--- a/packages/core/src/job-evidence.ts
+++ b/packages/core/src/job-evidence.ts
@@ -21,7 +21,7 @@
   return {
     hasCompleted: (job?.finishedCount ?? 0) > 0 || jobs.finals.get(id) === 'done',
     isOver: job === undefined,
-    isMarkedFailing: job?.failing === true,
+    isMarkedCrashLooping: job?.isCrashLooping === true,
     runningOn: machines.size,
     longestRunMs: oldest === Infinity ? 0 : now - oldest,
   };
--- a/packages/core/src/jobs.ts
+++ b/packages/core/src/jobs.ts
@@ -47,7 +47,7 @@
   /** Another controller has told us that it is cancelled: true for ever, though our copy of its record may not say so yet. */
   cancelledElsewhere = false;
   /** Marked in its record: it failed on several machines and was not seen to run. */
-  markedFailing = false;
+  isMarkedCrashLooping = false;
   /** Its tasks are the members of a replica group: they run all together or not at all. */
   isGroup = false;
   /** Whether all jobs that it needs are done; until then it waits and nothing of it is assigned. */
@@ -70,9 +70,9 @@
   }
 
   /** Whether at most one task at a time is tried, for it failed wherever it was started. */
-  get failing(): boolean {
+  get isCrashLooping(): boolean {
     // A group is tried again as a whole, in its own time.
-    return this.markedFailing && this.finishedCount === 0 && !this.isGroup;
+    return this.isMarkedCrashLooping && this.finishedCount === 0 && !this.isGroup;
   }
 
   isFinished(taskIndex: number): boolean {
@@ -153,7 +153,7 @@
     job.isGroup = this.isGroup(record.spec);
     job.acceptedAt = record.acceptedAt;
     job.cancelled = record.cancelled || job.cancelledElsewhere;
-    job.markedFailing = record.failing;
+    job.isMarkedCrashLooping = record.isCrashLooping;
     job.assignedRanges = record.assignedRanges;
     job.version = version;
     this.dependencies.update(job);
--- a/packages/core/src/placement-planner.ts
+++ b/packages/core/src/placement-planner.ts
@@ -129,7 +129,7 @@
   now: number,
 ): TaskEntry[] {
   for (const job of claimTable.wakes()) {
-    if (job.spec.kind !== 'service' || job.isGroup || claimTable.isFailing(job)) continue;
+    if (job.spec.kind !== 'service' || job.isGroup || claimTable.isCrashLooping(job)) continue;
     if (claimTable.waitingTasks(job).next().done !== true) return [];
   }
   let spareCapacity: SpareCapacity[] | null = null;
--- a/packages/core/src/placement.ts
+++ b/packages/core/src/placement.ts
@@ -33,7 +33,7 @@
 ): PlannedPlacement | null {
   const spec = task.job.spec;
   const { heartbeatIntervalMs } = claimTable.clusterConfig;
-  const mayPreempt = claimTable.preempts && !claimTable.isFailing(task.job);
+  const mayPreempt = claimTable.preempts && !claimTable.isCrashLooping(task.job);
   let best: PlannedPlacement | null = null;
   let bestCost = Infinity;
   for (const [machine, available] of freeByMachine) {
--- a/packages/core/src/trials.ts
+++ b/packages/core/src/probe-schedule.ts
@@ -2,7 +2,7 @@
 // with pauses that grow, and never given up, for a run of machines at fault looks alike at first. Pure: the time is an argument.
 import type { ClusterConfig } from './facts';
 
-interface Trial {
+interface Probe {
   /** No task is assigned before. */
   nextAt: number;
   pauseMs: number;
@@ -22,15 +22,15 @@
 /** What a trial was not enough for doubles with each failure after it, up to this many times `cancel_s`. */
 const MOST_PROVEN_CANCELS = 8;
 
-export class TrialSchedule {
-  readonly #trials = new Map<string, Trial>();
+export class ProbeSchedule {
+  readonly #probes = new Map<string, Probe>();
 
   constructor(readonly clusterConfig: ClusterConfig) {}
 
-  #of(job: string): Trial {
-    let trial = this.#trials.get(job);
-    if (trial === undefined) {
-      trial = {
+  #of(job: string): Probe {
+    let probe = this.#probes.get(job);
+    if (probe === undefined) {
+      probe = {
         nextAt: -Infinity,
         pauseMs: this.clusterConfig.heartbeatIntervalMs * FIRST_PAUSE_INTERVALS,
         runningSince: null,
@@ -38,45 +38,45 @@
         isProven: false,
         lastPartitionId: null,
       };
-      this.#trials.set(job, trial);
+      this.#probes.set(job, probe);
     }
-    return trial;
+    return probe;
   }
 
   /** Takes in which jobs are live, which of them are marked as failing, and how many tasks of each are reported running. */
   review(
     isLive: (job: string) => boolean,
-    failing: Iterable<string>,
+    crashLooping: Iterable<string>,
     running: (job: string) => number,
     now: number,
   ): void {
-    for (const job of this.#trials.keys()) if (!isLive(job)) this.#trials.delete(job);
-    for (const job of failing) {
-      const trial = this.#of(job);
-      if (running(job) === 0) trial.runningSince = null;
-      else trial.runningSince ??= now;
-      trial.isProven = trial.runningSince !== null && now - trial.runningSince >= trial.provenAfterMs;
+    for (const job of this.#probes.keys()) if (!isLive(job)) this.#probes.delete(job);
+    for (const job of crashLooping) {
+      const probe = this.#of(job);
+      if (running(job) === 0) probe.runningSince = null;
+      else probe.runningSince ??= now;
+      probe.isProven = probe.runningSince !== null && now - probe.runningSince >= probe.provenAfterMs;
     }
   }
 
   /** Whether a trial has run for long enough: the job is no failing one any more. */
   isProven(job: string): boolean {
-    return this.#trials.get(job)?.isProven ?? false;
+    return this.#probes.get(job)?.isProven ?? false;
   }
 
   /** The mark has been taken off. Should the job fail again, its next trial has to run for longer. */
-  cleared(job: string): void {
-    const trial = this.#trials.get(job);
-    if (trial === undefined) return;
-    trial.provenAfterMs = Math.min(
-      trial.provenAfterMs * 2,
+  markRemoved(job: string): void {
+    const probe = this.#probes.get(job);
+    if (probe === undefined) return;
+    probe.provenAfterMs = Math.min(
+      probe.provenAfterMs * 2,
       this.clusterConfig.cancellationBoundMs * MOST_PROVEN_CANCELS,
     );
-    trial.runningSince = null;
-    trial.isProven = false;
+    probe.runningSince = null;
+    probe.isProven = false;
   }
 
-  mayTry(job: string, now: number): boolean {
+  mayProbe(job: string, now: number): boolean {
     return now >= this.#of(job).nextAt;
   }
 
@@ -85,10 +85,10 @@
   }
 
   /** A task of the job has been assigned to a partition as a trial. */
-  tried(job: string, partitionId: number, now: number): void {
-    const trial = this.#of(job);
-    trial.lastPartitionId = partitionId;
-    trial.nextAt = now + trial.pauseMs;
-    trial.pauseMs = Math.min(trial.pauseMs * 2, this.clusterConfig.cancellationBoundMs);
+  probeStarted(job: string, partitionId: number, now: number): void {
+    const probe = this.#of(job);
+    probe.lastPartitionId = partitionId;
+    probe.nextAt = now + probe.pauseMs;
+    probe.pauseMs = Math.min(probe.pauseMs * 2, this.clusterConfig.cancellationBoundMs);
   }
 }
--- a/packages/core/test/assignment.test.ts
+++ b/packages/core/test/assignment.test.ts
@@ -7,7 +7,7 @@
   type MachineStatus,
   NO_RESOURCES,
   type PartitionStatus,
-  TrialSchedule,
+  ProbeSchedule,
 } from '../src/index';
 import { CLUSTER_CONFIG, machineStatusOf, specOf } from './fixtures';
 
@@ -50,7 +50,7 @@
   const table = new JobTable(() => 64);
   for (let i = 0; i < jobs; i++) {
     const spec = specOf(`j-${i}`, { image: `img-${i % 7}` });
-    const record = { final: null, spec, acceptedAt: i, cancelled: false, failing: false, assignedRanges: [] };
+    const record = { final: null, spec, acceptedAt: i, cancelled: false, isCrashLooping: false, assignedRanges: [] };
     table.applyJob(spec.id, jobRecord.write(record), i + 1);
   }
   const status: PartitionStatus = {
@@ -63,7 +63,7 @@
   };
   const { assignments, unschedulable } = assignTasks({
     now: 0,
-    trials: new TrialSchedule(clusterConfig),
+    probes: new ProbeSchedule(clusterConfig),
     jobs: table.live.values(),
     statuses: [status],
     pendingAssignments: [],
@@ -101,13 +101,13 @@
   const assignedRanges = [{ from: 0, count: 2, partitionId: 0, zone: 'a', term: 1 }];
   table.applyJob(
     spec.id,
-    jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: false, assignedRanges }),
+    jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, isCrashLooping: false, assignedRanges }),
     1,
   );
   const zonesDealt = (): (string | null)[] => {
     const { assignments } = assignTasks({
       now: 0,
-      trials: new TrialSchedule(clusterConfig),
+      probes: new ProbeSchedule(clusterConfig),
       jobs: table.live.values(),
       statuses: [
         {
--- a/packages/core/test/claims.test.ts
+++ b/packages/core/test/claims.test.ts
@@ -44,7 +44,7 @@
   const assignedRanges = [{ from: 0, count: 4, partitionId: 0, zone: null, term }];
   jobs.applyJob(
     spec.id,
-    jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: false, assignedRanges }),
+    jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, isCrashLooping: false, assignedRanges }),
     version,
   );
 }
@@ -165,7 +165,7 @@
 ): readonly TaskEntry[] {
   jobs.applyJob(
     spec.id,
-    jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: false, assignedRanges }),
+    jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, isCrashLooping: false, assignedRanges }),
     version,
   );
   return claimTable.syncJob(spec.id, 2000);
@@ -318,15 +318,15 @@
   failedOn(claimTable, 'm-2', 4, attemptOf(1), 1);
   claimTable.tick(4100);
   const job = jobs.live.get(spec.id)!;
-  assert.equal(claimTable.isFailing(job), true);
+  assert.equal(claimTable.isCrashLooping(job), true);
   const outcome = claimTable.handleHeartbeat(heartbeat('m-1', 5, 2 * TOKENS_PER_TERM), 5000, true);
   assert.ok(outcome.kind === 'answer' && outcome.commands.every((c) => c.op !== 'start'));
   const { unschedulable } = planPlacements(claimTable, 5200);
   assert.deepEqual(unschedulable, []);
   const back = claimTable.returnable([], 7000).get(spec.id)!;
   assert.equal(back.length, 4);
-  assert.equal(claimTable.isMarkedOnReturn(job, back, 7000), true);
-  assert.equal(claimTable.isUnhealthy(claimTable.machines.get('m-1')!), false);
+  assert.equal(claimTable.marksCrashLoopOnReturn(job, back, 7000), true);
+  assert.equal(claimTable.isQuarantined(claimTable.machines.get('m-1')!), false);
 });
 
 test('of a job that its record marks as failing a task that was assigned alone is started once, by any owner', () => {
@@ -336,7 +336,7 @@
     const assignedRanges = [rangeOf(0, count, null)];
     jobs.applyJob(
       spec.id,
-      jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: true, assignedRanges }),
+      jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, isCrashLooping: true, assignedRanges }),
       version,
     );
     claimTable.syncJob(spec.id, version * 100);
@@ -372,7 +372,7 @@
       spec: one,
       acceptedAt: version,
       cancelled: false,
-      failing: false,
+      isCrashLooping: false,
       assignedRanges,
     } as const;
     jobs.applyJob(id, jobRecord.write(record), version);
--- a/packages/core/test/cost.test.ts
+++ b/packages/core/test/cost.test.ts
@@ -30,7 +30,7 @@
     const assignedRanges = [{ from: 0, count: tasks, partitionId: 0, zone: null, term: 2 }];
     jobs.applyJob(
       id,
-      jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: false, assignedRanges }),
+      jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, isCrashLooping: false, assignedRanges }),
       5,
     );
   };
--- a/packages/core/test/dependencies.test.ts
+++ b/packages/core/test/dependencies.test.ts
@@ -55,7 +55,7 @@
   recordOf(id: string): JobRecord {
     const { spec, acceptedAt, state } = this.get(id);
     if (state !== 'live') return { final: state };
-    return { final: null, spec, acceptedAt, cancelled: false, failing: false, assignedRanges: [] };
+    return { final: null, spec, acceptedAt, cancelled: false, isCrashLooping: false, assignedRanges: [] };
   }
 }
 
@@ -165,7 +165,7 @@
       spec: specOf(id, { awaits }),
       acceptedAt: 0,
       cancelled: false,
-      failing: false,
+      isCrashLooping: false,
       assignedRanges: [],
     } as const;
     table.applyJob(id, jobRecord.write(record), 1);
@@ -183,7 +183,14 @@
   const length = 20_000;
   for (let i = 0; i < length; i++) {
     const spec = specOf(`j-${i}`, { awaits: i === 0 ? [] : [`j-${i - 1}`] });
-    const record = { final: null, spec, acceptedAt: 0, cancelled: false, failing: false, assignedRanges: [] } as const;
+    const record = {
+      final: null,
+      spec,
+      acceptedAt: 0,
+      cancelled: false,
+      isCrashLooping: false,
+      assignedRanges: [],
+    } as const;
     table.applyJob(spec.id, jobRecord.write(record), i + 1);
   }
   table.applyJob('j-0', jobRecord.write({ final: 'cancelled' }), length + 1);
--- a/packages/core/test/failure-attribution.test.ts
+++ b/packages/core/test/failure-attribution.test.ts
@@ -9,7 +9,7 @@
 const UNKNOWN: JobEvidence = {
   hasCompleted: false,
   isOver: false,
-  isMarkedFailing: false,
+  isMarkedCrashLooping: false,
   runningOn: 0,
   longestRunMs: 0,
 };
@@ -21,8 +21,8 @@
     failures.failed('j-2', machine, 0, 100);
   }
   failures.review(() => UNKNOWN);
-  assert.equal(failures.verdictOn('j-1'), 'failing');
-  assert.equal(failures.isUnhealthy('m-1'), false);
+  assert.equal(failures.verdictOn('j-1'), 'crash-looping');
+  assert.equal(failures.isQuarantined('m-1'), false);
   assert.equal(failures.isOnProbation('m-1', 200), false);
 });
 
@@ -31,23 +31,23 @@
   failures.failed('j-1', 'm-1', 0, 100);
   failures.failed('j-2', 'm-1', 0, 100);
   failures.review(() => UNKNOWN);
-  assert.equal(failures.isUnhealthy('m-1'), false);
+  assert.equal(failures.isQuarantined('m-1'), false);
   assert.equal(failures.isOnProbation('m-1', 200), true);
   assert.equal(failures.isOnProbation('m-1', 100 + CLUSTER_CONFIG.workerLeaseMs), false);
   const runs = (ms: number): void => failures.review(() => ({ ...UNKNOWN, runningOn: 1, longestRunMs: ms }));
   runs(CLUSTER_CONFIG.heartbeatIntervalMs * 3);
-  assert.equal(failures.isUnhealthy('m-1'), false);
+  assert.equal(failures.isQuarantined('m-1'), false);
   runs(CLUSTER_CONFIG.heartbeatIntervalMs * 3 + 1);
-  assert.equal(failures.isUnhealthy('m-1'), true);
+  assert.equal(failures.isQuarantined('m-1'), true);
 });
 
 test('a job that takes long to fail has to run longer elsewhere before a machine is convicted for it', () => {
   const failures = new FailureAttribution(CLUSTER_CONFIG);
   for (const job of ['j-1', 'j-2']) failures.failed(job, 'm-1', 20_000, 100);
   failures.review(() => ({ ...UNKNOWN, runningOn: 1, longestRunMs: 40_000 }));
-  assert.equal(failures.isUnhealthy('m-1'), false);
+  assert.equal(failures.isQuarantined('m-1'), false);
   failures.review(() => ({ ...UNKNOWN, runningOn: 1, longestRunMs: 44_000 }));
-  assert.equal(failures.isUnhealthy('m-1'), true);
+  assert.equal(failures.isQuarantined('m-1'), true);
 });
 
 test('a task that completes clears its machine, and convicts those on which its job failed', () => {
@@ -58,9 +58,9 @@
   }
   failures.completed('j-1', 'm-3', 200);
   failures.completed('j-2', 'm-3', 200);
-  assert.equal(failures.isUnhealthy('m-1'), true);
+  assert.equal(failures.isQuarantined('m-1'), true);
   failures.completed('j-3', 'm-2', 300);
-  assert.equal(failures.isUnhealthy('m-2'), false);
+  assert.equal(failures.isQuarantined('m-2'), false);
 });
 
 // Tasks of other jobs completed on the only machine where it was tried: its failures there were forgotten each time.
@@ -72,11 +72,11 @@
   assert.equal(failures.isExcluded('j-1', 'm-1', 300), true);
   failures.failed('j-1', 'm-2', 0, 400);
   failures.review(() => UNKNOWN);
-  assert.equal(failures.verdictOn('j-1'), 'failing');
+  assert.equal(failures.verdictOn('j-1'), 'crash-looping');
   // Nor does it convict the machine, should it run after all.
   failures.failed('j-2', 'm-1', 0, 150);
   for (const job of ['j-1', 'j-2']) failures.completed(job, 'm-3', 500);
-  assert.equal(failures.isUnhealthy('m-1'), false);
+  assert.equal(failures.isQuarantined('m-1'), false);
 });
 
 test('a job that is over is forgotten, and convicts only if it was done', () => {
@@ -84,7 +84,7 @@
     const failures = new FailureAttribution(CLUSTER_CONFIG);
     for (const job of ['j-1', 'j-2']) failures.failed(job, 'm-1', 0, 100);
     failures.review(() => ({ ...UNKNOWN, isOver: true, hasCompleted }));
-    assert.equal(failures.isUnhealthy('m-1'), hasCompleted);
+    assert.equal(failures.isQuarantined('m-1'), hasCompleted);
     assert.equal(failures.verdictOn('j-1'), null);
   }
 });
@@ -117,13 +117,13 @@
           failures.review((id) => ({ ...UNKNOWN, hasCompleted: completed.has(id) }));
         });
         for (const machine of machines) {
-          if (failures.isUnhealthy(machine)) assert.ok(faulty.includes(machine), `${machine} is healthy`);
+          if (failures.isQuarantined(machine)) assert.ok(faulty.includes(machine), `${machine} is healthy`);
           // Two jobs failed there that completed elsewhere: it has to be found.
           const proof = [...(failed.get(machine) ?? [])].filter((job) => completed.has(job));
-          if (faulty.includes(machine) && proof.length >= 2) assert.ok(failures.isUnhealthy(machine), machine);
+          if (faulty.includes(machine) && proof.length >= 2) assert.ok(failures.isQuarantined(machine), machine);
         }
         for (const job of jobs) {
-          if (failures.verdictOn(job) === 'failing') assert.ok(!completed.has(job), `${job} can run`);
+          if (failures.verdictOn(job) === 'crash-looping') assert.ok(!completed.has(job), `${job} can run`);
         }
       },
     ),
--- a/packages/core/test/finished-pages.test.ts
+++ b/packages/core/test/finished-pages.test.ts
@@ -15,7 +15,7 @@
   const spec = specOf('j-1', { tasks });
   table.applyJob(
     spec.id,
-    jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: false, assignedRanges: [] }),
+    jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, isCrashLooping: false, assignedRanges: [] }),
     1,
   );
   return { table, job: table.live.get(spec.id)! };
--- a/packages/core/test/fixtures.ts
+++ b/packages/core/test/fixtures.ts
@@ -27,7 +27,7 @@
     takesWork: true,
     draining: false,
     evictionNotice: false,
-    unhealthy: false,
+    isQuarantined: false,
     empty: false,
     emptyMs: 0,
     silentMs: 0,
--- a/packages/core/test/trials.test.ts
+++ b/packages/core/test/probe-schedule.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobRecord } from '@gingerlock/wire';
-import { assignTasks, isTried, JobTable, NO_RESOURCES, type PartitionStatus, TrialSchedule } from '../src/index';
+import { assignTasks, mustBeProbed, JobTable, NO_RESOURCES, type PartitionStatus, ProbeSchedule } from '../src/index';
 import { CLUSTER_CONFIG, machineStatusOf, specOf } from './fixtures';
 
 const team = { name: 'red', cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 0 };
@@ -9,21 +9,21 @@
 const spec = specOf('j-1', { tasks: 60, priority: 'production' });
 
 /** A job that is marked as failing, and two partitions with one machine each. */
-function failingJob(
+function crashLoopingJob(
   byPriority = NO_RESOURCES,
   free = { cpus: 8, gpus: 4, memoryGb: 32 },
 ): {
   jobs: JobTable;
-  trials: TrialSchedule;
+  probes: ProbeSchedule;
   assign: (now: number) => ReturnType<typeof assignTasks>;
 } {
   const jobs = new JobTable(() => 64);
   jobs.applyJob(
     spec.id,
-    jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, failing: true, assignedRanges: [] }),
+    jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, isCrashLooping: true, assignedRanges: [] }),
     1,
   );
-  const trials = new TrialSchedule(clusterConfig);
+  const probes = new ProbeSchedule(clusterConfig);
   const statuses = [0, 1].map((partitionId): PartitionStatus => ({
     partitionId,
     term: 1,
@@ -37,7 +37,7 @@
   const assign = (now: number): ReturnType<typeof assignTasks> =>
     assignTasks({
       now,
-      trials,
+      probes,
       jobs: jobs.live.values(),
       statuses,
       pendingAssignments: [],
@@ -48,11 +48,11 @@
       heldBack: null,
       groups: null,
     });
-  return { jobs, trials, assign };
+  return { jobs, probes, assign };
 }
 
 test('of a failing job one task at a time is assigned, with pauses that grow, in turn to the partitions, and for ever', () => {
-  const { trials, assign } = failingJob();
+  const { probes, assign } = crashLoopingJob();
   const times: number[] = [];
   const partitionIds: number[] = [];
   for (let now = 0; now < clusterConfig.cancellationBoundMs * 20; now += clusterConfig.heartbeatIntervalMs / 10) {
@@ -63,7 +63,7 @@
     assert.deepEqual([added.length, added[0]!.count], [1, 1]);
     times.push(now);
     partitionIds.push(added[0]!.partitionId);
-    trials.tried(spec.id, added[0]!.partitionId, now);
+    probes.probeStarted(spec.id, added[0]!.partitionId, now);
   }
   // It is tried at once, then less and less often down to once in the time that a cancellation has.
   const pauses = times.slice(1).map((at, i) => at - times[i]!);
@@ -76,34 +76,34 @@
 
 test('a trial waits for free room: it stops nobody, and nothing is asked for it', () => {
   const available = { cpus: 8, gpus: 4, memoryGb: 32 };
-  const { assign } = failingJob(available, NO_RESOURCES);
+  const { assign } = crashLoopingJob(available, NO_RESOURCES);
   assert.deepEqual([assign(0).assignments.length, assign(0).unschedulable.length], [0, 0]);
 });
 
 test('a job of which a trial runs for long enough is assigned as a whole, and needs a longer one should it fail again', () => {
-  const { jobs, trials, assign } = failingJob();
+  const { jobs, probes, assign } = crashLoopingJob();
   const job = jobs.live.get(spec.id)!;
   const isLive = (id: string): boolean => jobs.live.has(id);
-  const running = (now: number, tasks: number): void => trials.review(isLive, [spec.id], () => tasks, now);
+  const running = (now: number, tasks: number): void => probes.review(isLive, [spec.id], () => tasks, now);
   const provenAfter = (from: number): number => {
     for (let now = from; ; now += clusterConfig.heartbeatIntervalMs) {
       running(now, 1);
-      if (trials.isProven(spec.id)) return now - from;
+      if (probes.isProven(spec.id)) return now - from;
     }
   };
   running(0, 0);
-  assert.equal(isTried(job, trials), true);
+  assert.equal(mustBeProbed(job, probes), true);
   const first = provenAfter(1000);
   const { assignments } = assign(9000);
   assert.ok(assignments.flatMap((a) => a.added).reduce((n, range) => n + range.count, 0) > 1);
-  trials.cleared(spec.id);
+  probes.markRemoved(spec.id);
   running(10_000, 0);
-  assert.equal(trials.isProven(spec.id), false);
+  assert.equal(probes.isProven(spec.id), false);
   assert.ok(provenAfter(11_000) >= first * 2);
   // One that is interrupted begins anew.
-  trials.cleared(spec.id);
+  probes.markRemoved(spec.id);
   running(60_000, 1);
   running(61_000, 0);
   running(62_000, 1);
-  assert.equal(trials.isProven(spec.id), false);
+  assert.equal(probes.isProven(spec.id), false);
 });
--- a/packages/daemon/src/job-batch.ts
+++ b/packages/daemon/src/job-batch.ts
@@ -4,18 +4,18 @@
 import type { TransactionSizeLimit } from './transaction-size-limit';
 
 /** The record of a job with rounds added to it. */
-export function recordWith(job: Job, failing: boolean, added: readonly AssignedRange[]): unknown {
-  return recordOf(job, failing, [...job.assignedRanges, ...added]);
+export function recordWith(job: Job, isCrashLooping: boolean, added: readonly AssignedRange[]): unknown {
+  return recordOf(job, isCrashLooping, [...job.assignedRanges, ...added]);
 }
 
 /** The record of a job with these rounds in place of its own. */
-export function recordOf(job: Job, failing: boolean, assignedRanges: readonly AssignedRange[]): unknown {
+export function recordOf(job: Job, isCrashLooping: boolean, assignedRanges: readonly AssignedRange[]): unknown {
   return jobRecord.write({
     final: null,
     spec: job.spec,
     acceptedAt: job.acceptedAt,
     cancelled: false,
-    failing,
+    isCrashLooping,
     assignedRanges: mergeRanges(assignedRanges, (taskIndex) => job.isFinished(taskIndex)),
   });
 }
--- a/packages/daemon/src/leader.ts
+++ b/packages/daemon/src/leader.ts
@@ -4,13 +4,13 @@
   type Assignment,
   type AssignmentResult,
   assignTasks,
-  isTried,
+  mustBeProbed,
   type Job,
   type PartitionStatus,
   assignedRangesOf,
   findImmovableDemand,
   type OwnershipTerm,
-  TrialSchedule,
+  ProbeSchedule,
   type UnschedulableDemand,
 } from '@gingerlock/core';
 import { jobRecord, KEYS, reclaimRecord, type AssignedRange } from '@gingerlock/wire';
@@ -46,7 +46,7 @@
 /** The leader: assigns waiting tasks among the parts, closes jobs, and has the fleet managed. It commands no worker. */
 export class Leader {
   readonly #autoscaling: AutoscalingLoop;
-  readonly #trials: TrialSchedule;
+  readonly #probes: ProbeSchedule;
   #assigning = false;
   #pendingAssignments: PendingAssignment[] = [];
   #unschedulable: readonly UnschedulableDemand[] = [];
@@ -62,7 +62,7 @@
     /** Null: replica groups are off. */
     readonly groups: LeaderGroups | null,
   ) {
-    this.#trials = new TrialSchedule(shared.clusterConfig);
+    this.#probes = new ProbeSchedule(shared.clusterConfig);
     this.#autoscaling = new AutoscalingLoop(shared, ownershipTerm, http, {
       statuses: (now) => this.#current(now),
       unschedulable: () => this.#unschedulable,
@@ -131,7 +131,7 @@
     const { store, clusterConfig, settings } = shared;
     const now = shared.clock.now();
     const current = this.#current(now);
-    this.#reviewTrials(current, now);
+    this.#reviewProbes(current, now);
     const batch = new JobBatch(this.ownershipTerm.condition, shared.transactionSizeLimit());
     this.groups?.begin();
     this.#close(batch);
@@ -141,7 +141,7 @@
     );
     const result = assignTasks({
       now,
-      trials: this.#trials,
+      probes: this.#probes,
       jobs: store.jobs.live.values(),
       statuses: current,
       pendingAssignments: this.#pendingAssignments,
@@ -165,7 +165,7 @@
       reclaims.map(({ decision }) => decision),
     );
     this.#unschedulable = [...unschedulable, ...this.#immovableDemand(current), ...(this.groups?.endingDemand() ?? [])];
-    this.#clearMarks(batch);
+    this.#removeCrashLoopMarks(batch);
     this.#removeAbandoned(batch);
     if (batch.changes.length === 0) {
       if (store.leftovers.size === 0) return false;
@@ -176,7 +176,7 @@
     this.groups?.stored();
     for (const m of pendingAssignments) this.#pendingAssignments.push({ ...m, revision });
     for (const { decision, key } of reclaims) this.borrowing!.decided(decision, key);
-    this.#noteTrials(assignments, batch, now);
+    this.#recordProbes(assignments, batch, now);
     shared.log.debug({ jobs: [...batch.jobs] }, 'assigned and closed');
     return true;
   }
@@ -200,40 +200,40 @@
     if (job.assignedRanges.length * LARGEST_RANGE_BYTES < settings.valueBytes) return false;
     return [...new Set(job.assignedRanges.map(({ partitionId }) => partitionId))].every((partitionId) => {
       const assignedRanges = job.assignedRanges.filter((range) => range.partitionId !== partitionId);
-      return !this.shared.fitsValue(recordOf(job, job.failing, assignedRanges));
+      return !this.shared.fitsValue(recordOf(job, job.isCrashLooping, assignedRanges));
     });
   }
 
-  #reviewTrials(current: readonly PartitionStatus[], now: number): void {
+  #reviewProbes(current: readonly PartitionStatus[], now: number): void {
     const { live } = this.shared.store.jobs;
-    const failing = [...live.values()].filter((job) => job.failing && !job.cancelled).map((job) => job.id);
+    const crashLooping = [...live.values()].filter((job) => job.isCrashLooping && !job.cancelled).map((job) => job.id);
     const running = new Map<string, number>();
     for (const { running: tasks } of current)
       for (const [job, n] of tasks) running.set(job, (running.get(job) ?? 0) + n);
-    this.#trials.review(
+    this.#probes.review(
       (job) => live.has(job),
-      failing,
+      crashLooping,
       (job) => running.get(job) ?? 0,
       now,
     );
   }
 
   /** Takes the mark off jobs of which a trial has run for long enough, and which have nothing to assign. */
-  #clearMarks(batch: JobBatch): void {
+  #removeCrashLoopMarks(batch: JobBatch): void {
     const { store, settings } = this.shared;
     for (const job of store.jobs.live.values()) {
       if (batch.changes.length >= settings.txnOps) return;
-      if (!job.failing || job.cancelled || batch.jobs.has(job.id) || isTried(job, this.#trials)) continue;
+      if (!job.isCrashLooping || job.cancelled || batch.jobs.has(job.id) || mustBeProbed(job, this.#probes)) continue;
       if (!batch.put(job, recordWith(job, false, []))) return;
     }
   }
 
-  #noteTrials(assignments: readonly Assignment[], batch: JobBatch, now: number): void {
+  #recordProbes(assignments: readonly Assignment[], batch: JobBatch, now: number): void {
     for (const { job, added } of assignments) {
-      if (!batch.jobs.has(job.id) || !job.markedFailing) continue;
-      if (isTried(job, this.#trials)) this.#trials.tried(job.id, added[0]!.partitionId, now);
+      if (!batch.jobs.has(job.id) || !job.isMarkedCrashLooping) continue;
+      if (mustBeProbed(job, this.#probes)) this.#probes.probeStarted(job.id, added[0]!.partitionId, now);
     }
-    for (const id of batch.jobs) if (this.#trials.isProven(id)) this.#trials.cleared(id);
+    for (const id of batch.jobs) if (this.#probes.isProven(id)) this.#probes.markRemoved(id);
   }
 
   /** Ends the jobs of which all tasks are finished, or, of those that are cancelled, gone. */
@@ -261,7 +261,7 @@
         continue;
       }
       if (!this.#requireOwners(batch, added)) return pendingAssignments;
-      if (!batch.put(job, recordWith(job, isTried(job, this.#trials), added))) return pendingAssignments;
+      if (!batch.put(job, recordWith(job, mustBeProbed(job, this.#probes), added))) return pendingAssignments;
       for (const { machine, need } of assignment.intended) {
         const { partitionId } = current.find((s) => s.machines.some((m) => m.name === machine))!;
         pendingAssignments.push({ partitionId, machine, need });
--- a/packages/daemon/src/owner-writes.ts
+++ b/packages/daemon/src/owner-writes.ts
@@ -142,8 +142,8 @@
     // Finished tasks are off their machines: of a cancelled job nothing is left to wait for when only they remain.
     const assignedRanges = mergeRanges(left, (taskIndex) => job.isFinished(taskIndex));
     if (cancelled && assignedRanges.length === 0) return jobRecord.write({ final: 'cancelled' });
-    const failing = this.claimTable.isMarkedOnReturn(job, tasks, this.shared.clock.now());
-    return jobRecord.write({ final: null, spec, acceptedAt, cancelled, failing, assignedRanges });
+    const isCrashLooping = this.claimTable.marksCrashLoopOnReturn(job, tasks, this.shared.clock.now());
+    return jobRecord.write({ final: null, spec, acceptedAt, cancelled, isCrashLooping, assignedRanges });
   }
 
   /** Writes the finished tasks of one job; the last ones close it. */
--- a/packages/daemon/src/partition-status.ts
+++ b/packages/daemon/src/partition-status.ts
@@ -66,7 +66,7 @@
     takesWork: claimTable.takesWork(m, now) && available !== undefined,
     draining: m.draining,
     evictionNotice: m.evictionNotice,
-    unhealthy: claimTable.isUnhealthy(m),
+    isQuarantined: claimTable.isQuarantined(m),
     empty: m.claims.size === 0 && m.hasCurrentToken && m.reportedTasks.length === 0 && m.answeredAt !== null,
     emptyMs: now - m.emptySince,
     silentMs: Math.min(claimTable.silentMs(m, now), NEVER_HEARD_MS),
--- a/packages/daemon/src/users.ts
+++ b/packages/daemon/src/users.ts
@@ -157,7 +157,7 @@
       spec: { ...spec, awaits },
       acceptedAt: this.shared.clock.wall(),
       cancelled: false,
-      failing: false,
+      isCrashLooping: false,
       assignedRanges: [],
     };
   }
@@ -176,7 +176,14 @@
     // With nothing assigned there is nothing to stop: the record closes at once.
     if (job.assignedRanges.length === 0) return jobRecord.write({ final: 'cancelled' });
     const assignedRanges = outgrown ? coverPerPartition(job.assignedRanges) : job.assignedRanges;
-    return jobRecord.write({ final: null, spec, acceptedAt, cancelled: true, failing: job.failing, assignedRanges });
+    return jobRecord.write({
+      final: null,
+      spec,
+      acceptedAt,
+      cancelled: true,
+      isCrashLooping: job.isCrashLooping,
+      assignedRanges,
+    });
   }
 
   async cancel(id: string): Promise<Reply> {
--- a/packages/daemon/test/status-fragments.test.ts
+++ b/packages/daemon/test/status-fragments.test.ts
@@ -26,7 +26,7 @@
     takesWork: true,
     draining: false,
     evictionNotice: false,
-    unhealthy: false,
+    isQuarantined: false,
     empty: false,
     emptyMs: 0,
     silentMs: 5,
--- a/packages/daemon/test/store.test.ts
+++ b/packages/daemon/test/store.test.ts
@@ -9,7 +9,14 @@
 test('finished pages that are read before the page size is known finish the right tasks', () => {
   const store = new Store();
   const spec = specOf('j-1', { tasks: 200 });
-  const record = { final: null, spec, acceptedAt: 0, cancelled: false, failing: false, assignedRanges: [] } as const;
+  const record = {
+    final: null,
+    spec,
+    acceptedAt: 0,
+    cancelled: false,
+    isCrashLooping: false,
+    assignedRanges: [],
+  } as const;
   const meta = metaRecord.write({ format: 1, partitionCount: 1, zones: [], pageTasks: 64 });
   store.apply(KEYS.finished(spec.id, 0, 2), finishedRecord.write(new Uint8Array([0b11])), 5);
   store.apply(KEYS.job(spec.id), jobRecord.write(record), 2);
--- a/packages/peer/src/messages.ts
+++ b/packages/peer/src/messages.ts
@@ -40,7 +40,7 @@
         takesWork: 'boolean',
         draining: 'boolean',
         evictionNotice: 'boolean',
-        unhealthy: 'boolean',
+        isQuarantined: 'boolean',
         empty: 'boolean',
         emptyMs: 'double',
         silentMs: 'double',
@@ -156,7 +156,7 @@
   takesWork: boolean;
   draining: boolean;
   evictionNotice: boolean;
-  unhealthy: boolean;
+  isQuarantined: boolean;
   empty: boolean;
   emptyMs: number;
   silentMs: number;
--- a/packages/peer/test/link.test.ts
+++ b/packages/peer/test/link.test.ts
@@ -50,7 +50,7 @@
         takesWork: true,
         draining: false,
         evictionNotice: false,
-        unhealthy: false,
+        isQuarantined: false,
         empty: true,
         emptyMs: 1,
         silentMs: 0,
--- a/packages/replica-groups/src/partition-groups.ts
+++ b/packages/replica-groups/src/partition-groups.ts
@@ -172,7 +172,7 @@
   #threatTo(machine: Machine, now: number): GroupReason | null {
     const table = this.table!;
     if (machine.evictionNotice) return 'machine is taken back';
-    if (machine.draining || table.isUnhealthy(machine)) return 'machine drains';
+    if (machine.draining || table.isQuarantined(machine)) return 'machine drains';
     return table.silentMs(machine, now) > hungMs(table.clusterConfig) ? 'machine silent' : null;
   }
 }
--- a/packages/testkit/src/faults.ts
+++ b/packages/testkit/src/faults.ts
@@ -191,10 +191,10 @@
     case 'unhealthy machine': {
       const worker = world.workers.get(targets.machine(fault.machine) ?? '');
       if (worker === undefined) return;
-      worker.unhealthy = true;
+      worker.isQuarantined = true;
       world.everUnhealthy.add(worker.name);
       sim.after(fault.forMs, () => {
-        worker.unhealthy = false;
+        worker.isQuarantined = false;
       });
       return;
     }
--- a/packages/testkit/src/operations-audit.ts
+++ b/packages/testkit/src/operations-audit.ts
@@ -4,7 +4,7 @@
 
 /** How often the tasks of a broken job may be started: so many times each while it is found out, and a trial in so many reports. */
 const STARTS_PER_TASK = 3;
-const TRIAL_INTERVALS = 2;
+const PROBE_INTERVALS = 2;
 
 /** A machine that has not come up after this many times the usual boot is returned; more is allowed for changes of leader. */
 const MOST_BOOTS = 8;
@@ -23,8 +23,8 @@
     broken.starts++;
     broken.firstStartAt ??= world.sim.now;
     const { tasks } = world.job(job)!;
-    const trials = (world.sim.now - broken.firstStartAt) / (world.heartbeatIntervalMs * TRIAL_INTERVALS);
-    if (broken.starts > tasks * STARTS_PER_TASK + trials + 1) {
+    const probes = (world.sim.now - broken.firstStartAt) / (world.heartbeatIntervalMs * PROBE_INTERVALS);
+    if (broken.starts > tasks * STARTS_PER_TASK + probes + 1) {
       world.breach('retried_often', `${job} of ${tasks} tasks was started ${broken.starts} times`);
     }
   }
@@ -33,7 +33,7 @@
     for (const { controller } of this.world.nodes) {
       for (const { claimTable } of controller?.owned() ?? []) {
         for (const machine of claimTable.machines.values()) {
-          if (claimTable.isUnhealthy(machine)) this.#condemns(machine.name);
+          if (claimTable.isQuarantined(machine)) this.#condemns(machine.name);
         }
       }
     }
--- a/packages/testkit/src/worker.ts
+++ b/packages/testkit/src/worker.ts
@@ -65,7 +65,7 @@
   /** Where it takes commands. */
   readonly addr: string;
   /** Tasks end with an error shortly after their start. */
-  unhealthy = false;
+  isQuarantined = false;
   /** Tasks take so many times as long. */
   slowness = 1;
   readonly tasks = new Map<string, RunningTask>();
@@ -300,7 +300,7 @@
       t.runsSince = sim.now;
       world.onTask(taskName, this.name, attempt);
       this.#changed();
-      if (this.unhealthy || world.isBroken(job.id)) t.cancelTimer = this.#after(300, () => this.#exit(t, 'error'));
+      if (this.isQuarantined || world.isBroken(job.id)) t.cancelTimer = this.#after(300, () => this.#exit(t, 'error'));
       else if (job.kind === 'array') {
         const leftMs = job.estimateS * 1000 * (0.5 + sim.random()) - (world.savedMs.get(taskName) ?? 0);
         t.cancelTimer = this.#after(Math.max(0, leftMs) * this.slowness, () => this.#exit(t, 'done'));
--- a/packages/testkit/test/mutants.test.ts
+++ b/packages/testkit/test/mutants.test.ts
@@ -409,7 +409,7 @@
     apply: () =>
       patch(
         FailureAttribution.prototype,
-        'isUnhealthy',
+        'isQuarantined',
         () =>
           function (this: FailureAttribution, machine) {
             return this.jobsFailedOn(machine) >= 2;
@@ -420,8 +420,8 @@
     broken: 'each task of a failing job is retried for itself',
     faults: [BROKEN_JOBS],
     apply: () => {
-      const held = patch(ClaimTable.prototype, 'isFailing', () => () => false);
-      const marked = patch(ClaimTable.prototype, 'isMarkedOnReturn', () => () => false);
+      const held = patch(ClaimTable.prototype, 'isCrashLooping', () => () => false);
+      const marked = patch(ClaimTable.prototype, 'marksCrashLoopOnReturn', () => () => false);
       return () => {
         held();
         marked();
--- a/packages/testkit/test/operations.test.ts
+++ b/packages/testkit/test/operations.test.ts
@@ -56,7 +56,7 @@
   const world = new World({ seed: 5, controllers: 1, machines: 6 });
   await world.sim.run(5000);
   for (const name of [...world.workers.keys()].slice(0, 3)) {
-    world.workers.get(name)!.unhealthy = true;
+    world.workers.get(name)!.isQuarantined = true;
     world.everUnhealthy.add(name);
   }
   const spec = { ...world.randomJob(), kind: 'array' as const, tasks: 3, zone: null, spread: false, oneZone: false };
--- a/packages/testkit/test/state-limits.test.ts
+++ b/packages/testkit/test/state-limits.test.ts
@@ -42,7 +42,7 @@
     spec,
     acceptedAt: world.sim.now,
     cancelled: false,
-    failing: false,
+    isCrashLooping: false,
     assignedRanges,
   });
   assert.ok(JSON.stringify(value).length > NEXT.valueKb * 1024);
--- a/packages/wire/src/records.ts
+++ b/packages/wire/src/records.ts
@@ -187,7 +187,7 @@
       readonly acceptedAt: number;
       readonly cancelled: boolean;
       /** Its tasks failed on several machines and none was seen to run: at most one at a time is tried. */
-      readonly failing: boolean;
+      readonly isCrashLooping: boolean;
       readonly assignedRanges: readonly AssignedRange[];
     };
 
@@ -220,7 +220,7 @@
           t: j.acceptedAt,
           c: j.cancelled ? 1 : 0,
           // Left out when it does not hold: versions that do not know it drop it, which costs a few more failures.
-          ...(j.failing ? { e: 1 } : {}),
+          ...(j.isCrashLooping ? { e: 1 } : {}),
           r: j.assignedRanges.map((range) => [range.from, range.count, range.partitionId, range.zone, range.term]),
         },
   read: (value: unknown): JobRecord => {
@@ -231,7 +231,7 @@
       spec: jobSpecOf(j.s),
       acceptedAt: j.t,
       cancelled: j.c === 1,
-      failing: j.e === 1,
+      isCrashLooping: j.e === 1,
       assignedRanges: j.r.map(([from, count, partitionId, zone, term]) => ({ from, count, partitionId, zone, term })),
     };
   },
--- a/packages/wire/test/formats.test.ts
+++ b/packages/wire/test/formats.test.ts
@@ -84,7 +84,7 @@
         spec: s,
         acceptedAt: 1.5e12,
         cancelled: s.spot,
-        failing: s.spread,
+        isCrashLooping: s.spread,
         assignedRanges: [{ from: 0, count: 2, partitionId: 1, zone: s.zone, term: 77 }],
       };
       assert.deepEqual(wire.jobRecord.read(wire.decode(wire.encode(wire.jobRecord.write(record)))), record);
