--- a/packages/clients/src/index.ts
+++ b/packages/clients/src/index.ts
@@ -1,6 +1,6 @@
 export * from './ports';
 export * from './http';
-export * from './budget';
-export { StateService, StateRefused, type TxnResult } from './state';
-export * from './replica';
+export * from './rate-limiter';
+export { KeyValueStore, StoreRejectedError, type CompareAndSwapResult } from './key-value-store';
+export * from './watch-cache';
 export * from './cloud';
--- a/packages/clients/src/state.ts
+++ b/packages/clients/src/key-value-store.ts
@@ -13,10 +13,10 @@
   type StateItem,
   txnMap,
 } from '@gingerlock/wire';
-import { type Budget, Overloaded, type Urgency, URGENCY } from './budget';
+import { type RateLimiter, Overloaded, type Urgency, URGENCY } from './rate-limiter';
 import { AnswerTooLarge, type Clock, type Http, type HttpAnswer, NoAnswer } from './ports';
 
-export type TxnResult =
+export type CompareAndSwapResult =
   | { readonly kind: 'done'; readonly revision: number }
   /** A condition did not hold: nothing was changed. */
   | { readonly kind: 'conflict'; readonly revision: number }
@@ -29,7 +29,7 @@
   | { readonly kind: 'unknown'; readonly why: string };
 
 /** The state service refused a request, or gave an answer that is none. */
-export class StateRefused extends Error {
+export class StoreRejectedError extends Error {
   constructor(
     readonly status: number,
     what: string,
@@ -39,21 +39,21 @@
   }
 }
 
-export interface StateOptions {
+export interface KeyValueStoreOptions {
   readonly http: Http;
   readonly addr: string;
-  readonly budget: Budget;
+  readonly rateLimiter: RateLimiter;
   readonly clock: Clock;
   readonly timeoutMs: number;
 }
 
-export class StateService {
+export class KeyValueStore {
   /** The highest revision that any answer has named. */
-  seen = 0;
+  highestRevision = 0;
   /** Transactions whose outcome is not known. */
-  unanswered = 0;
+  pendingTransactions = 0;
 
-  constructor(readonly options: StateOptions) {}
+  constructor(readonly options: KeyValueStoreOptions) {}
 
   async #send(
     urgency: Urgency,
@@ -63,15 +63,15 @@
     body: unknown,
     patienceMs?: number,
   ): Promise<HttpAnswer> {
-    const { http, addr, budget, timeoutMs } = this.options;
+    const { http, addr, rateLimiter, timeoutMs } = this.options;
     // A large transaction may take longer than that to fill its place in the budget, and others wait before it.
-    const patience = patienceMs ?? Math.max(timeoutMs, ((writes * 2) / budget.writesPerS) * 1000);
-    await budget.acquire(urgency, writes, patience);
+    const patience = patienceMs ?? Math.max(timeoutMs, ((writes * 2) / rateLimiter.writesPerS) * 1000);
+    await rateLimiter.acquire(urgency, writes, patience);
     return http(addr, method, path, body === null ? null : encode(body), timeoutMs);
   }
 
-  #saw(revision: number): number {
-    if (revision > this.seen) this.seen = revision;
+  #noteRevision(revision: number): number {
+    if (revision > this.highestRevision) this.highestRevision = revision;
     return revision;
   }
 
@@ -80,7 +80,7 @@
     let revision = 0;
     for (let after = '', more = true; more;) {
       const answer = await this.#send(URGENCY.rest, 0, 'GET', STATE_PATHS.list(prefix, after, 1000), null);
-      if (answer.status !== 200) throw new StateRefused(answer.status, 'list');
+      if (answer.status !== 200) throw new StoreRejectedError(answer.status, 'list');
       const page = listOf(decode(answer.body));
       // The pages are read one after the other: what changed meanwhile is followed from the first one's revision.
       if (after === '') revision = page.revision;
@@ -88,7 +88,7 @@
       after = page.items.at(-1)?.key ?? after;
       more = page.more && page.items.length > 0;
     }
-    this.#saw(revision);
+    this.#noteRevision(revision);
     return { items, revision };
   }
 
@@ -96,9 +96,9 @@
   async follow(prefix: string, after: number): Promise<{ events: StateEvent[]; revision: number } | null> {
     const answer = await this.#changesAfter(prefix, after);
     if (answer === null || answer.status === 410) return null;
-    if (answer.status !== 200) throw new StateRefused(answer.status, 'follow');
+    if (answer.status !== 200) throw new StoreRejectedError(answer.status, 'follow');
     const followed = eventsOf(decode(answer.body));
-    this.#saw(followed.revision);
+    this.#noteRevision(followed.revision);
     return followed;
   }
 
@@ -112,13 +112,13 @@
     }
   }
 
-  async txn(
+  async compareAndSwap(
     urgency: Urgency,
     conditions: readonly Condition[],
     changes: readonly Change[],
     patienceMs?: number,
-  ): Promise<TxnResult> {
-    this.unanswered++;
+  ): Promise<CompareAndSwapResult> {
+    this.pendingTransactions++;
     let known = true;
     try {
       const answer = await this.#send(
@@ -131,9 +131,9 @@
       );
       switch (answer.status) {
         case 200:
-          return { kind: 'done', revision: this.#saw(revisionOf(decode(answer.body))) };
+          return { kind: 'done', revision: this.#noteRevision(revisionOf(decode(answer.body))) };
         case 409:
-          return { kind: 'conflict', revision: this.#saw(revisionOf(decode(answer.body))) };
+          return { kind: 'conflict', revision: this.#noteRevision(revisionOf(decode(answer.body))) };
         case 400:
           return changes.some((c) => 'put' in c && c.lease !== undefined) ? { kind: 'no lease' } : { kind: 'invalid' };
         case 429:
@@ -148,17 +148,17 @@
       known = false;
       return { kind: 'unknown', why: error instanceof Error ? error.message : 'failed' };
     } finally {
-      this.unanswered--;
-      if (!known) this.doubtfulSince = this.options.clock.now();
+      this.pendingTransactions--;
+      if (!known) this.outcomeUnknownSince = this.options.clock.now();
     }
   }
 
   /** When a transaction last went unanswered: it may be carried out yet. */
-  doubtfulSince: number | null = null;
+  outcomeUnknownSince: number | null = null;
 
   async grantLease(ttlMs: number): Promise<number> {
     const answer = await this.#send(URGENCY.renew, 0, 'POST', STATE_PATHS.leases, leaseMap(ttlMs));
-    if (answer.status !== 200) throw new StateRefused(answer.status, 'lease');
+    if (answer.status !== 200) throw new StoreRejectedError(answer.status, 'lease');
     return leaseOf(decode(answer.body));
   }
 
@@ -166,7 +166,7 @@
   async renewLease(lease: number): Promise<boolean> {
     const answer = await this.#send(URGENCY.renew, 0, 'POST', STATE_PATHS.renew(lease), {});
     if (answer.status === 404) return false;
-    if (answer.status !== 200) throw new StateRefused(answer.status, 'renew');
+    if (answer.status !== 200) throw new StoreRejectedError(answer.status, 'renew');
     return true;
   }
 }
--- a/packages/clients/src/budget.ts
+++ b/packages/clients/src/rate-limiter.ts
@@ -12,7 +12,7 @@
 }
 
 /** Of its own share a lender keeps this much at hand, so that a user's next job or cancellation need not wait. */
-const KEPT = 0.4;
+const LENDER_RESERVE = 0.4;
 
 interface Waiting {
   readonly urgency: Urgency;
@@ -26,7 +26,7 @@
  * This controller's share of the state service's limits: two token buckets, one of requests and one of changes. All
  * controllers together stay below the limits because each keeps to its share.
  */
-export class Budget {
+export class RateLimiter {
   #requests: number;
   #writes: number;
   #filledAt: number;
@@ -80,13 +80,13 @@
   }
 
   /** Share of the changes that may go at once which is still unused; 0 while others wait for their turn. */
-  spareWrites(): number {
+  spareWriteShare(): number {
     this.#fill();
     return this.#queue.length > 0 ? 0 : Math.max(0, this.#writes / this.writesPerS);
   }
 
   /** How many changes wait for their turn beyond what may go now. */
-  shortOfWrites(): number {
+  missingWrites(): number {
     if (this.#queue.length === 0) return 0;
     this.#fill();
     return Math.ceil(Math.max(0, this.#queue.reduce((sum, w) => sum + w.writes, 0) - this.#writes));
@@ -99,7 +99,7 @@
   lend(wanted: number): number {
     this.#fill();
     if (this.#queue.some((w) => w.writes > 0)) return 0;
-    const spare = Math.min(wanted, Math.floor(this.#writes - this.writesPerS * KEPT));
+    const spare = Math.min(wanted, Math.floor(this.#writes - this.writesPerS * LENDER_RESERVE));
     if (spare <= 0) return 0;
     this.#writes -= spare;
     return spare;
--- a/packages/clients/src/replica.ts
+++ b/packages/clients/src/watch-cache.ts
@@ -1,11 +1,11 @@
 import type { Change } from '@gingerlock/wire';
 import type { Clock } from './ports';
-import type { StateService } from './state';
+import type { KeyValueStore } from './key-value-store';
 
 export type OnChange = (key: string, value: unknown, version: number) => void;
 
-export interface ReplicaOptions {
-  readonly state: StateService;
+export interface WatchCacheOptions {
+  readonly keyValueStore: KeyValueStore;
   readonly clock: Clock;
   readonly prefix: string;
   /** Least time between the beginnings of two reads. */
@@ -27,25 +27,25 @@
  * A copy of all keys below a prefix, kept up by reads of what has changed since the last one. `barrier` waits for a
  * read that began after the call, so what is answered after it is no older than anything any controller has answered.
  */
-export class Replica {
+export class WatchCache {
   /** All changes up to here are in the copy. */
   revision = 0;
   loaded = false;
   /** When the last successful read began; null: there was none. */
-  contactAt: number | null = null;
+  lastContactAt: number | null = null;
   /** Reads that failed since then. */
   failures = 0;
   readonly #versions = new Map<string, number>();
   /** Removals of our own that the copy is ahead with. */
   readonly #removed = new Map<string, number>();
   #waiters: Waiter[] = [];
-  #wanted = 0;
+  #hintedRevision = 0;
   #reading = false;
-  #beganAt = -Infinity;
+  #readStartedAt = -Infinity;
   #cancelTimer: (() => void) | null = null;
   #stopped = false;
 
-  constructor(readonly options: ReplicaOptions) {}
+  constructor(readonly options: WatchCacheOptions) {}
 
   version(key: string): number {
     return this.#versions.get(key) ?? 0;
@@ -60,7 +60,7 @@
     this.#cancelTimer?.();
   }
 
-  barrier(): Promise<void> {
+  linearizableRead(): Promise<void> {
     return new Promise((resolve, reject) => {
       this.#waiters.push({ resolve, reject });
       this.#schedule();
@@ -69,8 +69,8 @@
 
   /** Something has changed up to this revision: read it soon. */
   hint(revision: number): void {
-    if (revision <= this.revision || revision <= this.#wanted) return;
-    this.#wanted = revision;
+    if (revision <= this.revision || revision <= this.#hintedRevision) return;
+    this.#hintedRevision = revision;
     this.#schedule();
   }
 
@@ -81,15 +81,15 @@
   applyOwn(changes: readonly Change[], revision: number): void {
     if (revision <= this.revision) return;
     for (const c of changes) {
-      if ('put' in c) this.#take(c.put, c.value, revision);
+      if ('put' in c) this.#apply(c.put, c.value, revision);
       else {
         this.#removed.set(c.remove, revision);
-        this.#take(c.remove, undefined, revision);
+        this.#apply(c.remove, undefined, revision);
       }
     }
   }
 
-  #take(key: string, value: unknown, version: number): void {
+  #apply(key: string, value: unknown, version: number): void {
     if (version < (this.#versions.get(key) ?? 0) || version < (this.#removed.get(key) ?? 0)) return;
     if (value === undefined) {
       if (!this.#versions.has(key)) return;
@@ -104,10 +104,11 @@
   #schedule(): void {
     if (this.#reading || this.#stopped) return;
     const { clock, minIntervalMs, idleIntervalMs } = this.options;
-    const eager = this.#waiters.length > 0 || this.#wanted > this.revision || (!this.loaded && this.failures === 0);
+    const eager =
+      this.#waiters.length > 0 || this.#hintedRevision > this.revision || (!this.loaded && this.failures === 0);
     // After a failure a read is tried again in its own time, however many ask.
     const interval = eager && this.failures === 0 ? minIntervalMs : idleIntervalMs;
-    const wait = Math.max(0, this.#beganAt + interval - clock.now());
+    const wait = Math.max(0, this.#readStartedAt + interval - clock.now());
     this.#cancelTimer?.();
     this.#cancelTimer = clock.after(wait, () => {
       this.#cancelTimer = null;
@@ -118,23 +119,23 @@
   async #read(): Promise<void> {
     if (this.#reading || this.#stopped) return;
     this.#reading = true;
-    const began = this.options.clock.now();
-    this.#beganAt = began;
+    const startedAt = this.options.clock.now();
+    this.#readStartedAt = startedAt;
     const waiters = this.#waiters;
     this.#waiters = [];
     try {
       if (!this.loaded) await this.#load();
-      const followed = await this.options.state.follow(this.options.prefix, this.revision);
+      const followed = await this.options.keyValueStore.follow(this.options.prefix, this.revision);
       if (followed === null) {
         this.loaded = false;
         throw new Error('changes are too old to follow, reading all again');
       }
       // The protocol promises no order: a key that was set and then removed came back if the removal stood first.
       const events = [...followed.events].sort((a, b) => a.version - b.version);
-      for (const e of events) this.#take(e.key, e.value, e.version);
+      for (const e of events) this.#apply(e.key, e.value, e.version);
       this.revision = Math.max(this.revision, followed.revision);
       for (const [key, version] of this.#removed) if (version <= this.revision) this.#removed.delete(key);
-      this.contactAt = began;
+      this.lastContactAt = startedAt;
       this.failures = 0;
       this.options.onSync();
       for (const w of waiters) w.resolve();
@@ -150,12 +151,12 @@
   }
 
   async #load(): Promise<void> {
-    const { items, revision } = await this.options.state.list(this.options.prefix);
+    const { items, revision } = await this.options.keyValueStore.list(this.options.prefix);
     const listed = new Set(items.map((i) => i.key));
     for (const [key, version] of [...this.#versions]) {
-      if (!listed.has(key) && version <= revision) this.#take(key, undefined, revision);
+      if (!listed.has(key) && version <= revision) this.#apply(key, undefined, revision);
     }
-    for (const i of items) this.#take(i.key, i.value, i.version);
+    for (const i of items) this.#apply(i.key, i.value, i.version);
     this.revision = Math.max(this.revision, revision);
     this.loaded = true;
   }
--- a/packages/clients/test/state.test.ts
+++ b/packages/clients/test/key-value-store.test.ts
@@ -3,7 +3,15 @@
 import { Sim, SimStateService } from '@gingerlock/testkit';
 import { decode, encode, eventsMap, eventsOf } from '@gingerlock/wire';
 import fc from 'fast-check';
-import { Budget, Overloaded, Replica, StateService, type TxnResult, URGENCY, type Urgency } from '../src/index';
+import {
+  RateLimiter,
+  Overloaded,
+  WatchCache,
+  KeyValueStore,
+  type CompareAndSwapResult,
+  URGENCY,
+  type Urgency,
+} from '../src/index';
 
 test('the budget is never passed in any window, and the more urgent goes first', async () => {
   await fc.assert(
@@ -21,7 +29,7 @@
       ),
       async (asks) => {
         const sim = new Sim(1);
-        const budget = new Budget(
+        const rateLimiter = new RateLimiter(
           sim.clock(
             0,
             () => 0,
@@ -33,7 +41,7 @@
         const sent: { at: number; writes: number }[] = [];
         for (const a of asks) {
           sim.after(a.at, () => {
-            void budget
+            void rateLimiter
               .acquire(a.urgency as Urgency, a.writes, 1e9)
               .then(() => sent.push({ at: sim.now, writes: a.writes }));
           });
@@ -55,7 +63,7 @@
     { seed: 391, numRuns: 60 },
   );
   const sim = new Sim(2);
-  const budget = new Budget(
+  const rateLimiter = new RateLimiter(
     sim.clock(
       0,
       () => 0,
@@ -65,20 +73,20 @@
     2,
   );
   const order: string[] = [];
-  await budget.acquire(URGENCY.rest, 0, 1e9);
+  await rateLimiter.acquire(URGENCY.rest, 0, 1e9);
   for (const name of ['rest', 'finish', 'accept', 'renew'] as const) {
-    void budget.acquire(URGENCY[name], 0, 1e9).then(() => order.push(name));
+    void rateLimiter.acquire(URGENCY[name], 0, 1e9).then(() => order.push(name));
   }
-  const impatient = assert.rejects(budget.acquire(URGENCY.rest, 0, 10), Overloaded);
+  const impatient = assert.rejects(rateLimiter.acquire(URGENCY.rest, 0, 10), Overloaded);
   await sim.run(10_000);
   await impatient;
   assert.deepEqual(order, ['renew', 'accept', 'finish', 'rest']);
 });
 
-function replicaOf(
+function watchCacheOf(
   sim: Sim,
   service: SimStateService,
-): { replica: Replica; seen: Map<string, unknown>; state: StateService } {
+): { watchCache: WatchCache; seen: Map<string, unknown>; keyValueStore: KeyValueStore } {
   const clock = sim.clock(
     0,
     () => 0,
@@ -96,10 +104,16 @@
         sim.after(5, () => resolve(answer));
       });
     });
-  const state = new StateService({ http, addr: 's', budget: new Budget(clock, 1000, 1000), clock, timeoutMs: 1000 });
+  const keyValueStore = new KeyValueStore({
+    http,
+    addr: 's',
+    rateLimiter: new RateLimiter(clock, 1000, 1000),
+    clock,
+    timeoutMs: 1000,
+  });
   const seen = new Map<string, unknown>();
-  const replica = new Replica({
-    state,
+  const watchCache = new WatchCache({
+    keyValueStore,
     clock,
     prefix: 'g/',
     minIntervalMs: 50,
@@ -111,50 +125,50 @@
     onSync: () => undefined,
     onError: () => undefined,
   });
-  return { replica, seen, state };
+  return { watchCache, seen, keyValueStore };
 }
 
 test('a barrier waits for a read that began after it: what was written before shows', async () => {
   const sim = new Sim(3);
   const service = new SimStateService(sim);
-  const { replica, seen, state } = replicaOf(sim, service);
-  replica.start();
+  const { watchCache, seen, keyValueStore } = watchCacheOf(sim, service);
+  watchCache.start();
   await sim.run(1000);
   let shown: unknown = 'not yet';
   // Another controller writes while a read of ours is under way; the poll comes right after.
   sim.after(0, () => {
-    void state.txn(URGENCY.accept, [], [{ put: 'g/x', value: { a: 1 } }]).then(async () => {
-      await replica.barrier();
+    void keyValueStore.compareAndSwap(URGENCY.accept, [], [{ put: 'g/x', value: { a: 1 } }]).then(async () => {
+      await watchCache.linearizableRead();
       shown = seen.get('g/x');
     });
   });
   await sim.run(1200);
   assert.deepEqual(shown, { a: 1 });
   // Too old to follow: all is read again, and what was removed meanwhile goes.
-  void state.txn(URGENCY.accept, [], [{ remove: 'g/x' }, { put: 'g/y', value: 2 }]);
+  void keyValueStore.compareAndSwap(URGENCY.accept, [], [{ remove: 'g/x' }, { put: 'g/y', value: 2 }]);
   sim.after(20, () => service.forgetEvents());
   await sim.run(4000);
   assert.deepEqual([...seen], [['g/y', 2]]);
-  replica.stop();
+  watchCache.stop();
 });
 
 test('reads follow the time, not the number of polls and hints that wait for them', async () => {
   const reads = async (polls: number): Promise<number> => {
     const sim = new Sim(5);
     const service = new SimStateService(sim);
-    const { replica } = replicaOf(sim, service);
-    replica.start();
+    const { watchCache } = watchCacheOf(sim, service);
+    watchCache.start();
     await sim.run(1000);
     const before = service.requests;
     let answered = 0;
     for (let i = 0; i < polls; i++) {
       sim.after((i * 1000) / polls, () => {
-        replica.hint(replica.revision + 1 + i);
-        void replica.barrier().then(() => answered++);
+        watchCache.hint(watchCache.revision + 1 + i);
+        void watchCache.linearizableRead().then(() => answered++);
       });
     }
     await sim.run(2200);
-    replica.stop();
+    watchCache.stop();
     assert.equal(answered, polls);
     return service.requests - before;
   };
@@ -166,24 +180,24 @@
 test('our own removal is not undone by a read that was under way', async () => {
   const sim = new Sim(4);
   const service = new SimStateService(sim);
-  const { replica, seen, state } = replicaOf(sim, service);
-  void state.txn(URGENCY.accept, [], [{ put: 'g/r', value: 1 }]).then((r) => {
+  const { watchCache, seen, keyValueStore } = watchCacheOf(sim, service);
+  void keyValueStore.compareAndSwap(URGENCY.accept, [], [{ put: 'g/r', value: 1 }]).then((r) => {
     assert.equal(r.kind, 'done');
     // The read that will bring the key begins now; ours removes it and hears so first.
-    replica.applyOwn([{ remove: 'g/r' }], 5);
+    watchCache.applyOwn([{ remove: 'g/r' }], 5);
   });
   await sim.run(100);
-  replica.start();
+  watchCache.start();
   await sim.run(2000);
   assert.equal(seen.has('g/r'), false);
-  replica.stop();
+  watchCache.stop();
 });
 
 // Events came in the order of the service's choice: a removal that stood before the change it followed was undone by it.
 test('changes that come in any order leave what the last of each key says', async () => {
   const sim = new Sim(6);
   const service = new SimStateService(sim);
-  const { replica, seen, state } = replicaOf(sim, service);
+  const { watchCache, seen, keyValueStore } = watchCacheOf(sim, service);
   const handle = service.handle.bind(service);
   service.handle = (method, path, body, from) => {
     const answer = handle(method, path, body, from);
@@ -191,7 +205,7 @@
     const { events, revision } = eventsOf(decode(answer.body));
     return { status: 200, body: encode(eventsMap([...events].reverse(), revision)) };
   };
-  replica.start();
+  watchCache.start();
   await sim.run(1000);
   for (const change of [
     { put: 'g/x', value: 1 },
@@ -199,30 +213,30 @@
     { put: 'g/y', value: 1 },
     { put: 'g/y', value: 2 },
   ]) {
-    void state.txn(URGENCY.accept, [], [change]);
+    void keyValueStore.compareAndSwap(URGENCY.accept, [], [change]);
   }
   await sim.run(3000);
   assert.deepEqual([...seen], [['g/y', 2]]);
-  replica.stop();
+  watchCache.stop();
 });
 
 // The answer to a change of ours came after a read had shown that its key was gone again: the key came back for ever.
 test('a change of our own that was read already and undone since is not taken once more', async () => {
   const sim = new Sim(7);
   const service = new SimStateService(sim);
-  const { replica, seen, state } = replicaOf(sim, service);
-  replica.start();
+  const { watchCache, seen, keyValueStore } = watchCacheOf(sim, service);
+  watchCache.start();
   await sim.run(1000);
   const put = { put: 'g/x', value: 1 };
-  const first = await new Promise<TxnResult>((resolve) => {
-    void state.txn(URGENCY.accept, [], [put]).then(resolve);
+  const first = await new Promise<CompareAndSwapResult>((resolve) => {
+    void keyValueStore.compareAndSwap(URGENCY.accept, [], [put]).then(resolve);
     void sim.run(1100);
   });
   assert.ok(first.kind === 'done');
-  void state.txn(URGENCY.accept, [], [{ remove: 'g/x' }]);
+  void keyValueStore.compareAndSwap(URGENCY.accept, [], [{ remove: 'g/x' }]);
   await sim.run(3000);
-  replica.applyOwn([put], first.revision);
+  watchCache.applyOwn([put], first.revision);
   await sim.run(5000);
   assert.equal(seen.has('g/x'), false);
-  replica.stop();
+  watchCache.stop();
 });
--- a/packages/core/test/ownership.test.ts
+++ b/packages/core/test/ownership.test.ts
@@ -63,31 +63,31 @@
 }
 
 /** Decides on the store as it stands, which has to lead to a takeover. */
-function decideToTake(ownership: Ownership, store: Store, lease: number, now: number, wallOff = 0): Acquisition {
-  const decision = ownership.decide(store.view('0'), lease, now, WALL + now + wallOff);
+function decideToTake(ownership: Ownership, clusterState: Store, lease: number, now: number, wallOff = 0): Acquisition {
+  const decision = ownership.decide(clusterState.view('0'), lease, now, WALL + now + wallOff);
   assert.ok(decision.kind === 'acquire');
   return decision;
 }
 
-function confirmAcquisition(ownershipTerm: OwnershipTerm, store: Store): void {
+function confirmAcquisition(ownershipTerm: OwnershipTerm, clusterState: Store): void {
   const confirmation = ownershipTerm.confirmAcquisition();
-  if (confirmation !== null) store.run(confirmation, () => true);
+  if (confirmation !== null) clusterState.run(confirmation, () => true);
 }
 
 /** Takes the resource by a transaction that is known at `doneAt` to have been carried out. */
 function take(
   ownership: Ownership,
-  store: Store,
+  clusterState: Store,
   lease: number,
   now: number,
   doneAt = now,
   wallOff = 0,
 ): OwnershipTerm {
-  const attempt = decideToTake(ownership, store, lease, now, wallOff);
-  const version = store.run(attempt.transaction, () => true);
+  const attempt = decideToTake(ownership, clusterState, lease, now, wallOff);
+  const version = clusterState.run(attempt.transaction, () => true);
   const ownershipTerm = ownership.acquired(attempt, version, doneAt, doneAt, WALL + doneAt + wallOff);
   assert.ok(ownershipTerm !== null);
-  confirmAcquisition(ownershipTerm, store);
+  confirmAcquisition(ownershipTerm, clusterState);
   return ownershipTerm;
 }
 
@@ -119,13 +119,13 @@
   let overtaken = 0;
   fc.assert(
     fc.property(fc.array(step, { minLength: 20, maxLength: 60 }), (steps) => {
-      const store = new Store();
+      const clusterState = new Store();
       let now = 0;
       let process = 0;
       let nextLease = 1;
       const leases = new Map<number, number>();
       const make = (n: number): Ownership => ownershipOf(`n${n}`, `p${++process}`, n);
-      const nodes = [0, 1, 2].map((n) => ({ ownership: make(n), n, oldView: store.view('0') }));
+      const nodes = [0, 1, 2].map((n) => ({ ownership: make(n), n, oldView: clusterState.view('0') }));
       for (const { n } of nodes) leases.set(n, nextLease++);
       const valid = (lease: number): boolean => [...leases.values()].includes(lease);
       const late: { txn: Transaction; lease: number }[] = [];
@@ -143,7 +143,7 @@
           if (taken !== null) {
             assert.equal(taken.term, attempt.term);
             assert.equal(taken.version, version);
-            confirmAcquisition(taken, store);
+            confirmAcquisition(taken, clusterState);
           }
         }
         if (isPending) return;
@@ -164,12 +164,12 @@
         if (s.what === 'lose lease') {
           const lease = leases.get(node.n)!;
           leases.set(node.n, nextLease++);
-          store.dropLease(lease);
+          clusterState.dropLease(lease);
           continue;
         }
         if (s.what === 'late') {
           const held = late.shift();
-          if (held !== undefined) store.run(held.txn, valid);
+          if (held !== undefined) clusterState.run(held.txn, valid);
           continue;
         }
         if (s.what === 'outcome') {
@@ -177,7 +177,7 @@
           continue;
         }
         if (s.what === 'asked') {
-          const term = store.view('0').owner?.record.term;
+          const term = clusterState.view('0').owner?.record.term;
           if (term === undefined) continue;
           const before = ownership.ownershipTerm;
           const ended = ownership.renounceBefore(term);
@@ -186,18 +186,18 @@
           continue;
         }
         if (s.what === 'release') {
-          const attempt = ownership.release(store.view('0'));
+          const attempt = ownership.release(clusterState.view('0'));
           if (attempt === null) continue;
           assert.equal(ownership.ownershipTerm, null);
           assert.ok(!attempt.ownershipTerm.isCurrent);
           // Sent twice, or so late that it comes after all else.
           late.push({ txn: attempt.transaction, lease: leases.get(node.n)! });
-          if (s.after % 2 === 0) store.run(attempt.transaction, valid);
+          if (s.after % 2 === 0) clusterState.run(attempt.transaction, valid);
           ownership.released(attempt);
           continue;
         }
-        const view = s.what === 'stale' ? node.oldView : store.view('0');
-        node.oldView = store.view('0');
+        const view = s.what === 'stale' ? node.oldView : clusterState.view('0');
+        node.oldView = clusterState.view('0');
         const before = ownership.ownershipTerm;
         const decision = ownership.decide(view, leases.get(node.n)!, now, WALL + now);
         if (decision.kind === 'lost') assert.equal(decision.ownershipTerm, before);
@@ -206,11 +206,11 @@
         if (decision.kind === 'acquire' || decision.kind === 'resume') {
           // A copy of the request may come once more, later.
           late.push({ txn: decision.transaction, lease: leases.get(node.n)! });
-          const version = store.run(decision.transaction, valid);
+          const version = clusterState.run(decision.transaction, valid);
           if (s.slow) outcomes.push(() => conclude(ownership, decision, version));
           else conclude(ownership, decision, version);
         }
-        const owner = store.view('0').owner;
+        const owner = clusterState.view('0').owner;
         if (owner !== null) {
           assert.ok(owner.record.term >= highest, 'term went back');
           highest = owner.record.term;
@@ -231,44 +231,46 @@
 });
 
 test('an earlier process of this controller leaves its claims for a worker lease, another controller for a cancellation', () => {
-  const store = new Store();
-  const first = take(ownershipOf('a', '1'), store, 1, 0);
+  const clusterState = new Store();
+  const first = take(ownershipOf('a', '1'), clusterState, 1, 0);
   assert.equal(first.fencedUntil, 0);
-  const again = take(ownershipOf('a', '2'), store, 1, 1000);
+  const again = take(ownershipOf('a', '2'), clusterState, 1, 1000);
   assert.ok(
     again.fencedUntil >= 1000 + clusterConfig.workerLeaseMs &&
       again.fencedUntil < 1000 + clusterConfig.cancellationBoundMs,
   );
-  store.dropLease(1);
-  const other = take(ownershipOf('b', '3'), store, 1, 2000);
+  clusterState.dropLease(1);
+  const other = take(ownershipOf('b', '3'), clusterState, 1, 2000);
   assert.ok(other.fencedUntil >= 2000 + clusterConfig.cancellationBoundMs);
   // Its restart does not shorten the wait that began with the takeover between controllers.
-  const otherAgain = take(ownershipOf('b', '4'), store, 1, 3000);
+  const otherAgain = take(ownershipOf('b', '4'), clusterState, 1, 3000);
   assert.ok(otherAgain.fencedUntil >= 2000 + clusterConfig.cancellationBoundMs);
 });
 
 test('a resource that was given back is fenced for a worker lease, but not for less than the takeover that preceded it', () => {
-  const store = new Store();
+  const clusterState = new Store();
   const giveBack = (ownership: Ownership): void => {
-    const attempt = ownership.release(store.view('0'))!;
-    assert.ok(store.run(attempt.transaction, () => true) > 0);
+    const attempt = ownership.release(clusterState.view('0'))!;
+    assert.ok(clusterState.run(attempt.transaction, () => true) > 0);
     assert.equal(ownership.ownershipTerm, null);
-    assert.equal(ownership.release(store.view('0')), null);
+    assert.equal(ownership.release(clusterState.view('0')), null);
   };
   const first = ownershipOf('a', 'a0');
-  take(first, store, 1, 0);
+  take(first, clusterState, 1, 0);
   giveBack(first);
-  const second = take(ownershipOf('b', 'b1000'), store, 2, 1000);
+  const second = take(ownershipOf('b', 'b1000'), clusterState, 2, 1000);
   assert.ok(
     second.fencedUntil >= 1000 + clusterConfig.workerLeaseMs &&
       second.fencedUntil < 1000 + clusterConfig.cancellationBoundMs,
   );
-  store.dropLease(2);
+  clusterState.dropLease(2);
   const third = ownershipOf('c', 'c2000');
-  assert.ok(take(third, store, 3, 2000).fencedUntil >= 2000 + clusterConfig.cancellationBoundMs);
+  assert.ok(take(third, clusterState, 3, 2000).fencedUntil >= 2000 + clusterConfig.cancellationBoundMs);
   giveBack(third);
   // The one before the last may have gone on until then.
-  assert.ok(take(ownershipOf('a', 'a3000'), store, 1, 3000).fencedUntil >= 2000 + clusterConfig.cancellationBoundMs);
+  assert.ok(
+    take(ownershipOf('a', 'a3000'), clusterState, 1, 3000).fencedUntil >= 2000 + clusterConfig.cancellationBoundMs,
+  );
 });
 
 test('nothing that an owner may have answered runs any more when the next one takes it for gone', () => {
@@ -279,13 +281,13 @@
       fc.integer({ min: -100, max: 100 }),
       fc.boolean(),
       (at, takeMs, skew, restarted) => {
-        const store = new Store();
-        take(ownershipOf('a', 'a0'), store, 1, 0);
-        store.dropLease(1);
+        const clusterState = new Store();
+        take(ownershipOf('a', 'a0'), clusterState, 1, 0);
+        clusterState.dropLease(1);
         // The takeover may have been carried out, and the owner before may have read, until its answer came.
-        let second = take(ownershipOf('b', 'b1'), store, 3, at, at + takeMs);
+        let second = take(ownershipOf('b', 'b1'), clusterState, 3, at, at + takeMs);
         const backAt = at + takeMs + 1000;
-        if (restarted) second = take(ownershipOf('b', 'b2'), store, 3, backAt, backAt, skew);
+        if (restarted) second = take(ownershipOf('b', 'b2'), clusterState, 3, backAt, backAt, skew);
         const gone = at + takeMs + maxAnswerContactAgeMs(clusterConfig) + clusterConfig.workerLeaseMs;
         assert.ok(gone <= second.fencedUntil, `may run until ${gone}, cleared at ${second.fencedUntil}`);
       },
@@ -298,12 +300,12 @@
 function waitsLongEnough(told: number, at: number, takeMs: number, offs: readonly [number, number]): boolean {
   const ownership = (process: string): Ownership =>
     new Ownership('0', { ...clusterConfig, maxClockSkewMs: told }, { node: 'b', process }, () => 0);
-  const store = new Store();
-  take(ownershipOf('a', 'a0'), store, 1, 0);
-  store.dropLease(1);
-  take(ownership('b1'), store, 3, at, at + takeMs, offs[0]);
+  const clusterState = new Store();
+  take(ownershipOf('a', 'a0'), clusterState, 1, 0);
+  clusterState.dropLease(1);
+  take(ownership('b1'), clusterState, 3, at, at + takeMs, offs[0]);
   const backAt = at + takeMs + 1000;
-  const second = take(ownership('b2'), store, 3, backAt, backAt, offs[1]);
+  const second = take(ownership('b2'), clusterState, 3, backAt, backAt, offs[1]);
   return at + takeMs + maxAnswerContactAgeMs(clusterConfig) + clusterConfig.workerLeaseMs <= second.fencedUntil;
 }
 
@@ -336,13 +338,13 @@
   const span = fc.integer({ min: 0, max: 30_000 });
   fc.assert(
     fc.property(span, span, span, (firstTakenAt, reign, asked) => {
-      const store = new Store();
-      take(ownershipOf('a'), store, 1, 0);
-      store.dropLease(1);
-      take(ownershipOf('b'), store, 2, firstTakenAt);
-      store.dropLease(2);
+      const clusterState = new Store();
+      take(ownershipOf('a'), clusterState, 1, 0);
+      clusterState.dropLease(1);
+      take(ownershipOf('b'), clusterState, 2, firstTakenAt);
+      clusterState.dropLease(2);
       const acquiredAt = firstTakenAt + ttl + reign;
-      const third = take(ownershipOf('c'), store, 3, acquiredAt);
+      const third = take(ownershipOf('c'), clusterState, 3, acquiredAt);
       const waiting = third.fencedUntil;
       third.previousOwnerEnded('a', acquiredAt + asked, WALL + acquiredAt + asked);
       assert.equal(third.fencedUntil, waiting, 'it was not the owner before');
@@ -368,17 +370,17 @@
     ['b', 'b2'],
     ['c', 'c1'],
   ] as const) {
-    const store = new Store();
-    take(ownershipOf('a', 'a1'), store, 1, 0);
-    store.dropLease(1);
+    const clusterState = new Store();
+    take(ownershipOf('a', 'a1'), clusterState, 1, 0);
+    clusterState.dropLease(1);
     const slow = ownershipOf('b', 'b1');
-    const attempt = decideToTake(slow, store, 1, decided);
-    const version = store.run(attempt.transaction, () => true);
+    const attempt = decideToTake(slow, clusterState, 1, decided);
+    const version = clusterState.run(attempt.transaction, () => true);
     assert.equal(slow.acquired(attempt, version, carriedOut, carriedOut, WALL + carriedOut), null);
     assert.equal(slow.ownershipTerm, null);
-    store.dropLease(1);
+    clusterState.dropLease(1);
     const now = carriedOut + 500;
-    const after = take(ownershipOf(node, process), store, 1, now);
+    const after = take(ownershipOf(node, process), clusterState, 1, now);
     // The first owner may have read for the last time just before the resource was taken from it.
     const gone = carriedOut + maxAnswerContactAgeMs(clusterConfig) + clusterConfig.workerLeaseMs;
     assert.ok(after.fencedUntil >= gone, `${node}: may run until ${gone}, cleared at ${after.fencedUntil}`);
@@ -388,18 +390,18 @@
 });
 
 test('a takeover that was carried out in time stands, however long the reading after it takes', () => {
-  const store = new Store();
+  const clusterState = new Store();
   const takeAndRead = (node: string, now: number): OwnershipTerm => {
     const ownership = ownershipOf(node);
-    const attempt = decideToTake(ownership, store, 1, now);
+    const attempt = decideToTake(ownership, clusterState, 1, now);
     const readAt = now + 10 * clusterConfig.heartbeatIntervalMs;
-    const version = store.run(attempt.transaction, () => true);
+    const version = clusterState.run(attempt.transaction, () => true);
     const ownershipTerm = ownership.acquired(attempt, version, now + 100, readAt, WALL + readAt);
     assert.ok(ownershipTerm !== null, node);
     return ownershipTerm;
   };
   takeAndRead('a', 0);
-  store.dropLease(1);
+  clusterState.dropLease(1);
   const second = takeAndRead('b', 1000);
   assert.ok(second.fencedUntil >= 1000 + 100 + maxAnswerContactAgeMs(clusterConfig) + clusterConfig.workerLeaseMs);
 });
@@ -407,15 +409,15 @@
 // While the answer to its resumption was out, an owner did not look at the owner record: it answered workers as long as it could
 // read, though each read showed the next owner.
 test('an owner that is putting its hold back ends as soon as a view shows another owner', () => {
-  const store = new Store();
+  const clusterState = new Store();
   const first = ownershipOf('a');
-  const ownershipTerm = take(first, store, 1, 0);
-  store.dropLease(1);
-  const decision = first.decide(store.view('0'), 2, 1000, WALL + 1000);
+  const ownershipTerm = take(first, clusterState, 1, 0);
+  clusterState.dropLease(1);
+  const decision = first.decide(clusterState.view('0'), 2, 1000, WALL + 1000);
   assert.equal(decision.kind, 'resume');
   assert.ok(ownershipTerm.isCurrent);
-  take(ownershipOf('b'), store, 3, 1000);
-  assert.equal(first.decide(store.view('0'), 2, 2000, WALL + 2000).kind, 'lost');
+  take(ownershipOf('b'), clusterState, 3, 1000);
+  assert.equal(first.decide(clusterState.view('0'), 2, 2000, WALL + 2000).kind, 'lost');
   assert.ok(!ownershipTerm.isCurrent);
   assert.equal(first.ownershipTerm, null);
 });
@@ -423,40 +425,40 @@
 // The outcome of a resumption was taken for that of whatever was under way when it came: a takeover begun since was given up
 // though it had been carried out, or stood under a term that its record did not have.
 test('the outcome of a resumption that comes during a later takeover leaves that takeover alone', () => {
-  const store = new Store();
+  const clusterState = new Store();
   const first = ownershipOf('a');
-  take(first, store, 1, 0);
-  store.dropLease(1);
-  const resumption = first.decide(store.view('0'), 2, 1000, WALL + 1000);
+  take(first, clusterState, 1, 0);
+  clusterState.dropLease(1);
+  const resumption = first.decide(clusterState.view('0'), 2, 1000, WALL + 1000);
   assert.ok(resumption.kind === 'resume');
-  const between = take(ownershipOf('b'), store, 3, 1000);
+  const between = take(ownershipOf('b'), clusterState, 3, 1000);
   assert.equal(first.renounceBefore(between.term), resumption.ownershipTerm);
-  store.dropLease(3);
+  clusterState.dropLease(3);
   const now = 1000 + acquisitionBoundMs(clusterConfig);
-  const takeover = decideToTake(first, store, 2, now);
+  const takeover = decideToTake(first, clusterState, 2, now);
   assert.equal(first.failed(resumption), false);
   assert.equal(first.resumed(resumption), false);
   assert.equal(first.state, 'acquiring');
-  const version = store.run(takeover.transaction, () => true);
+  const version = clusterState.run(takeover.transaction, () => true);
   const ownershipTerm = first.acquired(takeover, version, now, now, WALL + now);
-  assert.equal(ownershipTerm?.term, store.view('0').owner?.record.term);
+  assert.equal(ownershipTerm?.term, clusterState.view('0').owner?.record.term);
   assert.ok(!resumption.ownershipTerm.isCurrent);
 });
 
 // Asked while its takeover waited for a read, a controller said that it did not own the partition, and then opened it.
 test('a takeover under way is given up for a later owner that asks, and never opened', () => {
-  const store = new Store();
+  const clusterState = new Store();
   const first = ownershipOf('a');
-  const attempt = decideToTake(first, store, 1, 0);
-  const version = store.run(attempt.transaction, () => true);
-  store.dropLease(1);
-  const later = take(ownershipOf('b'), store, 2, 1000);
+  const attempt = decideToTake(first, clusterState, 1, 0);
+  const version = clusterState.run(attempt.transaction, () => true);
+  clusterState.dropLease(1);
+  const later = take(ownershipOf('b'), clusterState, 2, 1000);
   assert.equal(first.renounceBefore(later.term), null);
   assert.equal(first.acquired(attempt, version, 1500, 1500, WALL + 1500), null);
   assert.equal(first.ownershipTerm, null);
   // One that was asked about by an earlier owner goes on.
-  store.dropLease(2);
-  const next = decideToTake(first, store, 3, 10_000);
+  clusterState.dropLease(2);
+  const next = decideToTake(first, clusterState, 3, 10_000);
   first.renounceBefore(later.term);
   assert.ok(first.isPending(next));
 });
--- a/packages/daemon/src/autoscaling-loop.ts
+++ b/packages/daemon/src/autoscaling-loop.ts
@@ -71,7 +71,7 @@
 
   /** How long until a machine that is rented now could run a task of the job, in milliseconds; Infinity: none can be had. */
   scaleOutMs(job: JobSpec): number {
-    return this.#autoscaler.scaleOutMs(job, this.shared.store.types);
+    return this.#autoscaler.scaleOutMs(job, this.shared.clusterState.types);
   }
 
   /** Whether the cloud had no room lately for the job in the zone. */
@@ -96,7 +96,7 @@
     while (!this.#stopped) {
       try {
         const now = clock.now();
-        if (now - this.#typesAt > clusterConfig.cloudListLagMs * 10 || shared.store.types.size === 0)
+        if (now - this.#typesAt > clusterConfig.cloudListLagMs * 10 || shared.clusterState.types.size === 0)
           await this.#types();
         if (now - listAt > Math.max(clusterConfig.cloudListLagMs / 2, pace)) {
           listAt = now;
@@ -123,31 +123,31 @@
 
   async #types(): Promise<void> {
     const { shared } = this;
-    const { store } = shared;
+    const { clusterState } = shared;
     const list = await this.#cloud.types();
     this.#typesAt = shared.clock.now();
     // Before the machines have been listed it is not known which types are used.
     const types = this.#machineTypes.read(
       list,
-      store.types.values(),
+      clusterState.types.values(),
       (type) => !this.#listed || this.#autoscaler.has(type),
     );
     const value = machineTypesMap(types);
-    const before = machineTypesMap([...store.types.values()]);
+    const before = machineTypesMap([...clusterState.types.values()]);
     // Prices of spot machines move all the time; what matters to all is what the machines are.
     const still = (v: unknown): string => JSON.stringify(v).replace(/"low_price":[0-9.]+/g, '');
     if (still(value) === still(before)) return;
-    await shared.settle(URGENCY.accept, [this.ownershipTerm.condition], [{ put: KEYS.types, value }], () =>
+    await shared.commitWithRetry(URGENCY.accept, [this.ownershipTerm.condition], [{ put: KEYS.types, value }], () =>
       this.#isLeading(),
     );
   }
 
   async #manage(): Promise<void> {
     const { shared } = this;
-    const { clusterConfig, clock, store, log } = shared;
+    const { clusterConfig, clock, clusterState, log } = shared;
     const now = clock.now();
     const current = this.view.statuses(now);
-    const allHeard = current.length === (store.meta?.partitionCount ?? Infinity);
+    const allHeard = current.length === (clusterState.meta?.partitionCount ?? Infinity);
     // Until all that is up has been heard, or has had the time to be, what is free is not known.
     const isFleetHeard =
       now - this.#since >= clusterConfig.heartbeatIntervalMs * 2 || this.#autoscaler.hasHeardAll(current);
@@ -157,13 +157,13 @@
       types: this.#machineTypes.current,
       statuses: current,
       unschedulable: this.view.unschedulable(),
-      partitioner: store.partitioner!,
+      partitioner: clusterState.partitioner!,
       pinned: this.view.pinned(),
     });
     this.#drain = plan.drain;
     if (now - this.#toldAt > clusterConfig.cloudListLagMs) {
       this.#toldAt = now;
-      log.debug(this.#autoscaler.figures(current, store.types), 'fleet');
+      log.debug(this.#autoscaler.figures(current, clusterState.types), 'fleet');
     }
     if (plan.scaleIn.length > 0) await this.#scaleIn(plan.scaleIn.slice(0, RETURN_MOST));
     // The lead may have been lost, or this controller have stood still, while the cloud was asked: the next leader rents too.
--- a/packages/daemon/src/store.ts
+++ b/packages/daemon/src/cluster-state.ts
@@ -21,7 +21,7 @@
 const NO_RECLAIMS: ReadonlyMap<string, Versioned<ReclaimRecord>> = new Map();
 
 /** What this controller's replica of the state service says, in our own terms. */
-export class Store {
+export class ClusterState {
   meta: Meta | null = null;
   /** Made of `meta`; null as long as that is. */
   partitioner: Partitioner | null = null;
@@ -39,7 +39,7 @@
   /** By job: how its replica group stands. */
   readonly groups = new Map<string, Versioned<GroupRecord>>();
   /** Finished sets whose job has been closed: nothing needs them any more. */
-  readonly leftovers = new Set<string>();
+  readonly obsoleteKeys = new Set<string>();
   /** Hears of each job that has changed, or for which something has changed because of another job. */
   onJob: (id: string) => void = () => undefined;
   /** Hears of the end of a reclaim. */
@@ -47,7 +47,7 @@
   onMembership: (partitionId: number, machine: string, present: boolean) => void = () => undefined;
 
   /** Finished pages read before `meta`, which says what they stand for: lists come in the order of the keys. */
-  #beforeMeta: { readonly key: string; readonly value: unknown; readonly version: number }[] = [];
+  #pagesBeforeMeta: { readonly key: string; readonly value: unknown; readonly version: number }[] = [];
 
   /** `isGroup`: whether the tasks of a job are the members of a replica group. */
   constructor(isGroup: (spec: JobSpec) => boolean = () => false) {
@@ -101,7 +101,7 @@
         if (value === undefined) return;
         this.meta = metaRecord.read(value);
         this.partitioner = new Partitioner(this.meta.partitionCount, this.meta.zones);
-        for (const page of this.#beforeMeta.splice(0)) this.apply(page.key, page.value, page.version);
+        for (const page of this.#pagesBeforeMeta.splice(0)) this.apply(page.key, page.value, page.version);
         return;
       case 'term':
         this.term = value === undefined ? null : { record: termRecord.read(value), version };
@@ -136,19 +136,19 @@
       case 'job': {
         const pages = [...(this.jobs.live.get(k.id)?.pages.keys() ?? [])];
         const record = this.jobs.applyJob(k.id, value, version);
-        if (record !== null && record.final !== null) for (const page of pages) this.leftovers.add(page);
+        if (record !== null && record.final !== null) for (const page of pages) this.obsoleteKeys.add(page);
         this.onJob(k.id);
         return;
       }
       case 'finished':
       case 'finishedFrom':
         if (this.meta === null) {
-          this.#beforeMeta.push({ key, value, version });
+          this.#pagesBeforeMeta.push({ key, value, version });
           return;
         }
         this.jobs.applyFinished(k, value, version);
-        if (value === undefined) this.leftovers.delete(key);
-        else if (this.jobs.finals.has(k.id)) this.leftovers.add(key);
+        if (value === undefined) this.obsoleteKeys.delete(key);
+        else if (this.jobs.finals.has(k.id)) this.obsoleteKeys.add(key);
         this.onJob(k.id);
         return;
       case 'other':
--- a/packages/daemon/src/controller.ts
+++ b/packages/daemon/src/controller.ts
@@ -1,6 +1,6 @@
 // One controller: its view of the state service, the parts it owns, the lead if it has it, and the answers to users,
 // workers and peers. Everything it needs of the world comes in through ports.
-import { Budget, type Clock, type Http, Replica, sleep, StateService } from '@gingerlock/clients';
+import { RateLimiter, type Clock, type Http, WatchCache, sleep, KeyValueStore } from '@gingerlock/clients';
 import {
   maxAnswerContactAgeMs,
   MAX_CLOCK_DRIFT,
@@ -19,7 +19,7 @@
   PREFIX,
   type Heartbeat,
 } from '@gingerlock/wire';
-import { BudgetSharing } from './budget-sharing';
+import { RateSharing } from './rate-sharing';
 import { ClaimLists } from './claim-lists';
 import { GroupReports } from './group-reports';
 import { PreviousOwnerQueries } from './previous-owners';
@@ -37,7 +37,7 @@
 import { HeartbeatRelay } from './heartbeat-relay';
 import type { Settings } from './settings';
 import { type ControllerLimits, Shared } from './shared';
-import { Store } from './store';
+import { ClusterState } from './cluster-state';
 import { PartitionStatuses } from './partition-statuses';
 import { StatusPublisher } from './status-publisher';
 import { Users } from './users';
@@ -57,13 +57,13 @@
   readonly clock: Clock;
   readonly log: Log;
   readonly link: PeerLink;
-  readonly state: StateService;
-  readonly replica: Replica;
-  readonly store: Store;
+  readonly keyValueStore: KeyValueStore;
+  readonly watchCache: WatchCache;
+  readonly clusterState: ClusterState;
   readonly shared: Shared;
   readonly process: string;
   readonly #http: Http;
-  readonly #budget: Budget;
+  readonly #rateLimiter: RateLimiter;
   readonly #users: Users;
   readonly #rendezvous: Rendezvous | null;
   readonly #owners = new Map<number, PartitionOwner>();
@@ -76,7 +76,7 @@
   readonly #relay: HeartbeatRelay;
   readonly #workerReach: WorkerReach;
   readonly #confirmation: PeerConfirmation;
-  readonly #budgetSharing: BudgetSharing;
+  readonly #rateSharing: RateSharing;
   readonly #previousOwners: PreviousOwnerQueries;
   readonly #peerHealth: PeerHealth;
   #leader: Leader | null = null;
@@ -91,29 +91,33 @@
     this.link = ports.link;
     this.#http = ports.http;
     const { clusterConfig, features } = ports.settings;
-    this.store = new Store((spec) => isGroupSpec(features.replicaGroups, spec));
+    this.clusterState = new ClusterState((spec) => isGroupSpec(features.replicaGroups, spec));
     this.#tickedAt = ports.clock.now();
     this.process = Math.floor(ports.clock.random() * 2 ** 48).toString(36);
     this.#peers = new PeerChannel(ports.link, this.process);
     this.#peerHealth = new PeerHealth(ports.link, ports.clock, clusterConfig.heartbeatIntervalMs);
     const share = 0.95 / clusterConfig.controllerCount;
-    this.#budget = new Budget(ports.clock, this.settings.stateRps * share, this.settings.stateWriteRps * share);
-    this.state = new StateService({
+    this.#rateLimiter = new RateLimiter(
+      ports.clock,
+      this.settings.stateRps * share,
+      this.settings.stateWriteRps * share,
+    );
+    this.keyValueStore = new KeyValueStore({
       http: ports.http,
       addr: this.settings.state,
-      budget: this.#budget,
+      rateLimiter: this.#rateLimiter,
       clock: ports.clock,
       timeoutMs: Math.max(clusterConfig.heartbeatIntervalMs / 2, 1000),
     });
-    this.replica = new Replica({
-      state: this.state,
+    this.watchCache = new WatchCache({
+      keyValueStore: this.keyValueStore,
       clock: ports.clock,
       prefix: PREFIX,
       minIntervalMs: Math.max(clusterConfig.heartbeatIntervalMs / 15, 4000 / (this.settings.stateRps * share)),
       idleIntervalMs: clusterConfig.heartbeatIntervalMs / 5,
       onChange: (key, value, version) => {
         try {
-          this.store.apply(key, value, version);
+          this.clusterState.apply(key, value, version);
         } catch (error) {
           this.log.error({ key, error: String(error) }, 'unreadable record');
         }
@@ -125,9 +129,9 @@
       this.settings,
       ports.clock,
       ports.log,
-      this.state,
-      this.replica,
-      this.store,
+      this.keyValueStore,
+      this.watchCache,
+      this.clusterState,
       ports.http,
       ports.limits,
     );
@@ -152,11 +156,16 @@
     );
     this.#users = new Users(this.shared, (id) => this.#statuses.runningTasks(id));
     this.#rendezvous = features.replicaGroups === null ? null : new Rendezvous(this.shared, features.replicaGroups);
-    this.#budgetSharing = new BudgetSharing(this.#budget, this.#peers, ports.clock, clusterConfig.heartbeatIntervalMs);
-    this.#confirmation = new PeerConfirmation(this.state, this.replica, this.#peers, clusterConfig.heartbeatIntervalMs);
+    this.#rateSharing = new RateSharing(this.#rateLimiter, this.#peers, ports.clock, clusterConfig.heartbeatIntervalMs);
+    this.#confirmation = new PeerConfirmation(
+      this.keyValueStore,
+      this.watchCache,
+      this.#peers,
+      clusterConfig.heartbeatIntervalMs,
+    );
     this.#previousOwners = new PreviousOwnerQueries(this.#owners, this.#peers, clusterConfig.heartbeatIntervalMs);
     this.#relay = new HeartbeatRelay(this.settings, ports.clock, this.#peers, {
-      partitionOf: (heartbeat) => this.store.partitioner?.partitionOf(heartbeat.machine, heartbeat.zone),
+      partitionOf: (heartbeat) => this.clusterState.partitioner?.partitionOf(heartbeat.machine, heartbeat.zone),
       ownerOf: (partitionId) => this.#ownerOf(partitionId),
       owns: (partitionId) => this.#owners.has(partitionId),
       answer: (partitionId, heartbeat) => this.#answer(partitionId, heartbeat),
@@ -165,16 +174,17 @@
     });
     this.shared.announce = (revision) => {
       this.#peers.broadcast({ kind: 'RevisionHint', revision });
-      this.replica.hint(revision);
+      this.watchCache.hint(revision);
     };
     this.shared.announceCancelled = (job) => this.#peers.broadcast({ kind: 'JobCancelled', job });
     this.shared.spareCapacity = (exceptPartitionId) =>
       this.#statuses.spareCapacity(exceptPartitionId, this.clock.now() - clusterConfig.heartbeatIntervalMs * 2);
-    this.store.onJob = (id) => {
+    this.clusterState.onJob = (id) => {
       for (const owner of this.#owners.values()) owner.jobChanged(id);
     };
-    this.store.onReclaimEnded = (partitionId, revision) => this.#leader?.borrowing?.reclaimEnded(partitionId, revision);
-    this.store.onMembership = (partitionId, machine, present) =>
+    this.clusterState.onReclaimEnded = (partitionId, revision) =>
+      this.#leader?.borrowing?.reclaimEnded(partitionId, revision);
+    this.clusterState.onMembership = (partitionId, machine, present) =>
       this.#owners.get(partitionId)?.claimTable.setMember(machine, present);
     this.link.onMessage = (from, message) => {
       try {
@@ -186,7 +196,7 @@
   }
 
   start(): void {
-    this.replica.start();
+    this.watchCache.start();
     void this.#leaseLoop();
     this.#tickLater();
   }
@@ -196,7 +206,7 @@
     this.#ownership.stop();
     this.#leader?.stop();
     this.#relay.stop();
-    this.replica.stop();
+    this.watchCache.stop();
   }
 
   /** The parts that this controller owns now. */
@@ -241,7 +251,7 @@
     this.#tellPeers(now);
     this.#leader?.tick();
     this.#confirmation.tick(now, this.#owners.size > 0);
-    this.#budgetSharing.tick(now);
+    this.#rateSharing.tick(now);
     this.#relay.tick(now);
   }
 
@@ -252,9 +262,9 @@
       const sent = this.clock.now();
       try {
         if (this.#lease === null) {
-          this.#lease = await this.state.grantLease(ttl);
+          this.#lease = await this.keyValueStore.grantLease(ttl);
           this.shared.leaseSince = this.clock.now();
-        } else if (!(await this.state.renewLease(this.#lease))) {
+        } else if (!(await this.keyValueStore.renewLease(this.#lease))) {
           this.log.info({ lease: this.#lease }, 'state lease ended');
           this.#lease = null;
           this.shared.leaseUntil = -Infinity;
@@ -308,8 +318,8 @@
   // --- workers -----------------------------------------------------------------------------------------------------
 
   /** Up to when nothing can have been accepted, cancelled or taken that we have not seen. */
-  #contactAt(): number {
-    return Math.max(this.replica.contactAt ?? -Infinity, this.#confirmation.confirmedAt);
+  #lastContactAt(): number {
+    return Math.max(this.watchCache.lastContactAt ?? -Infinity, this.#confirmation.confirmedAt);
   }
 
   async checkin(body: Buffer): Promise<Reply> {
@@ -320,7 +330,7 @@
       return refusal(400, error instanceof Malformed ? error.message : 'malformed');
     }
     this.#workerReach.direct(this.clock.now());
-    const { partitioner } = this.store;
+    const { partitioner } = this.clusterState;
     if (partitioner === null) return refusal(503, 'starting');
     const partitionId = partitioner.partitionOf(heartbeat.machine, heartbeat.zone);
     if (this.#owners.has(partitionId)) return this.#answer(partitionId, heartbeat);
@@ -333,7 +343,7 @@
     // Between the two requests of a full reload the records may show the next owner before that is acted upon.
     if (!owner.isOwner()) return refusal(503, 'part was taken over');
     // The bound within which a part's next owner, and users who cancel, may count on our silence.
-    if (now > this.#contactAt() + maxAnswerContactAgeMs(this.settings.clusterConfig))
+    if (now > this.#lastContactAt() + maxAnswerContactAgeMs(this.settings.clusterConfig))
       return refusal(503, 'no contact with the state service');
     const outcome = owner.claimTable.handleHeartbeat(heartbeat, now, owner.mayGrant(now));
     switch (outcome.kind) {
@@ -354,10 +364,10 @@
    * a controller without the state service still sends workers the right way.
    */
   #ownerOf(partitionId: number): string | null {
-    const owner = this.store.owners.get(String(partitionId));
+    const owner = this.clusterState.owners.get(String(partitionId));
     const seen = this.#statuses.of(partitionId);
     if (seen !== undefined && seen.status.term > (owner?.record.term ?? 0)) return seen.owner;
-    return this.store.holds.has(String(partitionId)) ? (owner?.record.node ?? null) : null;
+    return this.clusterState.holds.has(String(partitionId)) ? (owner?.record.node ?? null) : null;
   }
 
   #missedByOwner(partitionId: number, machine: string): boolean {
@@ -384,20 +394,20 @@
         return;
       case 'PeerHeartbeat':
         this.#peerHealth.noteContact(from, message.contactAgeMs, now);
-        this.replica.hint(message.revision);
+        this.watchCache.hint(message.revision);
         return;
       case 'BudgetRequest':
-        this.#budgetSharing.onRequest(from, message);
+        this.#rateSharing.onRequest(from, message);
         return;
       case 'BudgetGrant':
-        this.#budgetSharing.onGrant(from, message);
+        this.#rateSharing.onGrant(from, message);
         return;
       case 'RevisionHint':
-        this.replica.hint(message.revision);
+        this.watchCache.hint(message.revision);
         return;
       case 'JobCancelled':
         // A stop is always safe, with or without the state service. It shortens no bound: the word may be lost.
-        this.store.markCancelled(message.job);
+        this.clusterState.markCancelled(message.job);
         return;
       case 'PartitionStatus':
         if (!this.#owners.has(message.partitionId)) this.#statuses.onStatus(message, now);
@@ -412,7 +422,8 @@
         if (!this.#owners.has(message.partitionId)) this.#statuses.onFragment(from, message, now);
         return;
       case 'MachineDirectives':
-        if (this.store.owners.get(LEADERSHIP)?.record.term === message.term) this.#obey(message.drain, message.gone);
+        if (this.clusterState.owners.get(LEADERSHIP)?.record.term === message.term)
+          this.#obey(message.drain, message.gone);
         return;
       case 'ConfirmationRequest':
         this.#confirmation.onRequest(from, message, this.#contactAgeMs(now));
@@ -464,7 +475,7 @@
   }
 
   #contactAgeMs(now: number): number {
-    return this.replica.contactAt === null ? 1e9 : now - this.replica.contactAt;
+    return this.watchCache.lastContactAt === null ? 1e9 : now - this.watchCache.lastContactAt;
   }
 
   // --- users -------------------------------------------------------------------------------------------------------
@@ -473,7 +484,7 @@
   up(): Reply {
     const now = this.clock.now();
     const { heartbeatIntervalMs } = this.settings.clusterConfig;
-    if (!this.replica.loaded || this.store.meta === null) return refusal(503, 'starting');
+    if (!this.watchCache.loaded || this.clusterState.meta === null) return refusal(503, 'starting');
     const stale = this.#contactAgeMs(now) > heartbeatIntervalMs * 2;
     return stale && this.#peerHealth.anyHasContact(now)
       ? refusal(503, 'state service is out of reach')
--- a/packages/daemon/src/leader-borrowing.ts
+++ b/packages/daemon/src/leader-borrowing.ts
@@ -75,16 +75,16 @@
 
   /** By team: GPUs of its guarantee that others leave free for it. */
   heldBack(statuses: readonly PartitionStatus[]): Map<string, number> {
-    const { store, clusterConfig } = this.shared;
-    return heldBackGpus(clusterConfig, store.jobs.live, this.#claims(statuses));
+    const { clusterState, clusterConfig } = this.shared;
+    return heldBackGpus(clusterConfig, clusterState.jobs.live, this.#claims(statuses));
   }
 
   plan(view: LeaderView): readonly Decision[] {
-    const { store, clusterConfig, clock } = this.shared;
+    const { clusterState, clusterConfig, clock } = this.shared;
     const plan = planReclaims({
       clusterConfig,
       settings: this.settings,
-      jobs: store.jobs.live,
+      jobs: clusterState.jobs.live,
       unschedulable: view.result.unschedulable.filter(({ job }) => !view.taken.has(job.id)),
       statuses: view.statuses,
       free: view.result.free,
@@ -99,7 +99,7 @@
   }
 
   #pending(): ReclaimRecord[] {
-    return [...this.shared.store.reclaims.values()].flatMap((ofPartition) =>
+    return [...this.shared.clusterState.reclaims.values()].flatMap((ofPartition) =>
       [...ofPartition.values()].map((r) => r.record),
     );
   }
@@ -135,10 +135,10 @@
 
   /** Reclaims that their owners have left standing for far longer than any may take. */
   abandoned(): AbandonedReclaim[] {
-    const { store, clock } = this.shared;
+    const { clusterState, clock } = this.shared;
     const wall = clock.wall();
     const found: AbandonedReclaim[] = [];
-    for (const [partitionId, ofPartition] of store.reclaims) {
+    for (const [partitionId, ofPartition] of clusterState.reclaims) {
       for (const [id, { record, version }] of ofPartition) {
         const boundMs = this.#boundMs(record) * ABANDONED_BOUNDS;
         if (wall - record.decidedAt > boundMs) found.push({ key: KEYS.reclaim(partitionId, id), version });
@@ -148,9 +148,9 @@
   }
 
   #boundMs({ victims }: ReclaimRecord): number {
-    const { store, clusterConfig } = this.shared;
+    const { clusterState, clusterConfig } = this.shared;
     const graces = victims.map(({ task: taskName }) => {
-      const job = store.jobs.live.get(parseTaskName(taskName)?.job ?? '');
+      const job = clusterState.jobs.live.get(parseTaskName(taskName)?.job ?? '');
       return job === undefined ? 0 : saveGraceS(job.spec);
     });
     return reclaimBoundMs(clusterConfig, Math.max(0, ...graces));
@@ -184,9 +184,9 @@
 
   /** Guarantees that no fleet within the operators' bounds can keep. */
   #tellExcess(): void {
-    const { clusterConfig, store, settings, log } = this.shared;
+    const { clusterConfig, clusterState, settings, log } = this.shared;
     const { maxOrdinaryMachines, maxSpotMachines } = settings.operators;
-    const largest = Math.max(0, ...[...store.types.values()].map((type) => type.gpus));
+    const largest = Math.max(0, ...[...clusterState.types.values()].map((type) => type.gpus));
     const most = (maxOrdinaryMachines + maxSpotMachines) * largest;
     const guaranteed = guaranteedGpus(clusterConfig);
     if (this.#hasToldExcess || largest === 0 || guaranteed <= most) return;
--- a/packages/daemon/src/leader-groups.ts
+++ b/packages/daemon/src/leader-groups.ts
@@ -97,25 +97,25 @@
 
   holdsPartialCapacity(job: Job): boolean {
     const since = this.#waiting.get(job.id)?.since;
-    return since !== undefined && holdsPartialCapacity(this.shared.clock.now() - since, this.shared.store.types);
+    return since !== undefined && holdsPartialCapacity(this.shared.clock.now() - since, this.shared.clusterState.types);
   }
 
   #stored(job: Job): Versioned<GroupRecord> | null {
-    return this.shared.store.groups.get(job.id) ?? null;
+    return this.shared.clusterState.groups.get(job.id) ?? null;
   }
 
   #contextOf(job: Job): GroupContext {
-    const { store, clusterConfig, clock } = this.shared;
+    const { clusterState, clusterConfig, clock } = this.shared;
     const stored = this.#stored(job);
     return {
       settings: this.settings,
       clusterConfig,
-      types: store.types,
+      types: clusterState.types,
       wall: clock.wall(),
       storedForMs: stored === null ? 0 : clock.now() - this.#knownSince(job.id, stored.version),
       longestSaveS: this.#longestSaveS,
       reportOf: (partitionId) => {
-        const term = store.owners.get(String(partitionId))?.record.term ?? 0;
+        const term = clusterState.owners.get(String(partitionId))?.record.term ?? 0;
         return this.reports.of(partitionId, term, job.id, stored?.version ?? Infinity);
       },
     };
@@ -136,7 +136,7 @@
    */
   pinnedMachines(): Set<string> {
     const pinned = new Set([...this.#partlyFittingMachines, ...this.#inFlight]);
-    for (const { record } of this.shared.store.groups.values()) {
+    for (const { record } of this.shared.clusterState.groups.values()) {
       for (const { machine } of record.members) if (machine !== record.avoid) pinned.add(machine);
     }
     return pinned;
@@ -144,10 +144,10 @@
 
   /** Room for members whose machine is lost: a boot may begin while the others are still being stopped. */
   endingDemand(): UnschedulableDemand[] {
-    const { store } = this.shared;
+    const { clusterState } = this.shared;
     const demand: UnschedulableDemand[] = [];
-    for (const [id, { record }] of store.groups) {
-      const job = store.jobs.live.get(id);
+    for (const [id, { record }] of clusterState.groups) {
+      const job = clusterState.jobs.live.get(id);
       if (record.state !== 'ending' || job === undefined || job.cancelled || !job.isGroup) continue;
       const count = record.members.filter(({ machine }) => machine === record.avoid).length;
       if (count > 0) demand.push({ job, count, zones: job.spec.zone === null ? null : [job.spec.zone] });
@@ -160,7 +160,7 @@
   /** Begins a transaction: what the one before would have told of is told or dropped. */
   begin(): void {
     this.#longestSaveS = 0;
-    for (const { spec } of this.shared.store.jobs.live.values())
+    for (const { spec } of this.shared.clusterState.jobs.live.values())
       this.#longestSaveS = Math.max(this.#longestSaveS, spec.saveS);
     this.#lines = [];
     this.#inFlight = [];
@@ -174,12 +174,12 @@
 
   /** Adds the changes of state that are due, and the removal of records that no group has any more. */
   addChanges(batch: JobBatch): void {
-    const { store } = this.shared;
-    for (const job of store.jobs.live.values()) {
+    const { clusterState } = this.shared;
+    for (const job of clusterState.jobs.live.values()) {
       if (job.isGroup && !this.#addChange(batch, job)) return;
     }
-    for (const [id, { version }] of store.groups) {
-      if (store.jobs.live.get(id)?.isGroup === true) continue;
+    for (const [id, { version }] of clusterState.groups) {
+      if (clusterState.jobs.live.get(id)?.isGroup === true) continue;
       this.#known.delete(id);
       if (!batch.removeIf(KEYS.group(id), version)) return;
     }
@@ -193,7 +193,7 @@
     // Members are admitted for the owners that keep their room now: a later one would start none of them.
     const owners = next.state === 'admitted' ? new Set(next.members.map(({ partitionId }) => partitionId)) : [];
     for (const partitionId of owners) {
-      const owner = this.shared.store.owners.get(String(partitionId));
+      const owner = this.shared.clusterState.owners.get(String(partitionId));
       if (owner !== undefined && !batch.requireOwner({ key: KEYS.owner(String(partitionId)), version: owner.version }))
         return false;
     }
@@ -220,7 +220,7 @@
 
   /** False: the transaction, or a record, has no room for it. */
   #addReservation(batch: JobBatch, { job, members }: GroupPlacement): boolean {
-    const { store, clock } = this.shared;
+    const { clusterState, clock } = this.shared;
     if (batch.changes.length + CHANGES_PER_RESERVATION > this.shared.settings.txnOps) return false;
     const stored = this.#stored(job);
     const kept = members.map(({ partitionId, machine }) => ({ partitionId, machine, attempt: null }));
@@ -236,7 +236,7 @@
       return false;
     }
     for (const partitionId of new Set(members.map((member) => member.partitionId))) {
-      const owner = store.owners.get(String(partitionId));
+      const owner = clusterState.owners.get(String(partitionId));
       if (owner !== undefined && !batch.requireOwner({ key: KEYS.owner(String(partitionId)), version: owner.version }))
         return false;
     }
--- a/packages/daemon/src/leader.ts
+++ b/packages/daemon/src/leader.ts
@@ -97,12 +97,12 @@
   }
 
   #current(now: number): PartitionStatus[] {
-    const { store, clusterConfig } = this.shared;
+    const { clusterState, clusterConfig } = this.shared;
     return this.statuses()
       .filter(
         (s) =>
           now - s.at < clusterConfig.heartbeatIntervalMs * 2 &&
-          store.owners.get(String(s.status.partitionId))?.record.term === s.status.term,
+          clusterState.owners.get(String(s.status.partitionId))?.record.term === s.status.term,
       )
       .map((s) => s.status);
   }
@@ -128,7 +128,7 @@
   /** One transaction of endings and assignments, or of cleaning up; false: there was nothing to do, or it failed. */
   async #assignOnce(): Promise<boolean> {
     const { shared } = this;
-    const { store, clusterConfig, settings } = shared;
+    const { clusterState, clusterConfig, settings } = shared;
     const now = shared.clock.now();
     const current = this.#current(now);
     this.#reviewProbes(current, now);
@@ -142,11 +142,11 @@
     const result = assignTasks({
       now,
       probes: this.#probes,
-      jobs: store.jobs.live.values(),
+      jobs: clusterState.jobs.live.values(),
       statuses: current,
       pendingAssignments: this.#pendingAssignments,
       clusterConfig,
-      types: store.types,
+      types: clusterState.types,
       maxAssignments: settings.txnOps - batch.changes.length,
       preempts: this.borrowing === null,
       heldBack: this.borrowing?.heldBack(current) ?? null,
@@ -168,10 +168,12 @@
     this.#removeCrashLoopMarks(batch);
     this.#removeAbandoned(batch);
     if (batch.changes.length === 0) {
-      if (store.leftovers.size === 0) return false;
-      for (const key of store.leftovers) if (!batch.remove(key)) break;
+      if (clusterState.obsoleteKeys.size === 0) return false;
+      for (const key of clusterState.obsoleteKeys) if (!batch.remove(key)) break;
     }
-    const revision = await shared.settle(URGENCY.assign, batch.conditions, batch.changes, () => this.#isLeading());
+    const revision = await shared.commitWithRetry(URGENCY.assign, batch.conditions, batch.changes, () =>
+      this.#isLeading(),
+    );
     if (revision === 0) return false;
     this.groups?.stored();
     for (const m of pendingAssignments) this.#pendingAssignments.push({ ...m, revision });
@@ -182,13 +184,13 @@
   }
 
   #immovableDemand(statuses: readonly PartitionStatus[]): UnschedulableDemand[] {
-    const { store, clusterConfig } = this.shared;
-    if (store.partitioner === null) return [];
+    const { clusterState, clusterConfig } = this.shared;
+    if (clusterState.partitioner === null) return [];
     return findImmovableDemand({
-      jobs: store.jobs.live.values(),
+      jobs: clusterState.jobs.live.values(),
       statuses,
-      types: store.types,
-      partitioner: store.partitioner,
+      types: clusterState.types,
+      partitioner: clusterState.partitioner,
       zones: clusterConfig.zones,
       isFrozen: (job) => this.#isFrozen(job),
     });
@@ -205,7 +207,7 @@
   }
 
   #reviewProbes(current: readonly PartitionStatus[], now: number): void {
-    const { live } = this.shared.store.jobs;
+    const { live } = this.shared.clusterState.jobs;
     const crashLooping = [...live.values()].filter((job) => job.isCrashLooping && !job.cancelled).map((job) => job.id);
     const running = new Map<string, number>();
     for (const { running: tasks } of current)
@@ -220,8 +222,8 @@
 
   /** Takes the mark off jobs of which a trial has run for long enough, and which have nothing to assign. */
   #removeCrashLoopMarks(batch: JobBatch): void {
-    const { store, settings } = this.shared;
-    for (const job of store.jobs.live.values()) {
+    const { clusterState, settings } = this.shared;
+    for (const job of clusterState.jobs.live.values()) {
       if (batch.changes.length >= settings.txnOps) return;
       if (!job.isCrashLooping || job.cancelled || batch.jobs.has(job.id) || mustBeProbed(job, this.#probes)) continue;
       if (!batch.put(job, recordWith(job, false, []))) return;
@@ -238,7 +240,7 @@
 
   /** Ends the jobs of which all tasks are finished, or, of those that are cancelled, gone. */
   #close(batch: JobBatch): void {
-    for (const job of this.shared.store.jobs.live.values()) {
+    for (const job of this.shared.clusterState.jobs.live.values()) {
       const final = finalOf(job);
       if (final !== null && !batch.put(job, jobRecord.write({ final }))) return;
     }
@@ -314,7 +316,7 @@
   /** Makes the batch rest on the owners of the partitions that the rounds name; false: it has no room for that. */
   #requireOwners(batch: JobBatch, assignedRanges: readonly AssignedRange[]): boolean {
     return assignedRanges.every(({ partitionId }) => {
-      const owner = this.shared.store.owners.get(String(partitionId));
+      const owner = this.shared.clusterState.owners.get(String(partitionId));
       return (
         owner === undefined || batch.requireOwner({ key: KEYS.owner(String(partitionId)), version: owner.version })
       );
--- a/packages/daemon/src/owner-groups.ts
+++ b/packages/daemon/src/owner-groups.ts
@@ -7,7 +7,7 @@
   readonly members: PartitionGroups;
 
   constructor(readonly shared: Shared) {
-    this.members = new PartitionGroups(shared.store.groups);
+    this.members = new PartitionGroups(shared.clusterState.groups);
   }
 
   attach(table: ClaimTable): void {
@@ -25,6 +25,6 @@
   }
 
   report({ partitionId, term }: ClaimTable, now: number): PartitionGroupReport {
-    return { partitionId, term, revision: this.shared.replica.revision, groups: this.members.reports(now) };
+    return { partitionId, term, revision: this.shared.watchCache.revision, groups: this.members.reports(now) };
   }
 }
--- a/packages/daemon/src/owner-reclaims.ts
+++ b/packages/daemon/src/owner-reclaims.ts
@@ -26,8 +26,8 @@
 
   /** Returns the tasks that are to be told to stop now. */
   step(table: ClaimTable, now: number): readonly TaskEntry[] {
-    const { store, clock } = this.shared;
-    const records = new Map([...store.reclaimsOf(this.partitionId)].map(([id, { record }]) => [id, record]));
+    const { clusterState, clock } = this.shared;
+    const records = new Map([...clusterState.reclaimsOf(this.partitionId)].map(([id, { record }]) => [id, record]));
     this.reservations.sync(records);
     const stopped = this.reservations.step(table, clock.wall(), now);
     if (stopped.length > 0) table.noteChange();
@@ -35,7 +35,7 @@
   }
 
   removals(): ReclaimRemoval[] {
-    const known = this.shared.store.reclaimsOf(this.partitionId);
+    const known = this.shared.clusterState.reclaimsOf(this.partitionId);
     return this.reservations.over.flatMap(({ id }) => {
       const stored = known.get(id);
       if (stored === undefined) return [];
--- a/packages/daemon/src/owner-writes.ts
+++ b/packages/daemon/src/owner-writes.ts
@@ -24,7 +24,7 @@
 }
 
 /** While less than this share of the changes that may go at once is left, completed tasks wait for others to join them. */
-const SPARE_WRITES = 0.9;
+const MIN_SPARE_WRITE_SHARE = 0.9;
 
 /** How long at the most they then wait, in report intervals. */
 const SHORT_FINISH_INTERVALS = 2;
@@ -61,15 +61,15 @@
 
   /** How long a completed task may wait for others of its job before it is written. */
   #finishPatienceMs(): number {
-    const { state, clusterConfig } = this.shared;
-    const isShort = state.options.budget.spareWrites() < SPARE_WRITES;
+    const { keyValueStore, clusterConfig } = this.shared;
+    const isShort = keyValueStore.options.rateLimiter.spareWriteShare() < MIN_SPARE_WRITE_SHARE;
     return isShort ? clusterConfig.heartbeatIntervalMs * SHORT_FINISH_INTERVALS : DISPLAY_LAG_MS / 2;
   }
 
   #writes(now: number): { writes: Write[]; urgency: (typeof URGENCY)[keyof typeof URGENCY] } {
-    const { store, replica } = this.shared;
+    const { clusterState, watchCache } = this.shared;
     const writes: Write[] = [];
-    const membership = store.membership(this.partitionId);
+    const membership = clusterState.membership(this.partitionId);
     for (const m of this.claimTable.machines.values()) {
       if (!m.hasCurrentToken || m.answeredAt === null || m.isMember || this.membershipRemovals.has(m.name)) continue;
       if (membership.has(m.name)) {
@@ -80,7 +80,7 @@
       // A name goes into the membership before its first grant, so that a new owner knows to ask for it.
       const key = KEYS.membership(this.partitionId, m.name);
       writes.push({
-        conditions: [{ key, version: replica.version(key) }],
+        conditions: [{ key, version: watchCache.version(key) }],
         change: { put: key, value: membershipRecord.write(m.addr) },
       });
     }
@@ -106,7 +106,7 @@
         }
         const key = KEYS.membership(this.partitionId, name);
         writes.push({
-          conditions: [{ key, version: replica.version(key) }],
+          conditions: [{ key, version: watchCache.version(key) }],
           change: { remove: key },
           prepare: () => this.claimTable.setMember(name, false),
           // Still there: a machine that has come back meanwhile was never given work again.
@@ -158,7 +158,7 @@
         },
       ];
     }
-    const limits = { pageTasks: this.shared.store.meta!.pageTasks, valueBytes: this.shared.settings.valueBytes };
+    const limits = { pageTasks: this.shared.clusterState.meta!.pageTasks, valueBytes: this.shared.settings.valueBytes };
     const pages = new Map<string, Bits>();
     for (const task of tasks) {
       const { key, first, bits } = finishedPageFor(job, this.partitionId, task.index, limits);
@@ -166,7 +166,7 @@
     }
     return [...pages].map(([key, bits]) => {
       return {
-        conditions: [{ key, version: this.shared.replica.version(key) }],
+        conditions: [{ key, version: this.shared.watchCache.version(key) }],
         change: { put: key, value: finishedRecord.write(bits.bytes) },
       };
     });
@@ -185,7 +185,7 @@
       { partitionId: this.partitionId, urgency, keys: changes.map((c) => ('put' in c ? c.put : c.remove)) },
       'writing',
     );
-    const done = await shared.settle(urgency, conditions, changes, () => this.ownershipTerm.isCurrent);
+    const done = await shared.commitWithRetry(urgency, conditions, changes, () => this.ownershipTerm.isCurrent);
     // A conflict over one job fails the whole batch: the others' tasks, too, are still here.
     if (done === 0) for (const w of batch) w.failed?.();
     // What is finished or given back shows in the replica, and leaves the claim table with it.
--- a/packages/daemon/src/owner.ts
+++ b/packages/daemon/src/owner.ts
@@ -54,7 +54,7 @@
     readonly ownershipTerm: OwnershipTerm,
     previousStatuses: ReadonlyMap<string, MachineStatus>,
   ) {
-    const { store, clusterConfig, clock, log } = shared;
+    const { clusterState, clusterConfig, clock, log } = shared;
     this.#previousStatuses = previousStatuses;
     this.reclaims = shared.settings.features.borrowing === null ? null : new OwnerReclaims(shared, partitionId);
     this.groups = shared.settings.features.replicaGroups === null ? null : new OwnerGroups(shared);
@@ -64,9 +64,9 @@
       term: ownershipTerm.term,
       fencedUntil: ownershipTerm.fencedUntil,
       openedAt: ownershipTerm.acquiredAt,
-      jobs: store.jobs,
-      types: () => store.types,
-      membership: store.membership(partitionId),
+      jobs: clusterState.jobs,
+      types: () => clusterState.types,
+      membership: clusterState.membership(partitionId),
       reservations: this.#reservations(),
       ...(this.reclaims === null ? {} : { preempts: false }),
       ...(this.groups === null ? {} : { members: this.groups.members }),
@@ -75,7 +75,7 @@
       log: (message, detail) => log.debug({ partitionId, ...detail }, message),
       alarm: (message, detail) => log.error({ partitionId, term: ownershipTerm.term, ...detail }, message),
     });
-    for (const id of store.jobs.live.keys()) this.claimTable.syncJob(id, clock.now());
+    for (const id of clusterState.jobs.live.keys()) this.claimTable.syncJob(id, clock.now());
     this.reclaims?.attach(this.claimTable);
     this.groups?.attach(this.claimTable);
     this.groups?.changed();
@@ -116,7 +116,7 @@
   /** Stops of a cancelled job go out at once: its room is wanted, and nobody has any use for what it does now. */
   jobChanged(id: string): void {
     this.#pushAll(this.claimTable.syncJob(id, this.shared.clock.now()));
-    if (this.shared.store.groups.has(id)) this.groups?.changed();
+    if (this.shared.clusterState.groups.has(id)) this.groups?.changed();
   }
 
   tick(now: number): void {
@@ -162,20 +162,20 @@
   isOwner(): boolean {
     const { key, version } = this.ownershipTerm.condition;
     // The version rather than the record: one that can't be read is not ours either.
-    return this.ownershipTerm.isCurrent && this.shared.replica.version(key) === version;
+    return this.ownershipTerm.isCurrent && this.shared.watchCache.version(key) === version;
   }
 
   /** Whether starts may be given now: we surely own the part, and have seen every cancellation but the newest. */
   mayGrant(now: number): boolean {
-    const { replica, clusterConfig } = this.shared;
+    const { watchCache, clusterConfig } = this.shared;
     return (
       this.ownershipTerm.state === 'held' &&
       this.isOwner() &&
       this.shared.leaseValid() &&
-      replica.contactAt !== null &&
+      watchCache.lastContactAt !== null &&
       // A new lease says nothing of holds that were attached to the one before: somebody else may have them.
-      replica.contactAt >= this.shared.leaseSince &&
-      now < replica.contactAt + maxGrantContactAgeMs(clusterConfig)
+      watchCache.lastContactAt >= this.shared.leaseSince &&
+      now < watchCache.lastContactAt + maxGrantContactAgeMs(clusterConfig)
     );
   }
 
@@ -185,6 +185,6 @@
   }
 
   status(now: number): PartitionStatus {
-    return partitionStatusOf(this.claimTable, this.#freeByMachine, this.shared.replica.revision, now);
+    return partitionStatusOf(this.claimTable, this.#freeByMachine, this.shared.watchCache.revision, now);
   }
 }
--- a/packages/daemon/src/ownership-manager.ts
+++ b/packages/daemon/src/ownership-manager.ts
@@ -73,19 +73,19 @@
   /** Looks at all resources after a read. `lease` is this controller's state lease, valid or not, or null. */
   synced(lease: number | null): void {
     this.#lease = lease;
-    const { store } = this.shared;
-    if (store.meta === null) {
+    const { clusterState } = this.shared;
+    if (clusterState.meta === null) {
       void this.#createDeployment();
       return;
     }
-    if (this.#ownerships.size === 0) this.#openOwnerships(store.meta.partitionCount);
+    if (this.#ownerships.size === 0) this.#openOwnerships(clusterState.meta.partitionCount);
     for (const ownership of this.#ownerships.values()) this.#decide(ownership);
   }
 
   #decide(ownership: Ownership): void {
     const { shared } = this;
     const lease = shared.leaseValid() ? this.#lease : null;
-    const view = shared.store.view(ownership.resource);
+    const view = shared.clusterState.view(ownership.resource);
     const decision = ownership.decide(view, lease, this.#clock.now(), this.#clock.wall());
     switch (decision.kind) {
       case 'none':
@@ -114,9 +114,9 @@
     );
     const meta = { format: FORMAT, partitionCount, zones, pageTasks: pageTasks - (pageTasks % 8) };
     const changes = [{ put: KEYS.meta, value: metaRecord.write(meta) }];
-    const result = await shared.state.txn(URGENCY.accept, [{ key: KEYS.meta, version: 0 }], changes);
+    const result = await shared.keyValueStore.compareAndSwap(URGENCY.accept, [{ key: KEYS.meta, version: 0 }], changes);
     if (result.kind !== 'done') return;
-    shared.replica.applyOwn(changes, result.revision);
+    shared.watchCache.applyOwn(changes, result.revision);
     shared.announce(result.revision);
   }
 
@@ -135,7 +135,7 @@
   /** Who should own the partition, its home first: those in its zone go before the others. */
   #orderFor(partitionId: number): string[] {
     const nodes = this.#nodes();
-    const zone = this.shared.store.meta?.zones[partitionId];
+    const zone = this.shared.clusterState.meta?.zones[partitionId];
     const from = nodes.map((_, i) => nodes[(i + partitionId) % nodes.length]!);
     return [...from.filter((n) => this.#zoneOf(n) === zone), ...from.filter((n) => this.#zoneOf(n) !== zone)];
   }
@@ -180,10 +180,10 @@
   async #acquire(ownership: Ownership, attempt: Acquisition): Promise<void> {
     const { shared } = this;
     const { conditions, changes } = attempt.transaction;
-    const isWanted = (): boolean => !this.#stopped && ownership.isPending(attempt);
-    const revision = await shared.settle(URGENCY.renew, conditions, changes, isWanted);
+    const isStillWanted = (): boolean => !this.#stopped && ownership.isPending(attempt);
+    const revision = await shared.commitWithRetry(URGENCY.renew, conditions, changes, isStillWanted);
     const doneAt = this.#clock.now();
-    if (revision === 0 || !(await this.#readUpTo(revision, isWanted)) || !this.#isOwnRecord(ownership, revision)) {
+    if (revision === 0 || !(await this.#readUpTo(revision, isStillWanted)) || !this.#isOwnRecord(ownership, revision)) {
       ownership.failed(attempt);
       return;
     }
@@ -196,21 +196,21 @@
   }
 
   /** What the old owner wrote before it lost the resource has to be seen first: its membership above all. */
-  async #readUpTo(revision: number, isWanted: () => boolean): Promise<boolean> {
-    const { replica, clusterConfig } = this.shared;
-    while (replica.revision < revision) {
+  async #readUpTo(revision: number, isStillWanted: () => boolean): Promise<boolean> {
+    const { watchCache, clusterConfig } = this.shared;
+    while (watchCache.revision < revision) {
       try {
-        await replica.barrier();
+        await watchCache.linearizableRead();
       } catch {
         await sleep(this.#clock, clusterConfig.heartbeatIntervalMs / 5);
       }
-      if (!isWanted()) return false;
+      if (!isStillWanted()) return false;
     }
     return true;
   }
 
   #isOwnRecord(ownership: Ownership, version: number): boolean {
-    const owner: Versioned<OwnerRecord> | undefined = this.shared.store.owners.get(ownership.resource);
+    const owner: Versioned<OwnerRecord> | undefined = this.shared.clusterState.owners.get(ownership.resource);
     return owner?.version === version;
   }
 
@@ -218,13 +218,13 @@
     const transaction = ownershipTerm.resource === LEADERSHIP ? null : ownershipTerm.confirmAcquisition();
     if (transaction === null) return;
     const { conditions, changes } = transaction;
-    void this.shared.settle(URGENCY.assign, conditions, changes, () => ownershipTerm.isCurrent);
+    void this.shared.commitWithRetry(URGENCY.assign, conditions, changes, () => ownershipTerm.isCurrent);
   }
 
   async #resume(ownership: Ownership, attempt: Resumption): Promise<void> {
     const { conditions, changes } = attempt.transaction;
-    const isWanted = (): boolean => !this.#stopped && ownership.isPending(attempt);
-    const revision = await this.shared.settle(URGENCY.renew, conditions, changes, isWanted);
+    const isStillWanted = (): boolean => !this.#stopped && ownership.isPending(attempt);
+    const revision = await this.shared.commitWithRetry(URGENCY.renew, conditions, changes, isStillWanted);
     const { ownershipTerm } = attempt;
     if (revision === 0) {
       if (ownership.failed(attempt)) this.#ended(ownershipTerm);
@@ -265,13 +265,13 @@
    * meanwhile, but each report takes a way that costs it seconds whenever it is tried directly again.
    */
   releaseUnreachable(owners: Iterable<PartitionOwner>, now: number): void {
-    if (!this.shared.fresh() || this.shared.replica.failures > 0) return;
+    if (!this.shared.fresh() || this.shared.watchCache.failures > 0) return;
     for (const { partitionId, ownershipTerm, claimTable } of owners) {
       if (ownershipTerm.state !== 'held' || !claimTable.isFencingOver || !this.workerReach.isCutOff(partitionId, now))
         continue;
       if (!this.#settings.peers.some(({ node }) => this.peers.isAlive(node))) continue;
       const ownership = this.#ownerships.get(ownershipTerm.resource)!;
-      const attempt = ownership.release(this.shared.store.view(ownershipTerm.resource));
+      const attempt = ownership.release(this.shared.clusterState.view(ownershipTerm.resource));
       if (attempt === null) continue;
       this.shared.log.info({ partitionId }, 'workers can not reach this controller');
       this.#leftToOthersUntil.set(partitionId, now + this.shared.clusterConfig.workerLeaseMs);
@@ -286,7 +286,7 @@
     for (const { partitionId, ownershipTerm, claimTable } of owners) {
       if (ownershipTerm.state !== 'held' || !claimTable.needsNewTerm) continue;
       const ownership = this.#ownerships.get(ownershipTerm.resource)!;
-      const attempt = ownership.release(this.shared.store.view(ownershipTerm.resource));
+      const attempt = ownership.release(this.shared.clusterState.view(ownershipTerm.resource));
       if (attempt === null) continue;
       this.shared.log.info({ partitionId, term: ownershipTerm.term }, 'term used up');
       this.#ended(ownershipTerm);
@@ -301,7 +301,7 @@
    */
   returnToHome(owners: Iterable<PartitionOwner>, now: number): void {
     const { workerLeaseMs } = this.shared.clusterConfig;
-    if (now - this.#releasedAt < workerLeaseMs || !this.shared.fresh() || this.shared.replica.failures > 0) return;
+    if (now - this.#releasedAt < workerLeaseMs || !this.shared.fresh() || this.shared.watchCache.failures > 0) return;
     for (const { partitionId, ownershipTerm, claimTable } of owners) {
       const home = this.#orderFor(partitionId)[0]!;
       if (home === this.#settings.node || ownershipTerm.state !== 'held' || !claimTable.isFencingOver) continue;
@@ -309,7 +309,7 @@
       const patienceMs = ownershipTerm.releasedBy === home ? workerLeaseMs * CUT_OFF_RETURN_LEASES : workerLeaseMs;
       if (now - ownershipTerm.acquiredAt < patienceMs || !this.peers.isWell(home, workerLeaseMs)) continue;
       const ownership = this.#ownerships.get(ownershipTerm.resource)!;
-      const attempt = ownership.release(this.shared.store.view(ownershipTerm.resource));
+      const attempt = ownership.release(this.shared.clusterState.view(ownershipTerm.resource));
       if (attempt === null) continue;
       this.#releasedAt = now;
       this.#ended(ownershipTerm);
@@ -320,7 +320,7 @@
 
   async #release(ownership: Ownership, attempt: Release): Promise<void> {
     const { conditions, changes } = attempt.transaction;
-    const revision = await this.shared.settle(URGENCY.renew, conditions, changes, () => !this.#stopped);
+    const revision = await this.shared.commitWithRetry(URGENCY.renew, conditions, changes, () => !this.#stopped);
     ownership.released(attempt);
     const { resource, term } = attempt.ownershipTerm;
     this.shared.log.info({ slot: resource, term, done: revision > 0 }, 'given back');
--- a/packages/daemon/src/peer-confirmation.ts
+++ b/packages/daemon/src/peer-confirmation.ts
@@ -1,6 +1,6 @@
 // During an outage of the state service: whether the peers confirm that they too lack it and know of nothing newer. Then no
 // cancellation and no takeover exists that this controller has not seen, and it may go on answering its workers.
-import type { Replica, StateService } from '@gingerlock/clients';
+import type { WatchCache, KeyValueStore } from '@gingerlock/clients';
 import type { PeerMessages } from '@gingerlock/peer';
 import type { PeerChannel } from './peer-channel';
 
@@ -16,8 +16,8 @@
   #request: ConfirmationRequest | null = null;
 
   constructor(
-    readonly state: StateService,
-    readonly replica: Replica,
+    readonly keyValueStore: KeyValueStore,
+    readonly watchCache: WatchCache,
     readonly peers: PeerChannel,
     /** Time between two requests. */
     readonly intervalMs: number,
@@ -25,14 +25,14 @@
 
   /** `needed`: there is something that a confirmation could keep going. */
   tick(now: number, needed: boolean): void {
-    const { replica, peers } = this;
-    if (!needed || replica.failures === 0 || replica.contactAt === null) {
+    const { watchCache, peers } = this;
+    if (!needed || watchCache.failures === 0 || watchCache.lastContactAt === null) {
       this.#request = null;
       return;
     }
     if (this.#request !== null && now - this.#request.at < this.intervalMs) return;
     this.#request = { id: peers.nextRequestId(), at: now, confirmedBy: new Set() };
-    peers.broadcast({ kind: 'ConfirmationRequest', id: this.#request.id, revision: replica.revision });
+    peers.broadcast({ kind: 'ConfirmationRequest', id: this.#request.id, revision: watchCache.revision });
   }
 
   onRequest(from: string, { id, revision }: PeerMessages['ConfirmationRequest'], contactAgeMs: number): void {
@@ -52,11 +52,11 @@
    * can't say what its predecessor has told users; nor can one that may have changed something without knowing.
    */
   #canConfirm(revision: number): boolean {
-    const { state, replica } = this;
-    const { contactAt } = replica;
-    if (!replica.loaded || contactAt === null || replica.failures === 0) return false;
-    const doubt = state.doubtfulSince;
-    const clean = state.unanswered === 0 && (doubt === null || contactAt > doubt);
-    return clean && state.seen <= revision;
+    const { keyValueStore, watchCache } = this;
+    const { lastContactAt } = watchCache;
+    if (!watchCache.loaded || lastContactAt === null || watchCache.failures === 0) return false;
+    const doubt = keyValueStore.outcomeUnknownSince;
+    const clean = keyValueStore.pendingTransactions === 0 && (doubt === null || lastContactAt > doubt);
+    return clean && keyValueStore.highestRevision <= revision;
   }
 }
--- a/packages/daemon/src/budget-sharing.ts
+++ b/packages/daemon/src/rate-sharing.ts
@@ -1,20 +1,20 @@
 // Controllers that are short of changes ask the others, and those with changes to spare grant some of theirs.
-import type { Budget, Clock } from '@gingerlock/clients';
+import type { RateLimiter, Clock } from '@gingerlock/clients';
 import type { PeerMessages } from '@gingerlock/peer';
 import type { PeerChannel } from './peer-channel';
 
-interface BudgetRequest {
+interface RateRequest {
   readonly at: number;
   /** Who has answered: a copy of an answer grants nothing. */
   readonly grantedBy: Set<string>;
 }
 
-export class BudgetSharing {
+export class RateSharing {
   /** Requests that may still be answered. */
-  readonly #open = new Map<string, BudgetRequest>();
+  readonly #open = new Map<string, RateRequest>();
 
   constructor(
-    readonly budget: Budget,
+    readonly rateLimiter: RateLimiter,
     readonly peers: PeerChannel,
     readonly clock: Clock,
     /** How long an answer counts. */
@@ -22,7 +22,7 @@
   ) {}
 
   tick(now: number): void {
-    const writes = this.budget.shortOfWrites();
+    const writes = this.rateLimiter.missingWrites();
     if (writes > 0) {
       const id = this.peers.nextRequestId();
       this.#open.set(id, { at: now, grantedBy: new Set() });
@@ -32,7 +32,7 @@
   }
 
   onRequest(from: string, { id, writes }: PeerMessages['BudgetRequest']): void {
-    const granted = this.budget.lend(writes);
+    const granted = this.rateLimiter.lend(writes);
     if (granted > 0) this.peers.send(from, { kind: 'BudgetGrant', id, writes: granted });
   }
 
@@ -40,6 +40,6 @@
     const request = this.#open.get(id);
     if (request === undefined || request.grantedBy.has(from)) return;
     request.grantedBy.add(from);
-    this.budget.borrow(writes);
+    this.rateLimiter.borrow(writes);
   }
 }
--- a/packages/daemon/src/rendezvous.ts
+++ b/packages/daemon/src/rendezvous.ts
@@ -34,7 +34,7 @@
       return refusal(400, error instanceof Malformed ? error.message : 'malformed');
     }
     try {
-      await this.shared.replica.barrier();
+      await this.shared.watchCache.linearizableRead();
     } catch {
       return refusal(503, 'state service is out of reach', RETRY_S);
     }
@@ -42,13 +42,13 @@
   }
 
   #answer({ job: id, rank, attempt }: RendezvousQuestion): Reply {
-    const { store, clusterConfig } = this.shared;
-    const job = store.jobs.live.get(id);
-    const record = job?.isGroup === true ? store.groups.get(id)?.record : undefined;
+    const { clusterState, clusterConfig } = this.shared;
+    const job = clusterState.jobs.live.get(id);
+    const record = job?.isGroup === true ? clusterState.groups.get(id)?.record : undefined;
     const isServing = record?.state === 'serving' && record.members[rank]?.attempt === attempt;
     if (record === undefined || !isServing || job!.cancelled) return this.#refuse(record);
     const members = record.members.map(({ partitionId, machine }) =>
-      hostOf(store.membership(partitionId).get(machine) ?? ''),
+      hostOf(clusterState.membership(partitionId).get(machine) ?? ''),
     );
     if (!isComplete(members)) return refusal(503, 'the address of a member is not known', RETRY_S);
     const { generation } = record;
--- a/packages/daemon/src/shared.ts
+++ b/packages/daemon/src/shared.ts
@@ -1,9 +1,9 @@
 import { ATTEMPTS_PER_TERM, type ClusterConfig, type SpareCapacity } from '@gingerlock/core';
-import { type Clock, type Http, type Replica, sleep, type StateService, type Urgency } from '@gingerlock/clients';
+import { type Clock, type Http, type WatchCache, sleep, type KeyValueStore, type Urgency } from '@gingerlock/clients';
 import type { Change, Condition } from '@gingerlock/wire';
 import type { Log } from './log';
 import type { Settings } from './settings';
-import type { Store } from './store';
+import type { ClusterState } from './cluster-state';
 import { TransactionSizeLimit } from './transaction-size-limit';
 
 /** DESIGN's recovery scan: every 5 seconds. */
@@ -55,9 +55,9 @@
     readonly settings: Settings,
     readonly clock: Clock,
     readonly log: Log,
-    readonly state: StateService,
-    readonly replica: Replica,
-    readonly store: Store,
+    readonly keyValueStore: KeyValueStore,
+    readonly watchCache: WatchCache,
+    readonly clusterState: ClusterState,
     readonly http: Http,
     limits: Partial<ControllerLimits> = {},
   ) {
@@ -82,13 +82,15 @@
 
   /** The replica is complete and was read lately. */
   fresh(): boolean {
-    const { loaded, contactAt } = this.replica;
-    return loaded && contactAt !== null && this.clock.now() - contactAt < this.clusterConfig.heartbeatIntervalMs * 2;
+    const { loaded, lastContactAt } = this.watchCache;
+    return (
+      loaded && lastContactAt !== null && this.clock.now() - lastContactAt < this.clusterConfig.heartbeatIntervalMs * 2
+    );
   }
 
   async #caughtUp(): Promise<boolean> {
     try {
-      await this.replica.barrier();
+      await this.watchCache.linearizableRead();
       return true;
     } catch {
       return false;
@@ -99,20 +101,20 @@
    * Carries out a transaction until its outcome is known, repeating the very same one: its conditions can hold only
    * once. Returns the revision it was done at, or 0 if it was not; the replica is at or past the outcome then.
    */
-  async settle(
+  async commitWithRetry(
     urgency: Urgency,
     conditions: readonly Condition[],
     changes: readonly Change[],
-    wanted: () => boolean,
+    isStillWanted: () => boolean,
   ): Promise<number> {
     for (
       let pause = this.clusterConfig.heartbeatIntervalMs / 20;
       ;
       pause = Math.min(pause * 2, this.clusterConfig.heartbeatIntervalMs)
     ) {
-      const result = await this.state.txn(urgency, conditions, changes);
+      const result = await this.keyValueStore.compareAndSwap(urgency, conditions, changes);
       if (result.kind === 'done') {
-        this.replica.applyOwn(changes, result.revision);
+        this.watchCache.applyOwn(changes, result.revision);
         this.announce(result.revision);
         return result.revision;
       }
@@ -121,7 +123,7 @@
         // that was given back without its part's knowing could be started there and by the next part.
         while (!(await this.#caughtUp())) {
           await sleep(this.clock, pause);
-          if (!wanted()) return 0;
+          if (!isStillWanted()) return 0;
         }
         return 0;
       }
@@ -131,7 +133,7 @@
       }
       this.log.debug({ kind: result.kind, why: result.why }, 'transaction not settled');
       await sleep(this.clock, pause);
-      if (!wanted()) return 0;
+      if (!isStillWanted()) return 0;
     }
   }
 }
--- a/packages/daemon/src/status-publisher.ts
+++ b/packages/daemon/src/status-publisher.ts
@@ -35,7 +35,7 @@
 
   /** Tells the peers how the partitions stand, if that is due; false: it is not. */
   publish(owners: readonly PartitionOwner[], contactAgeMs: number, now: number): boolean {
-    const { clusterConfig, settings, store, replica } = this.shared;
+    const { clusterConfig, settings, clusterState, watchCache } = this.shared;
     const changes = owners.reduce((sum, { claimTable }) => sum + claimTable.changes + 1, 0);
     const since = now - this.#sentAt;
     if (since < clusterConfig.heartbeatIntervalMs / MOST_PER_REPORT) return false;
@@ -43,10 +43,10 @@
     this.#sentAt = now;
     this.#sentChanges = changes;
     // Small and wanted soonest: before the summaries, which may fill the way.
-    this.peers.broadcast({ kind: 'PeerHeartbeat', contactAgeMs, revision: replica.revision });
+    this.peers.broadcast({ kind: 'PeerHeartbeat', contactAgeMs, revision: watchCache.revision });
     // The leader divides by them and needs every one; the others show users what runs, and know images should they take
     // the part over.
-    const lead = store.owners.get(LEADERSHIP)?.record.node;
+    const lead = clusterState.owners.get(LEADERSHIP)?.record.node;
     const forAll = now - this.#sentToAllAt > Math.min(clusterConfig.heartbeatIntervalMs, DISPLAY_LAG_MS / 2);
     if (forAll) this.#sentToAllAt = now;
     const to = this.peers.link.nodes.filter((node) => forAll || node === lead);
@@ -58,7 +58,7 @@
 
   /** Tells the leader how the members of replica groups are, if it takes that. */
   #tellGroups(owners: readonly PartitionOwner[], now: number): void {
-    const lead = this.shared.store.holds.get(LEADERSHIP)?.record;
+    const lead = this.shared.clusterState.holds.get(LEADERSHIP)?.record;
     const { features, node } = this.shared.settings;
     if (features.replicaGroups === null || lead?.takesGroupReports !== true) return;
     const { frameBytes } = this.peers.link;
@@ -71,14 +71,14 @@
 
   /** Tells the leader what the machines of our parts hold, if it takes that. */
   #tellClaims(owners: readonly PartitionOwner[], now: number): void {
-    const lead = this.shared.store.holds.get(LEADERSHIP)?.record;
+    const lead = this.shared.clusterState.holds.get(LEADERSHIP)?.record;
     const { features, node, clusterConfig } = this.shared.settings;
     if (features.borrowing === null || lead?.takesClaimLists !== true) return;
     if (now - this.#claimsSentAt < clusterConfig.heartbeatIntervalMs / CLAIM_LISTS_PER_REPORT) return;
     this.#claimsSentAt = now;
     const { frameBytes } = this.peers.link;
     for (const { claimTable } of owners) {
-      const claims = claimsOf(claimTable, this.shared.replica.revision, now);
+      const claims = claimsOf(claimTable, this.shared.watchCache.revision, now);
       if (lead.node === node) this.claimLists.note(claims, now);
       else this.peers.sendGroup(lead.node, claimListMessages(claims, ++this.#claimListSequence, frameBytes));
     }
--- a/packages/daemon/src/users.ts
+++ b/packages/daemon/src/users.ts
@@ -1,5 +1,5 @@
 // What users ask for: submissions, polls and cancellations.
-import { type TxnResult, URGENCY } from '@gingerlock/clients';
+import { type CompareAndSwapResult, URGENCY } from '@gingerlock/clients';
 import { coverPerPartition, assignedUnfinished, type Job, unschedulableReason } from '@gingerlock/core';
 import { isGroupSpec } from '@gingerlock/replica-groups';
 import {
@@ -35,9 +35,9 @@
   ) {}
 
   #stateOf(id: string): JobState | null {
-    const final = this.shared.store.jobs.finals.get(id);
+    const final = this.shared.clusterState.jobs.finals.get(id);
     if (final !== undefined) return { id, status: final };
-    const job = this.shared.store.jobs.live.get(id);
+    const job = this.shared.clusterState.jobs.live.get(id);
     if (job === undefined) return null;
     if (job.cancelled) return { id, status: 'cancelled' };
     const running = this.running(id);
@@ -51,18 +51,20 @@
 
   /** Whether what the replica says of the job can not change any more. */
   #settled(id: string): boolean {
-    return this.shared.store.jobs.finals.has(id) || this.shared.store.jobs.live.get(id)?.cancelled === true;
+    return (
+      this.shared.clusterState.jobs.finals.has(id) || this.shared.clusterState.jobs.live.get(id)?.cancelled === true
+    );
   }
 
   #known(id: string): boolean {
-    return this.shared.store.jobs.finals.has(id) || this.shared.store.jobs.live.has(id);
+    return this.shared.clusterState.jobs.finals.has(id) || this.shared.clusterState.jobs.live.has(id);
   }
 
   async poll(id: string): Promise<Reply> {
     if (!isJobId(id)) return refusal(404, 'no such job');
     if (!this.#settled(id)) {
       try {
-        await this.shared.replica.barrier();
+        await this.shared.watchCache.linearizableRead();
       } catch {
         return this.#unavailable();
       }
@@ -83,7 +85,7 @@
     }
     const { id } = spec;
     if (this.#known(id)) return this.poll(id);
-    if (this.shared.store.types.size === 0) return refusal(503, 'machine types are not known yet', 1);
+    if (this.shared.clusterState.types.size === 0) return refusal(503, 'machine types are not known yet', 1);
     const never = this.#whyNever(spec);
     if (never !== null) {
       // Another controller may have accepted it under other settings or types.
@@ -92,7 +94,7 @@
     }
     const refused = await this.#checkDependencies(spec);
     if (refused !== null) return refused;
-    const wait = this.shared.state.options.budget.waitMs(URGENCY.accept);
+    const wait = this.shared.keyValueStore.options.rateLimiter.waitMs(URGENCY.accept);
     if (wait > 2000) return refusal(429, 'too many requests', Math.ceil(wait / 1000));
     const key = KEYS.job(id);
     const value = jobRecord.write(this.#newRecord(spec));
@@ -102,10 +104,10 @@
       return known.status === 404 ? refusal(422, 'the description is too long, or too many jobs to wait for') : known;
     }
     const changes = [{ put: key, value }];
-    const result = await this.shared.state.txn(URGENCY.accept, [{ key, version: 0 }], changes, 2000);
+    const result = await this.shared.keyValueStore.compareAndSwap(URGENCY.accept, [{ key, version: 0 }], changes, 2000);
     switch (result.kind) {
       case 'done':
-        this.shared.replica.applyOwn(changes, result.revision);
+        this.shared.watchCache.applyOwn(changes, result.revision);
         this.shared.announce(result.revision);
         this.shared.log.debug(
           { job: id, class: spec.jobClass, team: spec.team, tasks: spec.tasks, awaits: spec.awaits },
@@ -125,16 +127,16 @@
     const most = mostMembers(valueBytes);
     if (isGroupSpec(features.replicaGroups, spec) && spec.tasks > most)
       return `a replica group has ${most} members at the most`;
-    return unschedulableReason(spec, clusterConfig, [...this.shared.store.types.values()]);
+    return unschedulableReason(spec, clusterConfig, [...this.shared.clusterState.types.values()]);
   }
 
   /** The answer to a submission that names jobs which it can't wait for; null: it can. */
   async #checkDependencies(spec: JobSpec): Promise<Reply | null> {
-    const { jobs } = this.shared.store;
+    const { jobs } = this.shared.clusterState;
     if (!spec.awaits.every((id) => jobs.isKnown(id))) {
       // They may have been accepted elsewhere a moment ago.
       try {
-        await this.shared.replica.barrier();
+        await this.shared.watchCache.linearizableRead();
       } catch {
         return this.#unavailable();
       }
@@ -149,7 +151,7 @@
 
   /** Dependencies that are done need not be kept: they remain so. With a cancelled one the job is cancelled at once. */
   #newRecord(spec: JobSpec): JobRecord {
-    const { finals } = this.shared.store.jobs;
+    const { finals } = this.shared.clusterState.jobs;
     if (spec.awaits.some((id) => finals.get(id) === 'cancelled')) return { final: 'cancelled' };
     const awaits = spec.awaits.filter((id) => finals.get(id) !== 'done');
     return {
@@ -162,7 +164,7 @@
     };
   }
 
-  async #undecided(id: string, result: TxnResult): Promise<Reply> {
+  async #undecided(id: string, result: CompareAndSwapResult): Promise<Reply> {
     this.shared.log.info({ job: id, result }, 'outcome not known');
     if (result.kind === 'refused' || result.kind === 'invalid') return this.#unavailable();
     // Read back before answering: it may have been carried out.
@@ -191,22 +193,27 @@
     const until = this.shared.clock.now() + 3000;
     let outgrown = false;
     while (!this.#settled(id)) {
-      let job: Job | undefined = this.shared.store.jobs.live.get(id);
+      let job: Job | undefined = this.shared.clusterState.jobs.live.get(id);
       if (job === undefined) {
         const reply = await this.poll(id);
         if (reply.status !== 200) return reply;
-        job = this.shared.store.jobs.live.get(id);
+        job = this.shared.clusterState.jobs.live.get(id);
         if (job === undefined || job.cancelled) break;
       }
       const key = KEYS.job(id);
       const changes = [{ put: key, value: this.#cancelledRecord(job, outgrown) }];
-      const result = await this.shared.state.txn(URGENCY.cancel, [{ key, version: job.version }], changes, 2000);
+      const result = await this.shared.keyValueStore.compareAndSwap(
+        URGENCY.cancel,
+        [{ key, version: job.version }],
+        changes,
+        2000,
+      );
       if (result.kind === 'invalid' && !outgrown) {
         outgrown = true;
         continue;
       }
       if (result.kind === 'done') {
-        this.shared.replica.applyOwn(changes, result.revision);
+        this.shared.watchCache.applyOwn(changes, result.revision);
         this.shared.announce(result.revision);
         this.shared.log.debug({ job: id, assigned: assignedUnfinished(job) }, 'cancelled');
         break;
@@ -214,12 +221,12 @@
       if (result.kind === 'refused' || result.kind === 'invalid' || this.shared.clock.now() > until)
         return this.#unavailable();
       try {
-        await this.shared.replica.barrier();
+        await this.shared.watchCache.linearizableRead();
       } catch {
         return this.#unavailable();
       }
     }
-    if (this.shared.store.jobs.live.get(id)?.cancelled === true) this.shared.announceCancelled(id);
+    if (this.shared.clusterState.jobs.live.get(id)?.cancelled === true) this.shared.announceCancelled(id);
     return this.#reply(id, 200);
   }
 }
--- a/packages/daemon/test/store.test.ts
+++ b/packages/daemon/test/cluster-state.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { finishedRecord, jobRecord, KEYS, metaRecord } from '@gingerlock/wire';
-import { Store } from '../src/store';
+import { ClusterState } from '../src/cluster-state';
 import { specOf } from '../../core/test/fixtures';
 
 // A list gives the keys in their order, the finished pages first: placed by a page size that was not known yet, the tasks of a
 // second page once counted as the first tasks of the job after a restart.
 test('finished pages that are read before the page size is known finish the right tasks', () => {
-  const store = new Store();
+  const clusterState = new ClusterState();
   const spec = specOf('j-1', { tasks: 200 });
   const record = {
     final: null,
@@ -18,10 +18,10 @@
     assignedRanges: [],
   } as const;
   const meta = metaRecord.write({ format: 1, partitionCount: 1, zones: [], pageTasks: 64 });
-  store.apply(KEYS.finished(spec.id, 0, 2), finishedRecord.write(new Uint8Array([0b11])), 5);
-  store.apply(KEYS.job(spec.id), jobRecord.write(record), 2);
-  store.apply(KEYS.meta, meta, 1);
-  const job = store.jobs.live.get(spec.id)!;
+  clusterState.apply(KEYS.finished(spec.id, 0, 2), finishedRecord.write(new Uint8Array([0b11])), 5);
+  clusterState.apply(KEYS.job(spec.id), jobRecord.write(record), 2);
+  clusterState.apply(KEYS.meta, meta, 1);
+  const job = clusterState.jobs.live.get(spec.id)!;
   assert.deepEqual(
     [0, 1, 8, 9, 128, 129, 130].map((task) => job.isFinished(task)),
     [false, false, false, false, true, true, false],
--- a/packages/daemon/test/settle.test.ts
+++ b/packages/daemon/test/commit-with-retry.test.ts
@@ -54,7 +54,7 @@
   const before = txns;
   let settled: number | null = null;
   void controller.shared
-    .settle(0, [{ key, version: 0 }], [{ put: key, value: membershipRecord.write('a:1') }], () => true)
+    .commitWithRetry(0, [{ key, version: 0 }], [{ put: key, value: membershipRecord.write('a:1') }], () => true)
     .then((revision) => {
       settled = revision;
     });
@@ -64,6 +64,6 @@
   unreadable = false;
   await sim.run(8000);
   assert.equal(settled, 0);
-  assert.ok(controller.replica.version(key) > 0, 'what was carried out is seen');
+  assert.ok(controller.watchCache.version(key) > 0, 'what was carried out is seen');
   controller.stop();
 });
--- a/packages/daemon/test/questions.test.ts
+++ b/packages/daemon/test/questions.test.ts
@@ -42,12 +42,12 @@
   const ids: string[] = [];
   for (let process = 0; process < 2; process++) {
     const { controller, link, told } = startProcess(sim);
-    const { budget } = controller.state.options;
-    budget.acquire(URGENCY.rest, 400, 60_000).catch(() => undefined);
+    const { rateLimiter } = controller.keyValueStore.options;
+    rateLimiter.acquire(URGENCY.rest, 400, 60_000).catch(() => undefined);
     await sim.run(sim.now + 200);
     const need = told.find((m) => m.kind === 'BudgetRequest');
     assert.ok(need?.kind === 'BudgetRequest');
-    const short = (): number => budget.shortOfWrites();
+    const short = (): number => rateLimiter.missingWrites();
     const before = short();
     for (const id of ids) link.onMessage('n1', { kind: 'BudgetGrant', id, writes: 50 });
     assert.equal(short(), before, 'an answer to the process before');
--- a/packages/testkit/src/group-audit.ts
+++ b/packages/testkit/src/group-audit.ts
@@ -143,9 +143,10 @@
 
   /** No room is kept without a record that says so. An owner that can't read the state service can't know. */
   #checkKept({ groups, shared, partitionId, claimTable }: PartitionOwner): void {
-    const { clock, replica } = shared;
+    const { clock, watchCache } = shared;
     const { now } = this.world.sim;
-    const isFresh = replica.contactAt !== null && clock.now() - replica.contactAt < this.world.heartbeatIntervalMs;
+    const isFresh =
+      watchCache.lastContactAt !== null && clock.now() - watchCache.lastContactAt < this.world.heartbeatIntervalMs;
     if (groups === null || !isFresh) return;
     for (const [taskName, machine] of groups.members.keptTasks) {
       const { job, index } = parseTaskName(taskName)!;
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -314,7 +314,7 @@
   async #checkin(controller: Controller, node: string, body: Buffer): Promise<Reply> {
     const reply = await controller.checkin(body);
     const { machine, zone } = decodeHeartbeat(body);
-    const partitionId = controller.store.partitioner?.partitionOf(machine, zone);
+    const partitionId = controller.clusterState.partitioner?.partitionOf(machine, zone);
     const owner = controller.owned().find((o) => o.partitionId === partitionId);
     if (reply.status === 200 && owner !== undefined) this.ownership.answered(node, owner);
     return reply;
--- a/packages/testkit/test/large-fleet.test.ts
+++ b/packages/testkit/test/large-fleet.test.ts
@@ -50,7 +50,7 @@
   assert.deepEqual(world.breaches, []);
   assert.deepEqual(world.users.open(), []);
   const terms = world.nodes
-    .flatMap((node) => [...node.controller!.store.owners])
+    .flatMap((node) => [...node.controller!.clusterState.owners])
     .filter(([resource]) => resource !== LEADERSHIP)
     .map(([, { record }]) => record.term);
   // Five partitions, the lead and what the crash cost: the terms beyond are those that were used up.
--- a/packages/testkit/test/membership.test.ts
+++ b/packages/testkit/test/membership.test.ts
@@ -19,11 +19,11 @@
       .map((o) => o.claimTable.machines.get(name))
       .find((m) => m !== undefined);
   assert.equal(machine()?.isMember, true);
-  const { settle } = Shared.prototype;
+  const { commitWithRetry } = Shared.prototype;
   let back = false;
-  Shared.prototype.settle = async function (this: Shared, urgency, conditions, changes, wanted) {
+  Shared.prototype.commitWithRetry = async function (this: Shared, urgency, conditions, changes, isStillWanted) {
     const removal = changes.some((c) => 'remove' in c && [0, 1, 2].some((p) => c.remove === KEYS.membership(p, name)));
-    if (!removal) return settle.call(this, urgency, conditions, changes, wanted);
+    if (!removal) return commitWithRetry.call(this, urgency, conditions, changes, isStillWanted);
     world.network.mute.delete(name);
     while (machine()?.answeredAt === null) await new Promise<void>((resolve) => world.sim.after(50, resolve));
     back = true;
@@ -34,7 +34,7 @@
     while (!back) await world.sim.run(world.sim.now + 100);
     await world.sim.run(world.sim.now + 100);
   } finally {
-    Shared.prototype.settle = settle;
+    Shared.prototype.commitWithRetry = commitWithRetry;
   }
   assert.equal(machine()?.isMember, true);
 });
--- a/packages/testkit/test/mutants.test.ts
+++ b/packages/testkit/test/mutants.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Accounts } from '@gingerlock/borrowing';
-import { Replica } from '@gingerlock/clients';
+import { WatchCache } from '@gingerlock/clients';
 import {
   ClaimTable,
   DependencyGraph,
@@ -114,7 +114,7 @@
         'plan',
         (original) =>
           function (this: LeaderBorrowing, view) {
-            const { reclaims } = this.shared.store;
+            const { reclaims } = this.shared.clusterState;
             const stored = [...reclaims];
             reclaims.clear();
             try {
@@ -257,7 +257,7 @@
   went_back: {
     broken: 'one controller reads every final state as cancelled',
     apply: (world) => {
-      const { finals } = world().nodes[1]!.controller!.store.jobs;
+      const { finals } = world().nodes[1]!.controller!.clusterState.jobs;
       const get = finals.get.bind(finals);
       finals.get = (id) => (get(id) === undefined ? undefined : 'cancelled');
       return () => undefined;
@@ -519,10 +519,10 @@
 
 test('close looks see an older answer when a controller answers without having read', async () => {
   const restore = patch(
-    Replica.prototype,
-    'barrier',
+    WatchCache.prototype,
+    'linearizableRead',
     () =>
-      function (this: Replica) {
+      function (this: WatchCache) {
         return new Promise<void>((resolve) => this.options.clock.after(1, resolve));
       },
   );
