--- a/packages/borrowing/src/planner.ts
+++ b/packages/borrowing/src/planner.ts
@@ -280,7 +280,7 @@
     machineStatus: MachineStatus | undefined,
     { partitionId, term }: PartitionStatus,
   ): void {
-    if (machineStatus === undefined || !isWell(machineStatus, this.input.clusterConfig)) return;
+    if (machineStatus === undefined || !isHealthy(machineStatus, this.input.clusterConfig)) return;
     const candidates = held.flatMap((task): Candidate[] => {
       const name = parseTaskName(task.task);
       const job = this.input.jobs.get(name?.job ?? '');
@@ -300,7 +300,7 @@
 }
 
 /** A machine that goes on for all that is known: what others hold may not run. */
-function isWell(machineStatus: MachineStatus, clusterConfig: ClusterConfig): boolean {
+function isHealthy(machineStatus: MachineStatus, clusterConfig: ClusterConfig): boolean {
   const isHeard = machineStatus.silentMs <= clusterConfig.heartbeatIntervalMs * SUSPECT_INTERVALS;
   return isHeard && !machineStatus.draining && !machineStatus.evictionNotice && !machineStatus.isQuarantined;
 }
--- a/packages/clients/src/http.ts
+++ b/packages/clients/src/http.ts
@@ -8,13 +8,13 @@
 const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 
 /** A connection that is kept is given up for that to another host once it has not been used for so long. */
-const KEPT_IDLE_MS = 30_000;
+const KEEP_ALIVE_IDLE_MS = 30_000;
 
 /** To how many hosts connections are kept where nothing else is said. */
-const KEPT_HOSTS = 72;
+const KEEP_ALIVE_HOSTS = 72;
 
 /** Chooses the hosts to which connections are kept: with thousands of machines they would take every socket that there is. */
-export class KeptHosts {
+export class KeepAliveHosts {
   /** By host: when it was last asked for, the longest ago first. */
   readonly #usedAt = new Map<string, number>();
 
@@ -28,7 +28,7 @@
     const now = this.now();
     if (!this.#usedAt.delete(host) && this.#usedAt.size >= this.most) {
       const [oldest, usedAt] = this.#usedAt.entries().next().value ?? [null, now];
-      if (oldest === null || now - usedAt < KEPT_IDLE_MS) return false;
+      if (oldest === null || now - usedAt < KEEP_ALIVE_IDLE_MS) return false;
       this.#usedAt.delete(oldest);
     }
     this.#usedAt.set(host, now);
@@ -40,10 +40,10 @@
  * HTTP over Node's own client: it is loaded anyway for the server side, while a second one would cost start-up time and
  * memory that a controller does not have.
  */
-export function nodeHttp(keptHosts: number = KEPT_HOSTS): Http {
+export function nodeHttp(keepAliveHosts: number = KEEP_ALIVE_HOSTS): Http {
   const keeping = new Agent({ keepAlive: true, maxSockets: 8, maxFreeSockets: 4, scheduling: 'lifo' });
   const closing = new Agent({ keepAlive: false, maxSockets: 8 });
-  const kept = new KeptHosts(keptHosts);
+  const kept = new KeepAliveHosts(keepAliveHosts);
   return (addr, method, path, body, timeoutMs) =>
     new Promise<HttpAnswer>((resolve, reject) => {
       const colon = addr.lastIndexOf(':');
--- a/packages/clients/test/http.test.ts
+++ b/packages/clients/test/http.test.ts
@@ -3,7 +3,7 @@
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { test } from 'node:test';
-import { KeptHosts, nodeHttp } from '../src/index';
+import { KeepAliveHosts, nodeHttp } from '../src/index';
 
 test('connections are kept to so many hosts only, however many are asked', async () => {
   const server = createServer((_request, response) => response.end('x')).listen(0, '127.0.0.1');
@@ -39,7 +39,7 @@
 
 test('a host that has not been asked for long gives its place to another', () => {
   let now = 0;
-  const hosts = new KeptHosts(2, () => now);
+  const hosts = new KeepAliveHosts(2, () => now);
   assert.deepEqual(
     ['a', 'b', 'c', 'a'].map((host) => hosts.use(host)),
     [true, true, false, true],
--- a/packages/core/src/jobs.ts
+++ b/packages/core/src/jobs.ts
@@ -13,7 +13,7 @@
 import { unassignedRanges } from './assigned-ranges';
 
 /** A set of tasks as the state service keeps it: a bit for each, the lowest bit of a byte first. */
-export class Bits {
+export class BitSet {
   constructor(public bytes: Uint8Array = new Uint8Array(0)) {}
 
   has(bit: number): boolean {
@@ -21,11 +21,11 @@
   }
 
   /** A copy with one more bit. */
-  with(bit: number): Bits {
+  with(bit: number): BitSet {
     const bytes = new Uint8Array(Math.max(this.bytes.length, (bit >> 3) + 1));
     bytes.set(this.bytes);
     bytes[bit >> 3]! |= 1 << (bit & 7);
-    return new Bits(bytes);
+    return new BitSet(bytes);
   }
 }
 
@@ -34,7 +34,7 @@
   readonly key: string;
   /** The task of the first bit. */
   readonly first: number;
-  readonly bits: Bits;
+  readonly bits: BitSet;
   readonly version: number;
 }
 
@@ -190,7 +190,7 @@
           ? KEYS.finished(key.id, key.partitionId, key.page)
           : KEYS.finishedFrom(key.id, key.partitionId, key.first),
       first: key.kind === 'finished' ? key.page * this.pageTasks() : key.first,
-      bits: new Bits(finishedRecord.read(value)),
+      bits: new BitSet(finishedRecord.read(value)),
       version,
     };
     const job = this.live.get(key.id);
@@ -223,14 +223,14 @@
   partitionId: number,
   taskIndex: number,
   limits: { readonly pageTasks: number; readonly valueBytes: number },
-): { readonly key: string; readonly first: number; readonly bits: Bits } {
+): { readonly key: string; readonly first: number; readonly bits: BitSet } {
   const capacity = pageCapacity(limits.valueBytes);
   const page = Math.floor(taskIndex / limits.pageTasks);
   const key = KEYS.finished(job.id, partitionId, page);
-  const stored = job.pages.get(key)?.bits ?? new Bits();
+  const stored = job.pages.get(key)?.bits ?? new BitSet();
   const first = page * limits.pageTasks;
   if (taskIndex - first < capacity && stored.bytes.length * 8 <= capacity) return { key, first, bits: stored };
   const start = taskIndex - (taskIndex % capacity);
   const overflowKey = KEYS.finishedFrom(job.id, partitionId, start);
-  return { key: overflowKey, first: start, bits: job.pages.get(overflowKey)?.bits ?? new Bits() };
+  return { key: overflowKey, first: start, bits: job.pages.get(overflowKey)?.bits ?? new BitSet() };
 }
--- a/packages/core/test/finished-pages.test.ts
+++ b/packages/core/test/finished-pages.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { finishedRecord, jobRecord, KEYS, parseKey } from '@gingerlock/wire';
 import fc from 'fast-check';
-import { Bits, finishedPageFor, type Job, JobTable } from '../src/index';
+import { BitSet, finishedPageFor, type Job, JobTable } from '../src/index';
 import { specOf } from './fixtures';
 
 /** Pages as fixed by a first controller under a limit of 16 KiB, and the limit that holds now. */
@@ -21,7 +21,7 @@
   return { table, job: table.live.get(spec.id)! };
 }
 
-function store(table: JobTable, key: string, bits: Bits, version: number): number {
+function store(table: JobTable, key: string, bits: BitSet, version: number): number {
   const parsed = parseKey(key);
   assert.ok(parsed.kind === 'finished' || parsed.kind === 'finishedFrom');
   const value = finishedRecord.write(bits.bytes);
@@ -36,11 +36,11 @@
     fc.property(fc.array(task, { maxLength: 30 }), fc.array(task, { maxLength: 60 }), (before, after) => {
       const { table, job } = tableWith(100_000);
       let version = 1;
-      const large = new Map<string, Bits>();
+      const large = new Map<string, BitSet>();
       for (const t of before) {
         const page = Math.floor(t / PAGE_TASKS);
         const key = KEYS.finished(job.id, PARTITION_ID, page);
-        large.set(key, (large.get(key) ?? new Bits()).with(t - page * PAGE_TASKS));
+        large.set(key, (large.get(key) ?? new BitSet()).with(t - page * PAGE_TASKS));
       }
       for (const [key, bits] of large) store(table, key, bits, ++version);
       for (const t of after) {
--- a/packages/daemon/src/autoscaling-loop.ts
+++ b/packages/daemon/src/autoscaling-loop.ts
@@ -10,7 +10,7 @@
   RETURN_MOST,
 } from '@gingerlock/wire';
 import { MachineTypeCatalog } from './machine-type-catalog';
-import type { Shared } from './shared';
+import type { ControllerContext } from './controller-context';
 
 /** What the leader knows of the work and of the machines, as of now. */
 export interface SchedulerView {
@@ -41,18 +41,18 @@
   #stopped = false;
   #listed = false;
   #typesAt = -Infinity;
-  #toldAt = -Infinity;
+  #loggedAt = -Infinity;
 
   constructor(
-    readonly shared: Shared,
+    readonly context: ControllerContext,
     readonly ownershipTerm: OwnershipTerm,
     http: Http,
     readonly view: SchedulerView,
   ) {
-    this.#autoscaler = new Autoscaler(shared.clusterConfig, ownershipTerm.term, shared.settings.operators);
-    this.#cloud = new Cloud(http, shared.settings.cloud, shared.clusterConfig.heartbeatIntervalMs * 2);
-    this.#machineTypes = new MachineTypeCatalog(shared.clusterConfig.zones, shared.log);
-    this.#since = shared.clock.now();
+    this.#autoscaler = new Autoscaler(context.clusterConfig, ownershipTerm.term, context.settings.operators);
+    this.#cloud = new Cloud(http, context.settings.cloud, context.clusterConfig.heartbeatIntervalMs * 2);
+    this.#machineTypes = new MachineTypeCatalog(context.clusterConfig.zones, context.log);
+    this.#since = context.clock.now();
     void this.#loop();
   }
 
@@ -71,12 +71,12 @@
 
   /** How long until a machine that is rented now could run a task of the job, in milliseconds; Infinity: none can be had. */
   scaleOutMs(job: JobSpec): number {
-    return this.#autoscaler.scaleOutMs(job, this.shared.clusterState.types);
+    return this.#autoscaler.scaleOutMs(job, this.context.clusterState.types);
   }
 
   /** Whether the cloud had no room lately for the job in the zone. */
   lacksCapacityFor(job: JobSpec, zone: string): boolean {
-    return this.#autoscaler.lacksCapacityFor(job, zone, this.#machineTypes.current, this.shared.clock.now());
+    return this.#autoscaler.lacksCapacityFor(job, zone, this.#machineTypes.current, this.context.clock.now());
   }
 
   #isLeading(): boolean {
@@ -85,18 +85,18 @@
 
   /** Whether the cloud may be asked for changes now: looked at again before each request. */
   #mayManage(): boolean {
-    return this.#isLeading() && this.shared.leaseValid() && this.shared.fresh();
+    return this.#isLeading() && this.context.leaseValid() && this.context.fresh();
   }
 
   async #loop(): Promise<void> {
-    const { shared } = this;
-    const { clusterConfig, clock, settings } = shared;
+    const { context } = this;
+    const { clusterConfig, clock, settings } = context;
     const pace = Math.max(clusterConfig.heartbeatIntervalMs / 3, 3000 / settings.cloudRps);
     let listAt = -Infinity;
     while (!this.#stopped) {
       try {
         const now = clock.now();
-        if (now - this.#typesAt > clusterConfig.cloudListLagMs * 10 || shared.clusterState.types.size === 0)
+        if (now - this.#typesAt > clusterConfig.cloudListLagMs * 10 || context.clusterState.types.size === 0)
           await this.#types();
         if (now - listAt > Math.max(clusterConfig.cloudListLagMs / 2, pace)) {
           listAt = now;
@@ -109,7 +109,7 @@
         }
         if (this.#mayManage()) await this.#manage();
       } catch (error) {
-        shared.log.info({ error: String(error) }, 'cloud trouble');
+        context.log.info({ error: String(error) }, 'cloud trouble');
       }
       for (const [name, at] of this.#gone)
         if (clock.now() - at > clusterConfig.workerLeaseMs * 2) this.#gone.delete(name);
@@ -122,10 +122,10 @@
   }
 
   async #types(): Promise<void> {
-    const { shared } = this;
-    const { clusterState } = shared;
+    const { context } = this;
+    const { clusterState } = context;
     const list = await this.#cloud.types();
-    this.#typesAt = shared.clock.now();
+    this.#typesAt = context.clock.now();
     // Before the machines have been listed it is not known which types are used.
     const types = this.#machineTypes.read(
       list,
@@ -137,21 +137,21 @@
     // Prices of spot machines move all the time; what matters to all is what the machines are.
     const still = (v: unknown): string => JSON.stringify(v).replace(/"low_price":[0-9.]+/g, '');
     if (still(value) === still(before)) return;
-    await shared.commitWithRetry(URGENCY.accept, [this.ownershipTerm.condition], [{ put: KEYS.types, value }], () =>
+    await context.commitWithRetry(URGENCY.accept, [this.ownershipTerm.condition], [{ put: KEYS.types, value }], () =>
       this.#isLeading(),
     );
   }
 
   async #manage(): Promise<void> {
-    const { shared } = this;
-    const { clusterConfig, clock, clusterState, log } = shared;
+    const { context } = this;
+    const { clusterConfig, clock, clusterState, log } = context;
     const now = clock.now();
     const current = this.view.statuses(now);
-    const allHeard = current.length === (clusterState.meta?.partitionCount ?? Infinity);
+    const isEveryPartitionKnown = current.length === (clusterState.meta?.partitionCount ?? Infinity);
     // Until all that is up has been heard, or has had the time to be, what is free is not known.
-    const isFleetHeard =
+    const isFleetKnown =
       now - this.#since >= clusterConfig.heartbeatIntervalMs * 2 || this.#autoscaler.hasHeardAll(current);
-    if (!this.#listed || !allHeard || !isFleetHeard || this.#machineTypes.current.size === 0) return;
+    if (!this.#listed || !isEveryPartitionKnown || !isFleetKnown || this.#machineTypes.current.size === 0) return;
     const plan = this.#autoscaler.plan({
       now,
       types: this.#machineTypes.current,
@@ -161,8 +161,8 @@
       pinned: this.view.pinned(),
     });
     this.#drain = plan.drain;
-    if (now - this.#toldAt > clusterConfig.cloudListLagMs) {
-      this.#toldAt = now;
+    if (now - this.#loggedAt > clusterConfig.cloudListLagMs) {
+      this.#loggedAt = now;
       log.debug(this.#autoscaler.figures(current, clusterState.types), 'fleet');
     }
     if (plan.scaleIn.length > 0) await this.#scaleIn(plan.scaleIn.slice(0, RETURN_MOST));
@@ -171,7 +171,7 @@
   }
 
   async #scaleIn(names: readonly string[]): Promise<void> {
-    const { clock, log } = this.shared;
+    const { clock, log } = this.context;
     if (!(await this.#cloud.scaleIn(names))) return;
     this.#autoscaler.recordScaleIn(names, clock.now());
     for (const name of names) this.#gone.set(name, clock.now());
@@ -179,7 +179,7 @@
   }
 
   async #scaleOut(r: RentRequest): Promise<void> {
-    const { clock, log, clusterConfig } = this.shared;
+    const { clock, log, clusterConfig } = this.context;
     // An unknown outcome is asked again under the same name: that rents nothing twice.
     for (let tries = 0; tries < RENT_TRIES && this.#mayManage(); tries++) {
       const result = await this.#cloud.rent(r);
--- a/packages/daemon/src/shared.ts
+++ b/packages/daemon/src/controller-context.ts
@@ -34,7 +34,7 @@
 }
 
 /** What the parts of one controller have in common. */
-export class Shared {
+export class ControllerContext {
   readonly clusterConfig: ClusterConfig;
   readonly limits: ControllerLimits;
   readonly scanMs = SCAN_MS;
--- a/packages/daemon/src/controller.ts
+++ b/packages/daemon/src/controller.ts
@@ -31,17 +31,17 @@
 import { OwnershipManager } from './ownership-manager';
 import { PeerChannel } from './peer-channel';
 import { PeerConfirmation } from './peer-confirmation';
-import { PeerHealth } from './peer-health';
+import { PeerFailureDetector } from './peer-failure-detector';
 import { Rendezvous } from './rendezvous';
 import { refusal, type Reply } from './reply';
 import { HeartbeatRelay } from './heartbeat-relay';
 import type { Settings } from './settings';
-import { type ControllerLimits, Shared } from './shared';
+import { type ControllerLimits, ControllerContext } from './controller-context';
 import { ClusterState } from './cluster-state';
 import { PartitionStatuses } from './partition-statuses';
 import { StatusPublisher } from './status-publisher';
-import { Users } from './users';
-import { WorkerReach } from './worker-reach';
+import { JobApi } from './job-api';
+import { WorkerConnectivity } from './worker-connectivity';
 
 export interface ControllerPorts {
   readonly settings: Settings;
@@ -60,11 +60,11 @@
   readonly keyValueStore: KeyValueStore;
   readonly watchCache: WatchCache;
   readonly clusterState: ClusterState;
-  readonly shared: Shared;
+  readonly context: ControllerContext;
   readonly process: string;
   readonly #http: Http;
   readonly #rateLimiter: RateLimiter;
-  readonly #users: Users;
+  readonly #jobApi: JobApi;
   readonly #rendezvous: Rendezvous | null;
   readonly #owners = new Map<number, PartitionOwner>();
   readonly #ownership: OwnershipManager;
@@ -74,11 +74,11 @@
   readonly #groupReports = new GroupReports();
   readonly #publisher: StatusPublisher;
   readonly #relay: HeartbeatRelay;
-  readonly #workerReach: WorkerReach;
+  readonly #workerConnectivity: WorkerConnectivity;
   readonly #confirmation: PeerConfirmation;
   readonly #rateSharing: RateSharing;
   readonly #previousOwners: PreviousOwnerQueries;
-  readonly #peerHealth: PeerHealth;
+  readonly #peerFailureDetector: PeerFailureDetector;
   #leader: Leader | null = null;
   #lease: number | null = null;
   #stopped = false;
@@ -95,7 +95,7 @@
     this.#tickedAt = ports.clock.now();
     this.process = Math.floor(ports.clock.random() * 2 ** 48).toString(36);
     this.#peers = new PeerChannel(ports.link, this.process);
-    this.#peerHealth = new PeerHealth(ports.link, ports.clock, clusterConfig.heartbeatIntervalMs);
+    this.#peerFailureDetector = new PeerFailureDetector(ports.link, ports.clock, clusterConfig.heartbeatIntervalMs);
     const share = 0.95 / clusterConfig.controllerCount;
     this.#rateLimiter = new RateLimiter(
       ports.clock,
@@ -125,7 +125,7 @@
       onSync: () => this.#ownership.synced(this.#lease),
       onError: (error) => this.log.info({ error: String(error) }, 'state service can not be read'),
     });
-    this.shared = new Shared(
+    this.context = new ControllerContext(
       this.settings,
       ports.clock,
       ports.log,
@@ -135,27 +135,27 @@
       ports.http,
       ports.limits,
     );
-    this.#workerReach = new WorkerReach(clusterConfig, ports.clock.now());
+    this.#workerConnectivity = new WorkerConnectivity(clusterConfig, ports.clock.now());
     this.#ownership = new OwnershipManager(
-      this.shared,
+      this.context,
       this.process,
       {
         isAlive: (node) => this.link.alive(node),
-        hasMet: (node) => this.#peerHealth.hasMet(node),
-        isWell: (node, forMs) => this.#peerHealth.isWell(node, forMs),
+        wasSeen: (node) => this.#peerFailureDetector.wasSeen(node),
+        isHealthy: (node, forMs) => this.#peerFailureDetector.isHealthy(node, forMs),
       },
-      this.#workerReach,
+      this.#workerConnectivity,
       { opened: (ownershipTerm) => this.#opened(ownershipTerm), ended: (ownershipTerm) => this.#ended(ownershipTerm) },
     );
     this.#publisher = new StatusPublisher(
-      this.shared,
+      this.context,
       this.#peers,
       this.#statuses,
       this.#claimLists,
       this.#groupReports,
     );
-    this.#users = new Users(this.shared, (id) => this.#statuses.runningTasks(id));
-    this.#rendezvous = features.replicaGroups === null ? null : new Rendezvous(this.shared, features.replicaGroups);
+    this.#jobApi = new JobApi(this.context, (id) => this.#statuses.runningTasks(id));
+    this.#rendezvous = features.replicaGroups === null ? null : new Rendezvous(this.context, features.replicaGroups);
     this.#rateSharing = new RateSharing(this.#rateLimiter, this.#peers, ports.clock, clusterConfig.heartbeatIntervalMs);
     this.#confirmation = new PeerConfirmation(
       this.keyValueStore,
@@ -169,15 +169,15 @@
       ownerOf: (partitionId) => this.#ownerOf(partitionId),
       owns: (partitionId) => this.#owners.has(partitionId),
       answer: (partitionId, heartbeat) => this.#answer(partitionId, heartbeat),
-      onRelayed: (partitionId) => this.#workerReach.relayed(partitionId, this.clock.now()),
+      onRelayed: (partitionId) => this.#workerConnectivity.recordRelayed(partitionId, this.clock.now()),
       missedByOwner: (partitionId, machine) => this.#missedByOwner(partitionId, machine),
     });
-    this.shared.announce = (revision) => {
+    this.context.announce = (revision) => {
       this.#peers.broadcast({ kind: 'RevisionHint', revision });
       this.watchCache.hint(revision);
     };
-    this.shared.announceCancelled = (job) => this.#peers.broadcast({ kind: 'JobCancelled', job });
-    this.shared.spareCapacity = (exceptPartitionId) =>
+    this.context.announceCancelled = (job) => this.#peers.broadcast({ kind: 'JobCancelled', job });
+    this.context.spareCapacity = (exceptPartitionId) =>
       this.#statuses.spareCapacity(exceptPartitionId, this.clock.now() - clusterConfig.heartbeatIntervalMs * 2);
     this.clusterState.onJob = (id) => {
       for (const owner of this.#owners.values()) owner.jobChanged(id);
@@ -218,7 +218,7 @@
 
   #tickLater(): void {
     if (this.#stopped) return;
-    this.clock.after(this.shared.tickMs, () => {
+    this.clock.after(this.context.tickMs, () => {
       try {
         this.#tick();
       } catch (error) {
@@ -236,19 +236,19 @@
     this.log.info({ stalledMs: Math.round(stalledMs) }, 'stood still');
     for (const { claimTable } of this.#owners.values()) claimTable.resumedAfterStall(now);
     this.#leader?.resumedAfterStall(now);
-    this.#peerHealth.resumedAfterStall();
+    this.#peerFailureDetector.resumedAfterStall();
   }
 
   #tick(): void {
     const now = this.clock.now();
     this.#noticeStall(now);
-    this.#peerHealth.tick();
+    this.#peerFailureDetector.tick();
     for (const owner of this.#owners.values()) owner.tick(now);
     this.#previousOwners.tick(now);
     this.#ownership.releaseUnreachable([...this.#owners.values()], now);
     this.#ownership.releaseExhausted(this.#owners.values());
     this.#ownership.returnToHome(this.#owners.values(), now);
-    this.#tellPeers(now);
+    this.#publishStatus(now);
     this.#leader?.tick();
     this.#confirmation.tick(now, this.#owners.size > 0);
     this.#rateSharing.tick(now);
@@ -263,15 +263,15 @@
       try {
         if (this.#lease === null) {
           this.#lease = await this.keyValueStore.grantLease(ttl);
-          this.shared.leaseSince = this.clock.now();
+          this.context.leaseSince = this.clock.now();
         } else if (!(await this.keyValueStore.renewLease(this.#lease))) {
           this.log.info({ lease: this.#lease }, 'state lease ended');
           this.#lease = null;
-          this.shared.leaseUntil = -Infinity;
+          this.context.leaseUntil = -Infinity;
           continue;
         }
         // Counted from the sending: the service may have started counting then.
-        this.shared.leaseUntil = sent + ttl * (1 - MAX_CLOCK_DRIFT) - timerMarginMs(clusterConfig) / 2;
+        this.context.leaseUntil = sent + ttl * (1 - MAX_CLOCK_DRIFT) - timerMarginMs(clusterConfig) / 2;
       } catch (error) {
         this.log.info({ error: String(error) }, 'state lease not renewed');
       }
@@ -290,19 +290,19 @@
     const before = this.#statuses.of(partitionId)?.status.machines ?? [];
     this.#owners.set(
       partitionId,
-      new PartitionOwner(this.shared, partitionId, ownershipTerm, new Map(before.map((m) => [m.name, m] as const))),
+      new PartitionOwner(this.context, partitionId, ownershipTerm, new Map(before.map((m) => [m.name, m] as const))),
     );
   }
 
   #newLeader(ownershipTerm: OwnershipTerm): Leader {
     const { borrowing, replicaGroups } = this.settings.features;
     return new Leader(
-      this.shared,
+      this.context,
       ownershipTerm,
       () => this.#statuses.all(),
       this.#http,
-      borrowing === null ? null : new LeaderBorrowing(this.shared, ownershipTerm, borrowing, this.#claimLists),
-      replicaGroups === null ? null : new LeaderGroups(this.shared, replicaGroups, this.#groupReports),
+      borrowing === null ? null : new LeaderBorrowing(this.context, ownershipTerm, borrowing, this.#claimLists),
+      replicaGroups === null ? null : new LeaderGroups(this.context, replicaGroups, this.#groupReports),
     );
   }
 
@@ -329,7 +329,7 @@
     } catch (error) {
       return refusal(400, error instanceof Malformed ? error.message : 'malformed');
     }
-    this.#workerReach.direct(this.clock.now());
+    this.#workerConnectivity.recordDirect(this.clock.now());
     const { partitioner } = this.clusterState;
     if (partitioner === null) return refusal(503, 'starting');
     const partitionId = partitioner.partitionOf(heartbeat.machine, heartbeat.zone);
@@ -386,14 +386,14 @@
 
   #fromPeer(from: string, message: PeerMessage): void {
     const now = this.clock.now();
-    this.#peerHealth.heard(from, now);
+    this.#peerFailureDetector.recordHeartbeat(from, now);
     switch (message.kind) {
       case 'Hello':
         // It may have just started: what we saw last of the parts tells it which images its machines have.
         this.#statuses.sendAll(this.#peers, from);
         return;
       case 'PeerHeartbeat':
-        this.#peerHealth.noteContact(from, message.contactAgeMs, now);
+        this.#peerFailureDetector.recordContact(from, message.contactAgeMs, now);
         this.watchCache.hint(message.revision);
         return;
       case 'BudgetRequest':
@@ -423,7 +423,7 @@
         return;
       case 'MachineDirectives':
         if (this.clusterState.owners.get(LEADERSHIP)?.record.term === message.term)
-          this.#obey(message.drain, message.gone);
+          this.#applyDirectives(message.drain, message.gone);
         return;
       case 'ConfirmationRequest':
         this.#confirmation.onRequest(from, message, this.#contactAgeMs(now));
@@ -448,7 +448,7 @@
     }
   }
 
-  #obey(drain: readonly string[], gone: readonly string[]): void {
+  #applyDirectives(drain: readonly string[], gone: readonly string[]): void {
     const draining = new Set(drain);
     for (const owner of this.#owners.values()) {
       for (const m of owner.claimTable.machines.values()) m.draining = draining.has(m.name);
@@ -460,12 +460,12 @@
   }
 
   /** Tells the peers how our parts stand, that we are there, and as the leader which machines get no more work. */
-  #tellPeers(now: number): void {
+  #publishStatus(now: number): void {
     if (!this.#publisher.publish(this.owned(), this.#contactAgeMs(now), now)) return;
     const leader = this.#leader;
     if (leader === null || !leader.ownershipTerm.isCurrent) return;
     const { drain, gone } = leader.directives();
-    this.#obey(drain, gone);
+    this.#applyDirectives(drain, gone);
     this.#peers.broadcast({
       kind: 'MachineDirectives',
       term: leader.ownershipTerm.term,
@@ -486,21 +486,21 @@
     const { heartbeatIntervalMs } = this.settings.clusterConfig;
     if (!this.watchCache.loaded || this.clusterState.meta === null) return refusal(503, 'starting');
     const stale = this.#contactAgeMs(now) > heartbeatIntervalMs * 2;
-    return stale && this.#peerHealth.anyHasContact(now)
+    return stale && this.#peerFailureDetector.anyHasContact(now)
       ? refusal(503, 'state service is out of reach')
       : { status: 200, body: null };
   }
 
   poll(id: string): Promise<Reply> {
-    return this.#users.poll(id);
+    return this.#jobApi.poll(id);
   }
 
   submit(body: Buffer): Promise<Reply> {
-    return this.#users.submit(body);
+    return this.#jobApi.submit(body);
   }
 
   cancel(id: string): Promise<Reply> {
-    return this.#users.cancel(id);
+    return this.#jobApi.cancel(id);
   }
 
   /** Null: replica groups are off, and there is no such request. */
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -2,7 +2,7 @@
 export * from './settings';
 export { featuresOf } from './features';
 export { SILENT, type Log } from './log';
-export { type ControllerLimits, Shared } from './shared';
+export { type ControllerLimits, ControllerContext } from './controller-context';
 export { StatusReassembler, statusMessages } from './status-fragments';
 export { TransactionSizeLimit } from './transaction-size-limit';
 export { LeaderBorrowing } from './leader-borrowing';
--- a/packages/daemon/src/users.ts
+++ b/packages/daemon/src/job-api.ts
@@ -15,7 +15,7 @@
   mostMembers,
 } from '@gingerlock/wire';
 import { refusal, type Reply } from './reply';
-import type { Shared } from './shared';
+import type { ControllerContext } from './controller-context';
 
 /** Share of a value that the record of a new job leaves free for the rounds in which its tasks are assigned. */
 const RANGES_SHARE = 0.25;
@@ -27,17 +27,17 @@
   return service === undefined ? null : `awaits: ${service} is a service, which is never done`;
 }
 
-export class Users {
+export class JobApi {
   constructor(
-    readonly shared: Shared,
+    readonly context: ControllerContext,
     /** How many tasks of a job run now, as far as we have heard. */
     readonly running: (id: string) => number,
   ) {}
 
-  #stateOf(id: string): JobState | null {
-    const final = this.shared.clusterState.jobs.finals.get(id);
+  #jobStateOf(id: string): JobState | null {
+    const final = this.context.clusterState.jobs.finals.get(id);
     if (final !== undefined) return { id, status: final };
-    const job = this.shared.clusterState.jobs.live.get(id);
+    const job = this.context.clusterState.jobs.live.get(id);
     if (job === undefined) return null;
     if (job.cancelled) return { id, status: 'cancelled' };
     const running = this.running(id);
@@ -45,26 +45,26 @@
   }
 
   #reply(id: string, status: number): Reply {
-    const state = this.#stateOf(id);
+    const state = this.#jobStateOf(id);
     return state === null ? refusal(404, 'no such job') : { status, body: encodeJobState(state) };
   }
 
   /** Whether what the replica says of the job can not change any more. */
-  #settled(id: string): boolean {
+  #isFinal(id: string): boolean {
     return (
-      this.shared.clusterState.jobs.finals.has(id) || this.shared.clusterState.jobs.live.get(id)?.cancelled === true
+      this.context.clusterState.jobs.finals.has(id) || this.context.clusterState.jobs.live.get(id)?.cancelled === true
     );
   }
 
-  #known(id: string): boolean {
-    return this.shared.clusterState.jobs.finals.has(id) || this.shared.clusterState.jobs.live.has(id);
+  #isKnown(id: string): boolean {
+    return this.context.clusterState.jobs.finals.has(id) || this.context.clusterState.jobs.live.has(id);
   }
 
   async poll(id: string): Promise<Reply> {
     if (!isJobId(id)) return refusal(404, 'no such job');
-    if (!this.#settled(id)) {
+    if (!this.#isFinal(id)) {
       try {
-        await this.shared.watchCache.linearizableRead();
+        await this.context.watchCache.linearizableRead();
       } catch {
         return this.#unavailable();
       }
@@ -84,8 +84,8 @@
       return refusal(400, error instanceof Malformed ? error.message : 'malformed');
     }
     const { id } = spec;
-    if (this.#known(id)) return this.poll(id);
-    if (this.shared.clusterState.types.size === 0) return refusal(503, 'machine types are not known yet', 1);
+    if (this.#isKnown(id)) return this.poll(id);
+    if (this.context.clusterState.types.size === 0) return refusal(503, 'machine types are not known yet', 1);
     const never = this.#whyNever(spec);
     if (never !== null) {
       // Another controller may have accepted it under other settings or types.
@@ -94,22 +94,27 @@
     }
     const refused = await this.#checkDependencies(spec);
     if (refused !== null) return refused;
-    const wait = this.shared.keyValueStore.options.rateLimiter.waitMs(URGENCY.accept);
+    const wait = this.context.keyValueStore.options.rateLimiter.waitMs(URGENCY.accept);
     if (wait > 2000) return refusal(429, 'too many requests', Math.ceil(wait / 1000));
     const key = KEYS.job(id);
     const value = jobRecord.write(this.#newRecord(spec));
-    const remaining = this.shared.settings.valueBytes * (1 - RANGES_SHARE);
+    const remaining = this.context.settings.valueBytes * (1 - RANGES_SHARE);
     if (Buffer.byteLength(JSON.stringify(value)) > remaining) {
       const known = await this.poll(id);
       return known.status === 404 ? refusal(422, 'the description is too long, or too many jobs to wait for') : known;
     }
     const changes = [{ put: key, value }];
-    const result = await this.shared.keyValueStore.compareAndSwap(URGENCY.accept, [{ key, version: 0 }], changes, 2000);
+    const result = await this.context.keyValueStore.compareAndSwap(
+      URGENCY.accept,
+      [{ key, version: 0 }],
+      changes,
+      2000,
+    );
     switch (result.kind) {
       case 'done':
-        this.shared.watchCache.applyOwn(changes, result.revision);
-        this.shared.announce(result.revision);
-        this.shared.log.debug(
+        this.context.watchCache.applyOwn(changes, result.revision);
+        this.context.announce(result.revision);
+        this.context.log.debug(
           { job: id, class: spec.jobClass, team: spec.team, tasks: spec.tasks, awaits: spec.awaits },
           'accepted',
         );
@@ -123,20 +128,20 @@
 
   /** Why the job can never run; null: it can. */
   #whyNever(spec: JobSpec): string | null {
-    const { clusterConfig, features, valueBytes } = this.shared.settings;
+    const { clusterConfig, features, valueBytes } = this.context.settings;
     const most = mostMembers(valueBytes);
     if (isGroupSpec(features.replicaGroups, spec) && spec.tasks > most)
       return `a replica group has ${most} members at the most`;
-    return unschedulableReason(spec, clusterConfig, [...this.shared.clusterState.types.values()]);
+    return unschedulableReason(spec, clusterConfig, [...this.context.clusterState.types.values()]);
   }
 
   /** The answer to a submission that names jobs which it can't wait for; null: it can. */
   async #checkDependencies(spec: JobSpec): Promise<Reply | null> {
-    const { jobs } = this.shared.clusterState;
+    const { jobs } = this.context.clusterState;
     if (!spec.awaits.every((id) => jobs.isKnown(id))) {
       // They may have been accepted elsewhere a moment ago.
       try {
-        await this.shared.watchCache.linearizableRead();
+        await this.context.watchCache.linearizableRead();
       } catch {
         return this.#unavailable();
       }
@@ -151,13 +156,13 @@
 
   /** Dependencies that are done need not be kept: they remain so. With a cancelled one the job is cancelled at once. */
   #newRecord(spec: JobSpec): JobRecord {
-    const { finals } = this.shared.clusterState.jobs;
+    const { finals } = this.context.clusterState.jobs;
     if (spec.awaits.some((id) => finals.get(id) === 'cancelled')) return { final: 'cancelled' };
     const awaits = spec.awaits.filter((id) => finals.get(id) !== 'done');
     return {
       final: null,
       spec: { ...spec, awaits },
-      acceptedAt: this.shared.clock.wall(),
+      acceptedAt: this.context.clock.wall(),
       cancelled: false,
       isCrashLooping: false,
       assignedRanges: [],
@@ -165,7 +170,7 @@
   }
 
   async #undecided(id: string, result: CompareAndSwapResult): Promise<Reply> {
-    this.shared.log.info({ job: id, result }, 'outcome not known');
+    this.context.log.info({ job: id, result }, 'outcome not known');
     if (result.kind === 'refused' || result.kind === 'invalid') return this.#unavailable();
     // Read back before answering: it may have been carried out.
     const reply = await this.poll(id);
@@ -190,19 +195,19 @@
 
   async cancel(id: string): Promise<Reply> {
     if (!isJobId(id)) return refusal(404, 'no such job');
-    const until = this.shared.clock.now() + 3000;
+    const until = this.context.clock.now() + 3000;
     let outgrown = false;
-    while (!this.#settled(id)) {
-      let job: Job | undefined = this.shared.clusterState.jobs.live.get(id);
+    while (!this.#isFinal(id)) {
+      let job: Job | undefined = this.context.clusterState.jobs.live.get(id);
       if (job === undefined) {
         const reply = await this.poll(id);
         if (reply.status !== 200) return reply;
-        job = this.shared.clusterState.jobs.live.get(id);
+        job = this.context.clusterState.jobs.live.get(id);
         if (job === undefined || job.cancelled) break;
       }
       const key = KEYS.job(id);
       const changes = [{ put: key, value: this.#cancelledRecord(job, outgrown) }];
-      const result = await this.shared.keyValueStore.compareAndSwap(
+      const result = await this.context.keyValueStore.compareAndSwap(
         URGENCY.cancel,
         [{ key, version: job.version }],
         changes,
@@ -213,20 +218,20 @@
         continue;
       }
       if (result.kind === 'done') {
-        this.shared.watchCache.applyOwn(changes, result.revision);
-        this.shared.announce(result.revision);
-        this.shared.log.debug({ job: id, assigned: assignedUnfinished(job) }, 'cancelled');
+        this.context.watchCache.applyOwn(changes, result.revision);
+        this.context.announce(result.revision);
+        this.context.log.debug({ job: id, assigned: assignedUnfinished(job) }, 'cancelled');
         break;
       }
-      if (result.kind === 'refused' || result.kind === 'invalid' || this.shared.clock.now() > until)
+      if (result.kind === 'refused' || result.kind === 'invalid' || this.context.clock.now() > until)
         return this.#unavailable();
       try {
-        await this.shared.watchCache.linearizableRead();
+        await this.context.watchCache.linearizableRead();
       } catch {
         return this.#unavailable();
       }
     }
-    if (this.shared.clusterState.jobs.live.get(id)?.cancelled === true) this.shared.announceCancelled(id);
+    if (this.context.clusterState.jobs.live.get(id)?.cancelled === true) this.context.announceCancelled(id);
     return this.#reply(id, 200);
   }
 }
--- a/packages/daemon/src/leader-borrowing.ts
+++ b/packages/daemon/src/leader-borrowing.ts
@@ -26,7 +26,7 @@
 import { KEYS, type ReclaimRecord, parseTaskName } from '@gingerlock/wire';
 import type { ClaimLists } from './claim-lists';
 import { guaranteedGpus } from './features';
-import type { Shared } from './shared';
+import type { ControllerContext } from './controller-context';
 
 /** A list of claims counts for so many report intervals. */
 const CLAIMS_INTERVALS = 2;
@@ -55,14 +55,14 @@
 export class LeaderBorrowing {
   #counter = 0;
   /** By job: why nothing is got for it, since when, and whether the log says so. */
-  #refusals = new Map<string, { readonly why: string; readonly since: number; isTold: boolean }>();
-  #toldAt = -Infinity;
-  #hasToldExcess = false;
+  #refusals = new Map<string, { readonly why: string; readonly since: number; isLogged: boolean }>();
+  #loggedAt = -Infinity;
+  #hasLoggedExcess = false;
   /** By partition: the revision at which the last of its reclaims ended. Older lists of claims show what it stopped. */
   readonly #endedAt = new Map<number, number>();
 
   constructor(
-    readonly shared: Shared,
+    readonly context: ControllerContext,
     readonly ownershipTerm: OwnershipTerm,
     readonly settings: BorrowingSettings,
     readonly lists: ClaimLists,
@@ -75,12 +75,12 @@
 
   /** By team: GPUs of its guarantee that others leave free for it. */
   heldBack(statuses: readonly PartitionStatus[]): Map<string, number> {
-    const { clusterState, clusterConfig } = this.shared;
+    const { clusterState, clusterConfig } = this.context;
     return heldBackGpus(clusterConfig, clusterState.jobs.live, this.#claims(statuses));
   }
 
   plan(view: LeaderView): readonly Decision[] {
-    const { clusterState, clusterConfig, clock } = this.shared;
+    const { clusterState, clusterConfig, clock } = this.context;
     const plan = planReclaims({
       clusterConfig,
       settings: this.settings,
@@ -94,19 +94,19 @@
       scaleOutMs: view.scaleOutMs,
       stopMs: STOP_MS + clusterConfig.heartbeatIntervalMs / 2,
     });
-    this.#tell(plan.refused, plan.accounts, clock.now());
+    this.#logChanges(plan.refused, plan.accounts, clock.now());
     return plan.decisions;
   }
 
   #pending(): ReclaimRecord[] {
-    return [...this.shared.clusterState.reclaims.values()].flatMap((ofPartition) =>
+    return [...this.context.clusterState.reclaims.values()].flatMap((ofPartition) =>
       [...ofPartition.values()].map((r) => r.record),
     );
   }
 
   /** What machines hold, of the partitions of which that is known as it stands after all reclaims that have ended. */
   #claims(statuses: readonly PartitionStatus[]): PartitionClaims[] {
-    const { clock, clusterConfig } = this.shared;
+    const { clock, clusterConfig } = this.context;
     const terms = new Map(statuses.map(({ partitionId, term }) => [partitionId, term]));
     return this.lists
       .since(clock.now() - clusterConfig.heartbeatIntervalMs * CLAIMS_INTERVALS)
@@ -119,7 +119,7 @@
   /** The record of a decision, under a name that is never used again: it carries the leader's term. */
   recordOf({ job, tasks, machine, victims, reason, placements }: Decision): StoredReclaim {
     const id = `${this.ownershipTerm.term}-${++this.#counter}`;
-    const decidedAt = Math.round(this.shared.clock.wall());
+    const decidedAt = Math.round(this.context.clock.wall());
     return {
       key: KEYS.reclaim(placements[0]!.partitionId, id),
       record: { machine, job: job.id, tasks, victims, decidedAt, reason },
@@ -130,12 +130,12 @@
     const { job, machine, tasks, victims, reason, loss } = decision;
     const detail = { reclaim: key, job: job.id, team: job.spec.team, machine, tasks: tasks.length, reason };
     const lostWorkS = Math.round(loss.work);
-    this.shared.log.info({ ...detail, victims: victims.map((v) => v.task), lostWorkS }, 'reclaim decided');
+    this.context.log.info({ ...detail, victims: victims.map((v) => v.task), lostWorkS }, 'reclaim decided');
   }
 
   /** Reclaims that their owners have left standing for far longer than any may take. */
   abandoned(): AbandonedReclaim[] {
-    const { clusterState, clock } = this.shared;
+    const { clusterState, clock } = this.context;
     const wall = clock.wall();
     const found: AbandonedReclaim[] = [];
     for (const [partitionId, ofPartition] of clusterState.reclaims) {
@@ -148,7 +148,7 @@
   }
 
   #boundMs({ victims }: ReclaimRecord): number {
-    const { clusterState, clusterConfig } = this.shared;
+    const { clusterState, clusterConfig } = this.context;
     const graces = victims.map(({ task: taskName }) => {
       const job = clusterState.jobs.live.get(parseTaskName(taskName)?.job ?? '');
       return job === undefined ? 0 : saveGraceS(job.spec);
@@ -158,39 +158,39 @@
 
   // --- the log -----------------------------------------------------------------------------------------------------
 
-  #tell(refused: readonly Refused[], accounts: readonly TeamAccount[], now: number): void {
+  #logChanges(refused: readonly Refused[], accounts: readonly TeamAccount[], now: number): void {
     const before = this.#refusals;
     this.#refusals = new Map();
     for (const refusal of refused) {
       const { job, why } = refusal;
       const known = before.get(job.id);
-      const entry = known?.why === why ? known : { why, since: now, isTold: false };
+      const entry = known?.why === why ? known : { why, since: now, isLogged: false };
       this.#refusals.set(job.id, entry);
       // What changes within moments says nothing to anybody.
-      if (entry.isTold || now - entry.since < this.shared.clusterConfig.heartbeatIntervalMs) continue;
-      entry.isTold = true;
-      this.#tellRefused(refusal);
+      if (entry.isLogged || now - entry.since < this.context.clusterConfig.heartbeatIntervalMs) continue;
+      entry.isLogged = true;
+      this.#logRefused(refusal);
     }
-    if (now - this.#toldAt < this.shared.clusterConfig.workerLeaseMs) return;
-    this.#toldAt = now;
-    for (const account of accounts) this.shared.log.info(accountFigures(account), 'team account');
-    this.#tellExcess();
+    if (now - this.#loggedAt < this.context.clusterConfig.workerLeaseMs) return;
+    this.#loggedAt = now;
+    for (const account of accounts) this.context.log.info(accountFigures(account), 'team account');
+    this.#logExcessGuarantees();
   }
 
-  #tellRefused({ job, tasks, why, account }: Refused): void {
+  #logRefused({ job, tasks, why, account }: Refused): void {
     const detail = { job: job.id, tasks, gpus: job.spec.gpus, why, ...accountFigures(account) };
-    this.shared.log.info(detail, 'nothing reclaimed');
+    this.context.log.info(detail, 'nothing reclaimed');
   }
 
   /** Guarantees that no fleet within the operators' bounds can keep. */
-  #tellExcess(): void {
-    const { clusterConfig, clusterState, settings, log } = this.shared;
+  #logExcessGuarantees(): void {
+    const { clusterConfig, clusterState, settings, log } = this.context;
     const { maxOrdinaryMachines, maxSpotMachines } = settings.operators;
     const largest = Math.max(0, ...[...clusterState.types.values()].map((type) => type.gpus));
     const most = (maxOrdinaryMachines + maxSpotMachines) * largest;
     const guaranteed = guaranteedGpus(clusterConfig);
-    if (this.#hasToldExcess || largest === 0 || guaranteed <= most) return;
-    this.#hasToldExcess = true;
+    if (this.#hasLoggedExcess || largest === 0 || guaranteed <= most) return;
+    this.#hasLoggedExcess = true;
     log.error({ field: 'facts.teams.gpus', guaranteed, most }, 'more is guaranteed than there can be');
   }
 }
--- a/packages/daemon/src/leader-groups.ts
+++ b/packages/daemon/src/leader-groups.ts
@@ -22,7 +22,7 @@
 import { type GroupRecord, groupRecord, type JobSpec, KEYS } from '@gingerlock/wire';
 import type { GroupReports } from './group-reports';
 import { type JobBatch, recordWith } from './job-batch';
-import type { Shared } from './shared';
+import type { ControllerContext } from './controller-context';
 
 /** A reservation changes the record of its job and that of its group. */
 const CHANGES_PER_RESERVATION = 2;
@@ -46,11 +46,11 @@
 export class LeaderGroups implements GroupPlanner {
   fleetView: GroupFleetView = NO_FLEET;
   /** By job that is to be in one zone: where room is asked for, until it is placed or the zone is full. */
-  readonly #wantedZones = new Map<string, string>();
+  readonly #preferredZones = new Map<string, string>();
   /** Machines of reservations that are on their way into the state service. */
   #inFlight: readonly string[] = [];
   /** By job: since when it could have been placed, and when the log said last that it can't. */
-  #waiting = new Map<string, { readonly since: number; toldAt: number }>();
+  #waiting = new Map<string, { readonly since: number; loggedAt: number }>();
   /** By job: the record that was seen last, and since when. */
   readonly #known = new Map<string, { readonly version: number; readonly since: number }>();
   /** The longest that any task may take to save. */
@@ -59,7 +59,7 @@
   #partlyFittingMachines: ReadonlySet<string> = new Set();
 
   constructor(
-    readonly shared: Shared,
+    readonly context: ControllerContext,
     readonly settings: ReplicaGroupSettings,
     readonly reports: GroupReports,
   ) {}
@@ -75,37 +75,39 @@
     const open = candidates.filter(({ machine }) => !draining.has(machine));
     const chooseIn = (zones: readonly string[]): GroupChoice =>
       chooseMachines(job, open, zones, this.#stored(job)?.record.avoid ?? null);
-    const choice = chooseIn(this.shared.clusterConfig.zones);
-    if (choice.missing > 0 && job.spec.oneZone) return chooseIn([this.#wantedZone(job, chooseIn)]);
-    this.#wantedZones.delete(job.id);
+    const choice = chooseIn(this.context.clusterConfig.zones);
+    if (choice.missing > 0 && job.spec.oneZone) return chooseIn([this.#preferredZone(job, chooseIn)]);
+    this.#preferredZones.delete(job.id);
     return choice;
   }
 
   /** The one zone in which room is asked for: another one only once the cloud has none there, or machines would be rented in each by turns. */
-  #wantedZone(job: Job, chooseIn: (zones: readonly string[]) => GroupChoice): string {
+  #preferredZone(job: Job, chooseIn: (zones: readonly string[]) => GroupChoice): string {
     const { zone: asked } = job.spec;
-    const known = this.#wantedZones.get(job.id);
+    const known = this.#preferredZones.get(job.id);
     if (asked !== null) return asked;
     if (known !== undefined && !this.fleetView.lacksCapacityFor(job.spec, known)) return known;
-    const { zones } = this.shared.clusterConfig;
+    const { zones } = this.context.clusterConfig;
     const withCapacity = zones.filter((zone) => !this.fleetView.lacksCapacityFor(job.spec, zone));
     const among = withCapacity.length > 0 ? withCapacity : zones;
     const best = among.reduce((a, b) => (chooseIn([b]).missing < chooseIn([a]).missing ? b : a));
-    this.#wantedZones.set(job.id, best);
+    this.#preferredZones.set(job.id, best);
     return best;
   }
 
   holdsPartialCapacity(job: Job): boolean {
     const since = this.#waiting.get(job.id)?.since;
-    return since !== undefined && holdsPartialCapacity(this.shared.clock.now() - since, this.shared.clusterState.types);
+    return (
+      since !== undefined && holdsPartialCapacity(this.context.clock.now() - since, this.context.clusterState.types)
+    );
   }
 
   #stored(job: Job): Versioned<GroupRecord> | null {
-    return this.shared.clusterState.groups.get(job.id) ?? null;
+    return this.context.clusterState.groups.get(job.id) ?? null;
   }
 
   #contextOf(job: Job): GroupContext {
-    const { clusterState, clusterConfig, clock } = this.shared;
+    const { clusterState, clusterConfig, clock } = this.context;
     const stored = this.#stored(job);
     return {
       settings: this.settings,
@@ -125,7 +127,7 @@
   #knownSince(job: string, version: number): number {
     const known = this.#known.get(job);
     if (known?.version === version) return known.since;
-    const since = this.shared.clock.now();
+    const since = this.context.clock.now();
     this.#known.set(job, { version, since });
     return since;
   }
@@ -136,7 +138,7 @@
    */
   pinnedMachines(): Set<string> {
     const pinned = new Set([...this.#partlyFittingMachines, ...this.#inFlight]);
-    for (const { record } of this.shared.clusterState.groups.values()) {
+    for (const { record } of this.context.clusterState.groups.values()) {
       for (const { machine } of record.members) if (machine !== record.avoid) pinned.add(machine);
     }
     return pinned;
@@ -144,7 +146,7 @@
 
   /** Room for members whose machine is lost: a boot may begin while the others are still being stopped. */
   endingDemand(): UnschedulableDemand[] {
-    const { clusterState } = this.shared;
+    const { clusterState } = this.context;
     const demand: UnschedulableDemand[] = [];
     for (const [id, { record }] of clusterState.groups) {
       const job = clusterState.jobs.live.get(id);
@@ -160,7 +162,7 @@
   /** Begins a transaction: what the one before would have told of is told or dropped. */
   begin(): void {
     this.#longestSaveS = 0;
-    for (const { spec } of this.shared.clusterState.jobs.live.values())
+    for (const { spec } of this.context.clusterState.jobs.live.values())
       this.#longestSaveS = Math.max(this.#longestSaveS, spec.saveS);
     this.#lines = [];
     this.#inFlight = [];
@@ -168,13 +170,13 @@
 
   /** The transaction was carried out. */
   stored(): void {
-    for (const { detail, message } of this.#lines) this.shared.log.info(detail, message);
+    for (const { detail, message } of this.#lines) this.context.log.info(detail, message);
     this.#lines = [];
   }
 
   /** Adds the changes of state that are due, and the removal of records that no group has any more. */
   addChanges(batch: JobBatch): void {
-    const { clusterState } = this.shared;
+    const { clusterState } = this.context;
     for (const job of clusterState.jobs.live.values()) {
       if (job.isGroup && !this.#addChange(batch, job)) return;
     }
@@ -193,13 +195,13 @@
     // Members are admitted for the owners that keep their room now: a later one would start none of them.
     const owners = next.state === 'admitted' ? new Set(next.members.map(({ partitionId }) => partitionId)) : [];
     for (const partitionId of owners) {
-      const owner = this.shared.clusterState.owners.get(String(partitionId));
+      const owner = this.context.clusterState.owners.get(String(partitionId));
       if (owner !== undefined && !batch.requireOwner({ key: KEYS.owner(String(partitionId)), version: owner.version }))
         return false;
     }
     const change = { put: KEYS.group(job.id), value: groupRecord.write(next) };
     if (!batch.putIf(change, stored?.version ?? 0, { key: KEYS.job(job.id), version: job.version })) return false;
-    this.#tellLater(job, next);
+    this.#logOnceStored(job, next);
     return true;
   }
 
@@ -220,8 +222,8 @@
 
   /** False: the transaction, or a record, has no room for it. */
   #addReservation(batch: JobBatch, { job, members }: GroupPlacement): boolean {
-    const { clusterState, clock } = this.shared;
-    if (batch.changes.length + CHANGES_PER_RESERVATION > this.shared.settings.txnOps) return false;
+    const { clusterState, clock } = this.context;
+    if (batch.changes.length + CHANGES_PER_RESERVATION > this.context.settings.txnOps) return false;
     const stored = this.#stored(job);
     const kept = members.map(({ partitionId, machine }) => ({ partitionId, machine, attempt: null }));
     const next = reserve(stored?.record ?? null, kept, Math.round(clock.wall()));
@@ -231,8 +233,8 @@
       members,
     );
     const record = recordWith(job, false, assignedRanges);
-    if (!this.shared.fitsValue(record) || !this.shared.fitsValue(value)) {
-      this.shared.log.error({ job: job.id, members: members.length }, 'group too large, not placed');
+    if (!this.context.fitsValue(record) || !this.context.fitsValue(value)) {
+      this.context.log.error({ job: job.id, members: members.length }, 'group too large, not placed');
       return false;
     }
     for (const partitionId of new Set(members.map((member) => member.partitionId))) {
@@ -242,13 +244,13 @@
     }
     if (!batch.requireVersion({ key: KEYS.group(job.id), version: stored?.version ?? 0 })) return false;
     if (!batch.put(job, record, { put: KEYS.group(job.id), value })) return false;
-    this.#tellLater(job, next);
+    this.#logOnceStored(job, next);
     return true;
   }
 
   // --- the log -----------------------------------------------------------------------------------------------------
 
-  #tellLater(job: Job, { state, generation, reason, failures, avoid, members }: GroupRecord): void {
+  #logOnceStored(job: Job, { state, generation, reason, failures, avoid, members }: GroupRecord): void {
     const machines = [...new Set(members.map(({ machine }) => machine))];
     const detail = { job: job.id, team: job.spec.team, members: job.spec.tasks, generation, reason, failures };
     const where = avoid === null ? {} : { machine: avoid };
@@ -262,17 +264,17 @@
     this.#waiting = new Map();
     for (const entry of unschedulable) {
       if (!entry.job.isGroup) continue;
-      const known = before.get(entry.job.id) ?? { since: now, toldAt: now };
+      const known = before.get(entry.job.id) ?? { since: now, loggedAt: now };
       this.#waiting.set(entry.job.id, known);
-      if (now - known.toldAt < this.shared.clusterConfig.workerLeaseMs) continue;
-      known.toldAt = now;
-      this.#tellUnplaced(entry, now - known.since);
+      if (now - known.loggedAt < this.context.clusterConfig.workerLeaseMs) continue;
+      known.loggedAt = now;
+      this.#logUnplaced(entry, now - known.since);
     }
   }
 
-  #tellUnplaced({ job, count, zones }: UnschedulableDemand, waitedMs: number): void {
+  #logUnplaced({ job, count, zones }: UnschedulableDemand, waitedMs: number): void {
     const { team, tasks, cpus, gpus, memoryGb } = job.spec;
     const detail = { job: job.id, team, members: tasks, missing: count, each: { cpus, gpus, memoryGb }, zones };
-    this.shared.log.info({ ...detail, waitedMs: Math.round(waitedMs) }, 'group can not be placed');
+    this.context.log.info({ ...detail, waitedMs: Math.round(waitedMs) }, 'group can not be placed');
   }
 }
--- a/packages/daemon/src/leader.ts
+++ b/packages/daemon/src/leader.ts
@@ -18,7 +18,7 @@
 import { finalOf, JobBatch, recordOf, recordWith } from './job-batch';
 import { type LeaderBorrowing, unschedulableWithout } from './leader-borrowing';
 import type { LeaderGroups } from './leader-groups';
-import type { Shared } from './shared';
+import type { ControllerContext } from './controller-context';
 import type { ReceivedStatus } from './partition-statuses';
 
 interface PendingAssignment {
@@ -53,7 +53,7 @@
   #stopped = false;
 
   constructor(
-    readonly shared: Shared,
+    readonly context: ControllerContext,
     readonly ownershipTerm: OwnershipTerm,
     readonly statuses: () => readonly ReceivedStatus[],
     http: Http,
@@ -62,8 +62,8 @@
     /** Null: replica groups are off. */
     readonly groups: LeaderGroups | null,
   ) {
-    this.#probes = new ProbeSchedule(shared.clusterConfig);
-    this.#autoscaling = new AutoscalingLoop(shared, ownershipTerm, http, {
+    this.#probes = new ProbeSchedule(context.clusterConfig);
+    this.#autoscaling = new AutoscalingLoop(context, ownershipTerm, http, {
       statuses: (now) => this.#current(now),
       unschedulable: () => this.#unschedulable,
       pinned: () => groups?.pinnedMachines() ?? NOTHING_PINNED,
@@ -97,7 +97,7 @@
   }
 
   #current(now: number): PartitionStatus[] {
-    const { clusterState, clusterConfig } = this.shared;
+    const { clusterState, clusterConfig } = this.context;
     return this.statuses()
       .filter(
         (s) =>
@@ -112,14 +112,14 @@
   }
 
   async #assign(): Promise<void> {
-    const { shared } = this;
+    const { context } = this;
     this.#assigning = true;
     try {
-      while (this.#isLeading() && shared.leaseValid() && shared.fresh()) {
+      while (this.#isLeading() && context.leaseValid() && context.fresh()) {
         if (!(await this.#assignOnce())) break;
       }
     } catch (error) {
-      shared.log.error({ error: String(error) }, 'assigning failed');
+      context.log.error({ error: String(error) }, 'assigning failed');
     } finally {
       this.#assigning = false;
     }
@@ -127,12 +127,12 @@
 
   /** One transaction of endings and assignments, or of cleaning up; false: there was nothing to do, or it failed. */
   async #assignOnce(): Promise<boolean> {
-    const { shared } = this;
-    const { clusterState, clusterConfig, settings } = shared;
-    const now = shared.clock.now();
+    const { context } = this;
+    const { clusterState, clusterConfig, settings } = context;
+    const now = context.clock.now();
     const current = this.#current(now);
     this.#reviewProbes(current, now);
-    const batch = new JobBatch(this.ownershipTerm.condition, shared.transactionSizeLimit());
+    const batch = new JobBatch(this.ownershipTerm.condition, context.transactionSizeLimit());
     this.groups?.begin();
     this.#close(batch);
     this.groups?.addChanges(batch);
@@ -171,7 +171,7 @@
       if (clusterState.obsoleteKeys.size === 0) return false;
       for (const key of clusterState.obsoleteKeys) if (!batch.remove(key)) break;
     }
-    const revision = await shared.commitWithRetry(URGENCY.assign, batch.conditions, batch.changes, () =>
+    const revision = await context.commitWithRetry(URGENCY.assign, batch.conditions, batch.changes, () =>
       this.#isLeading(),
     );
     if (revision === 0) return false;
@@ -179,12 +179,12 @@
     for (const m of pendingAssignments) this.#pendingAssignments.push({ ...m, revision });
     for (const { decision, key } of reclaims) this.borrowing!.decided(decision, key);
     this.#recordProbes(assignments, batch, now);
-    shared.log.debug({ jobs: [...batch.jobs] }, 'assigned and closed');
+    context.log.debug({ jobs: [...batch.jobs] }, 'assigned and closed');
     return true;
   }
 
   #immovableDemand(statuses: readonly PartitionStatus[]): UnschedulableDemand[] {
-    const { clusterState, clusterConfig } = this.shared;
+    const { clusterState, clusterConfig } = this.context;
     if (clusterState.partitioner === null) return [];
     return findImmovableDemand({
       jobs: clusterState.jobs.live.values(),
@@ -198,16 +198,16 @@
 
   /** Whether the record of the job is too large to be written even without all that is assigned to any one partition. */
   #isFrozen(job: Job): boolean {
-    const { settings } = this.shared;
+    const { settings } = this.context;
     if (job.assignedRanges.length * LARGEST_RANGE_BYTES < settings.valueBytes) return false;
     return [...new Set(job.assignedRanges.map(({ partitionId }) => partitionId))].every((partitionId) => {
       const assignedRanges = job.assignedRanges.filter((range) => range.partitionId !== partitionId);
-      return !this.shared.fitsValue(recordOf(job, job.isCrashLooping, assignedRanges));
+      return !this.context.fitsValue(recordOf(job, job.isCrashLooping, assignedRanges));
     });
   }
 
   #reviewProbes(current: readonly PartitionStatus[], now: number): void {
-    const { live } = this.shared.clusterState.jobs;
+    const { live } = this.context.clusterState.jobs;
     const crashLooping = [...live.values()].filter((job) => job.isCrashLooping && !job.cancelled).map((job) => job.id);
     const running = new Map<string, number>();
     for (const { running: tasks } of current)
@@ -222,7 +222,7 @@
 
   /** Takes the mark off jobs of which a trial has run for long enough, and which have nothing to assign. */
   #removeCrashLoopMarks(batch: JobBatch): void {
-    const { clusterState, settings } = this.shared;
+    const { clusterState, settings } = this.context;
     for (const job of clusterState.jobs.live.values()) {
       if (batch.changes.length >= settings.txnOps) return;
       if (!job.isCrashLooping || job.cancelled || batch.jobs.has(job.id) || mustBeProbed(job, this.#probes)) continue;
@@ -240,7 +240,7 @@
 
   /** Ends the jobs of which all tasks are finished, or, of those that are cancelled, gone. */
   #close(batch: JobBatch): void {
-    for (const job of this.shared.clusterState.jobs.live.values()) {
+    for (const job of this.context.clusterState.jobs.live.values()) {
       const final = finalOf(job);
       if (final !== null && !batch.put(job, jobRecord.write({ final }))) return;
     }
@@ -252,7 +252,7 @@
     assignments: readonly Assignment[],
     current: readonly PartitionStatus[],
   ): Omit<PendingAssignment, 'revision'>[] {
-    const { log } = this.shared;
+    const { log } = this.context;
     const pendingAssignments: Omit<PendingAssignment, 'revision'>[] = [];
     for (const assignment of assignments) {
       const { job } = assignment;
@@ -275,7 +275,7 @@
   /** Decides for which tasks without room others are stopped: the rounds of the one and the record of it go into one transaction. */
   #addReclaims(batch: JobBatch, result: AssignmentResult, current: readonly PartitionStatus[]): AddedReclaim[] {
     if (this.borrowing === null) return [];
-    const most = Math.floor((this.shared.settings.txnOps - batch.changes.length) / CHANGES_PER_RECLAIM);
+    const most = Math.floor((this.context.settings.txnOps - batch.changes.length) / CHANGES_PER_RECLAIM);
     const decisions = this.borrowing.plan({
       result: { ...result, unschedulable: result.unschedulable.filter(({ job }) => !job.isGroup) },
       statuses: current,
@@ -298,7 +298,7 @@
     const record = recordWith(job, false, assignedRangesOf(tasks, placements));
     const reclaim = borrowing.recordOf(decision);
     const value = reclaimRecord.write(reclaim.record);
-    if (!this.shared.fitsValue(record) || !this.shared.fitsValue(value)) return null;
+    if (!this.context.fitsValue(record) || !this.context.fitsValue(value)) return null;
     const assignedRanges = assignedRangesOf(tasks, placements);
     if (!this.#requireOwners(batch, assignedRanges) || !batch.put(job, record, { put: reclaim.key, value }))
       return null;
@@ -309,14 +309,14 @@
   #removeAbandoned(batch: JobBatch): void {
     for (const { key, version } of this.borrowing?.abandoned() ?? []) {
       if (!batch.removeIf(key, version)) return;
-      this.shared.log.info({ reclaim: key }, 'reclaim abandoned');
+      this.context.log.info({ reclaim: key }, 'reclaim abandoned');
     }
   }
 
   /** Makes the batch rest on the owners of the partitions that the rounds name; false: it has no room for that. */
   #requireOwners(batch: JobBatch, assignedRanges: readonly AssignedRange[]): boolean {
     return assignedRanges.every(({ partitionId }) => {
-      const owner = this.shared.clusterState.owners.get(String(partitionId));
+      const owner = this.context.clusterState.owners.get(String(partitionId));
       return (
         owner === undefined || batch.requireOwner({ key: KEYS.owner(String(partitionId)), version: owner.version })
       );
@@ -326,7 +326,7 @@
   /** As many of the new rounds as the job's record has room for; the other tasks are assigned when it has shrunk. */
   #fittingRanges(assignment: Assignment): AssignedRange[] {
     const added = [...assignment.added];
-    while (added.length > 0 && !this.shared.fitsValue(recordWith(assignment.job, true, added))) added.pop();
+    while (added.length > 0 && !this.context.fitsValue(recordWith(assignment.job, true, added))) added.pop();
     return added;
   }
 }
--- a/packages/daemon/src/owner-groups.ts
+++ b/packages/daemon/src/owner-groups.ts
@@ -1,13 +1,13 @@
 // The owner's part in replica groups: what its claim table asks of them, and what its leader is told.
 import type { ClaimTable, TaskEntry } from '@gingerlock/core';
 import { PartitionGroups, type PartitionGroupReport } from '@gingerlock/replica-groups';
-import type { Shared } from './shared';
+import type { ControllerContext } from './controller-context';
 
 export class OwnerGroups {
   readonly members: PartitionGroups;
 
-  constructor(readonly shared: Shared) {
-    this.members = new PartitionGroups(shared.clusterState.groups);
+  constructor(readonly context: ControllerContext) {
+    this.members = new PartitionGroups(context.clusterState.groups);
   }
 
   attach(table: ClaimTable): void {
@@ -25,6 +25,6 @@
   }
 
   report({ partitionId, term }: ClaimTable, now: number): PartitionGroupReport {
-    return { partitionId, term, revision: this.shared.watchCache.revision, groups: this.members.reports(now) };
+    return { partitionId, term, revision: this.context.watchCache.revision, groups: this.members.reports(now) };
   }
 }
--- a/packages/daemon/src/owner-reclaims.ts
+++ b/packages/daemon/src/owner-reclaims.ts
@@ -2,7 +2,7 @@
 import { PartitionReclaims, type Reclaim } from '@gingerlock/borrowing';
 import type { ClaimTable, TaskEntry } from '@gingerlock/core';
 import { type Change, type Condition, KEYS } from '@gingerlock/wire';
-import type { Shared } from './shared';
+import type { ControllerContext } from './controller-context';
 
 /** The removal of one record, if it is still the one that was carried out. */
 export interface ReclaimRemoval {
@@ -14,10 +14,10 @@
   readonly reservations: PartitionReclaims;
 
   constructor(
-    readonly shared: Shared,
+    readonly context: ControllerContext,
     readonly partitionId: number,
   ) {
-    this.reservations = new PartitionReclaims({ moved: (reclaim, detail) => this.#tell(reclaim, detail) });
+    this.reservations = new PartitionReclaims({ moved: (reclaim, detail) => this.#logTransition(reclaim, detail) });
   }
 
   attach(table: ClaimTable): void {
@@ -26,7 +26,7 @@
 
   /** Returns the tasks that are to be told to stop now. */
   step(table: ClaimTable, now: number): readonly TaskEntry[] {
-    const { clusterState, clock } = this.shared;
+    const { clusterState, clock } = this.context;
     const records = new Map([...clusterState.reclaimsOf(this.partitionId)].map(([id, { record }]) => [id, record]));
     this.reservations.sync(records);
     const stopped = this.reservations.step(table, clock.wall(), now);
@@ -35,7 +35,7 @@
   }
 
   removals(): ReclaimRemoval[] {
-    const known = this.shared.clusterState.reclaimsOf(this.partitionId);
+    const known = this.context.clusterState.reclaimsOf(this.partitionId);
     return this.reservations.over.flatMap(({ id }) => {
       const stored = known.get(id);
       if (stored === undefined) return [];
@@ -44,9 +44,9 @@
     });
   }
 
-  #tell({ id, record, state }: Reclaim, detail: Record<string, unknown>): void {
+  #logTransition({ id, record, state }: Reclaim, detail: Record<string, unknown>): void {
     const { machine, job, reason } = record;
     const reclaim = KEYS.reclaim(this.partitionId, id);
-    this.shared.log.info({ reclaim, job, machine, tasks: record.tasks.length, reason, ...detail }, `reclaim ${state}`);
+    this.context.log.info({ reclaim, job, machine, tasks: record.tasks.length, reason, ...detail }, `reclaim ${state}`);
   }
 }
--- a/packages/daemon/src/owner-writes.ts
+++ b/packages/daemon/src/owner-writes.ts
@@ -1,6 +1,6 @@
 // What an owner writes into the state service: the membership, finished tasks, tasks that it gives back.
 import {
-  type Bits,
+  type BitSet,
   type ClaimTable,
   finishedPageFor,
   type Job,
@@ -12,7 +12,7 @@
 import { URGENCY } from '@gingerlock/clients';
 import { type Change, type Condition, finishedRecord, jobRecord, KEYS, membershipRecord } from '@gingerlock/wire';
 import type { OwnerReclaims } from './owner-reclaims';
-import { DISPLAY_LAG_MS, type Shared } from './shared';
+import { DISPLAY_LAG_MS, type ControllerContext } from './controller-context';
 
 /** A change of one key with the conditions it needs, and what to do before it is sent. */
 interface Write {
@@ -37,7 +37,7 @@
   readonly membershipRemovals = new Set<string>();
 
   constructor(
-    readonly shared: Shared,
+    readonly context: ControllerContext,
     readonly partitionId: number,
     readonly ownershipTerm: OwnershipTerm,
     readonly claimTable: ClaimTable,
@@ -53,7 +53,7 @@
     try {
       for (let more = true; more;) more = await this.#writeOnce();
     } catch (error) {
-      this.shared.log.error({ partitionId: this.partitionId, error: String(error) }, 'write failed');
+      this.context.log.error({ partitionId: this.partitionId, error: String(error) }, 'write failed');
     } finally {
       this.#writing = false;
     }
@@ -61,13 +61,13 @@
 
   /** How long a completed task may wait for others of its job before it is written. */
   #finishPatienceMs(): number {
-    const { keyValueStore, clusterConfig } = this.shared;
+    const { keyValueStore, clusterConfig } = this.context;
     const isShort = keyValueStore.options.rateLimiter.spareWriteShare() < MIN_SPARE_WRITE_SHARE;
     return isShort ? clusterConfig.heartbeatIntervalMs * SHORT_FINISH_INTERVALS : DISPLAY_LAG_MS / 2;
   }
 
   #writes(now: number): { writes: Write[]; urgency: (typeof URGENCY)[keyof typeof URGENCY] } {
-    const { clusterState, watchCache } = this.shared;
+    const { clusterState, watchCache } = this.context;
     const writes: Write[] = [];
     const membership = clusterState.membership(this.partitionId);
     for (const m of this.claimTable.machines.values()) {
@@ -124,13 +124,13 @@
     for (let count = byIndex.length; count > 0; count = Math.floor(count / 2)) {
       const returned = byIndex.slice(0, count);
       const value = this.#recordWithout(job, returned);
-      if (!this.shared.fitsValue(value)) continue;
+      if (!this.context.fitsValue(value)) continue;
       const key = KEYS.job(job.id);
       return {
         conditions: [{ key, version: job.version }],
         change: { put: key, value },
-        prepare: () => this.claimTable.beginReturn(returned, this.shared.clock.now()),
-        failed: () => this.claimTable.cancelReturn(returned, this.shared.clock.now()),
+        prepare: () => this.claimTable.beginReturn(returned, this.context.clock.now()),
+        failed: () => this.claimTable.cancelReturn(returned, this.context.clock.now()),
       };
     }
     return null;
@@ -142,7 +142,7 @@
     // Finished tasks are off their machines: of a cancelled job nothing is left to wait for when only they remain.
     const assignedRanges = mergeRanges(left, (taskIndex) => job.isFinished(taskIndex));
     if (cancelled && assignedRanges.length === 0) return jobRecord.write({ final: 'cancelled' });
-    const isCrashLooping = this.claimTable.marksCrashLoopOnReturn(job, tasks, this.shared.clock.now());
+    const isCrashLooping = this.claimTable.marksCrashLoopOnReturn(job, tasks, this.context.clock.now());
     return jobRecord.write({ final: null, spec, acceptedAt, cancelled, isCrashLooping, assignedRanges });
   }
 
@@ -158,34 +158,37 @@
         },
       ];
     }
-    const limits = { pageTasks: this.shared.clusterState.meta!.pageTasks, valueBytes: this.shared.settings.valueBytes };
-    const pages = new Map<string, Bits>();
+    const limits = {
+      pageTasks: this.context.clusterState.meta!.pageTasks,
+      valueBytes: this.context.settings.valueBytes,
+    };
+    const pages = new Map<string, BitSet>();
     for (const task of tasks) {
       const { key, first, bits } = finishedPageFor(job, this.partitionId, task.index, limits);
       pages.set(key, (pages.get(key) ?? bits).with(task.index - first));
     }
     return [...pages].map(([key, bits]) => {
       return {
-        conditions: [{ key, version: this.shared.watchCache.version(key) }],
+        conditions: [{ key, version: this.context.watchCache.version(key) }],
         change: { put: key, value: finishedRecord.write(bits.bytes) },
       };
     });
   }
 
   async #writeOnce(): Promise<boolean> {
-    const { shared } = this;
-    if (!this.isOwner() || !shared.fresh()) return false;
-    const { writes, urgency } = this.#writes(shared.clock.now());
+    const { context } = this;
+    if (!this.isOwner() || !context.fresh()) return false;
+    const { writes, urgency } = this.#writes(context.clock.now());
     if (writes.length === 0) return false;
     const batch = this.#fittingWrites(writes);
     for (const w of batch) w.prepare?.();
     const conditions = [this.ownershipTerm.condition, ...batch.flatMap((w) => w.conditions)];
     const changes = batch.map((w) => w.change);
-    shared.log.debug(
+    context.log.debug(
       { partitionId: this.partitionId, urgency, keys: changes.map((c) => ('put' in c ? c.put : c.remove)) },
       'writing',
     );
-    const done = await shared.commitWithRetry(urgency, conditions, changes, () => this.ownershipTerm.isCurrent);
+    const done = await context.commitWithRetry(urgency, conditions, changes, () => this.ownershipTerm.isCurrent);
     // A conflict over one job fails the whole batch: the others' tasks, too, are still here.
     if (done === 0) for (const w of batch) w.failed?.();
     // What is finished or given back shows in the replica, and leaves the claim table with it.
@@ -194,7 +197,7 @@
 
   /** As many of the writes, from the first on, as one transaction may hold. */
   #fittingWrites(writes: readonly Write[]): Write[] {
-    const sizeLimit = this.shared.transactionSizeLimit();
+    const sizeLimit = this.context.transactionSizeLimit();
     sizeLimit.add([this.ownershipTerm.condition], []);
     const fitting: Write[] = [];
     for (const write of writes) {
--- a/packages/daemon/src/owner.ts
+++ b/packages/daemon/src/owner.ts
@@ -18,7 +18,7 @@
 import { OwnerReclaims } from './owner-reclaims';
 import { OwnerWrites } from './owner-writes';
 import { partitionStatusOf } from './partition-status';
-import type { Shared } from './shared';
+import type { ControllerContext } from './controller-context';
 import { WorkerCommandSender } from './worker-command-sender';
 
 /** How many machines are shown a new owner's term at each tick at the least: all at once would hold up everything else. */
@@ -48,16 +48,16 @@
   #previousStatuses: ReadonlyMap<string, MachineStatus>;
 
   constructor(
-    readonly shared: Shared,
+    readonly context: ControllerContext,
     readonly partitionId: number,
     /** Fixed for the life of this object: all that it writes and sends rests on the term and version of this one tenure. */
     readonly ownershipTerm: OwnershipTerm,
     previousStatuses: ReadonlyMap<string, MachineStatus>,
   ) {
-    const { clusterState, clusterConfig, clock, log } = shared;
+    const { clusterState, clusterConfig, clock, log } = context;
     this.#previousStatuses = previousStatuses;
-    this.reclaims = shared.settings.features.borrowing === null ? null : new OwnerReclaims(shared, partitionId);
-    this.groups = shared.settings.features.replicaGroups === null ? null : new OwnerGroups(shared);
+    this.reclaims = context.settings.features.borrowing === null ? null : new OwnerReclaims(context, partitionId);
+    this.groups = context.settings.features.replicaGroups === null ? null : new OwnerGroups(context);
     this.claimTable = new ClaimTable({
       clusterConfig,
       partitionId,
@@ -70,7 +70,7 @@
       reservations: this.#reservations(),
       ...(this.reclaims === null ? {} : { preempts: false }),
       ...(this.groups === null ? {} : { members: this.groups.members }),
-      attemptsPerTerm: shared.limits.attemptsPerTerm,
+      attemptsPerTerm: context.limits.attemptsPerTerm,
       images: new Map([...previousStatuses].map(([name, m]) => [name, m.images])),
       log: (message, detail) => log.debug({ partitionId, ...detail }, message),
       alarm: (message, detail) => log.error({ partitionId, term: ownershipTerm.term, ...detail }, message),
@@ -79,8 +79,8 @@
     this.reclaims?.attach(this.claimTable);
     this.groups?.attach(this.claimTable);
     this.groups?.changed();
-    this.#commandSender = new WorkerCommandSender(shared, this.claimTable);
-    this.#writes = new OwnerWrites(shared, partitionId, ownershipTerm, this.claimTable, this.reclaims, () =>
+    this.#commandSender = new WorkerCommandSender(context, this.claimTable);
+    this.#writes = new OwnerWrites(context, partitionId, ownershipTerm, this.claimTable, this.reclaims, () =>
       this.isOwner(),
     );
   }
@@ -90,7 +90,7 @@
    * report interval, it once left out all but the first hundred or so while those did not answer.
    */
   #announceTerm(now: number): void {
-    const { clusterConfig, tickMs } = this.shared;
+    const { clusterConfig, tickMs } = this.context;
     if (this.#pendingAnnouncements.length === 0 && now - this.#announcedAt > clusterConfig.heartbeatIntervalMs) {
       if (this.#announcedAt !== -Infinity) this.#previousStatuses = new Map();
       this.#announcedAt = now;
@@ -115,14 +115,14 @@
 
   /** Stops of a cancelled job go out at once: its room is wanted, and nobody has any use for what it does now. */
   jobChanged(id: string): void {
-    this.#pushAll(this.claimTable.syncJob(id, this.shared.clock.now()));
-    if (this.shared.clusterState.groups.has(id)) this.groups?.changed();
+    this.#pushAll(this.claimTable.syncJob(id, this.context.clock.now()));
+    if (this.context.clusterState.groups.has(id)) this.groups?.changed();
   }
 
   tick(now: number): void {
     for (const name of this.claimTable.tick(now)) this.#writes.membershipRemovals.add(name);
     this.#announceTerm(now);
-    if (now - this.#scannedAt > this.shared.scanMs) {
+    if (now - this.#scannedAt > this.context.scanMs) {
       this.#scannedAt = now;
       this.claimTable.scan();
     }
@@ -130,7 +130,7 @@
     if (this.reclaims !== null && this.isOwner()) this.#pushAll(this.reclaims.step(this.claimTable, now));
     if (
       this.claimTable.changes !== this.#packedChange ||
-      now - this.#packedAt > this.shared.clusterConfig.heartbeatIntervalMs / 3
+      now - this.#packedAt > this.context.clusterConfig.heartbeatIntervalMs / 3
     ) {
       this.#packedChange = this.claimTable.changes;
       this.#packedAt = now;
@@ -139,7 +139,7 @@
       this.#writes.unschedulable = unschedulable;
       if (this.mayGrant(now))
         stopped.push(
-          ...relocateReplicas(this.claimTable, freeByMachine, () => this.shared.spareCapacity(this.partitionId), now),
+          ...relocateReplicas(this.claimTable, freeByMachine, () => this.context.spareCapacity(this.partitionId), now),
         );
       this.#pushAll(stopped);
       if (this.mayGrant(now))
@@ -162,29 +162,29 @@
   isOwner(): boolean {
     const { key, version } = this.ownershipTerm.condition;
     // The version rather than the record: one that can't be read is not ours either.
-    return this.ownershipTerm.isCurrent && this.shared.watchCache.version(key) === version;
+    return this.ownershipTerm.isCurrent && this.context.watchCache.version(key) === version;
   }
 
   /** Whether starts may be given now: we surely own the part, and have seen every cancellation but the newest. */
   mayGrant(now: number): boolean {
-    const { watchCache, clusterConfig } = this.shared;
+    const { watchCache, clusterConfig } = this.context;
     return (
       this.ownershipTerm.state === 'held' &&
       this.isOwner() &&
-      this.shared.leaseValid() &&
+      this.context.leaseValid() &&
       watchCache.lastContactAt !== null &&
       // A new lease says nothing of holds that were attached to the one before: somebody else may have them.
-      watchCache.lastContactAt >= this.shared.leaseSince &&
+      watchCache.lastContactAt >= this.context.leaseSince &&
       now < watchCache.lastContactAt + maxGrantContactAgeMs(clusterConfig)
     );
   }
 
   gone(name: string): void {
-    this.claimTable.gone(name, this.shared.clock.now());
+    this.claimTable.gone(name, this.context.clock.now());
     this.#writes.membershipRemovals.add(name);
   }
 
   status(now: number): PartitionStatus {
-    return partitionStatusOf(this.claimTable, this.#freeByMachine, this.shared.watchCache.revision, now);
+    return partitionStatusOf(this.claimTable, this.#freeByMachine, this.context.watchCache.revision, now);
   }
 }
--- a/packages/daemon/src/ownership-manager.ts
+++ b/packages/daemon/src/ownership-manager.ts
@@ -13,16 +13,16 @@
 import { FORMAT, KEYS, LEADERSHIP, metaRecord, type OwnerRecord } from '@gingerlock/wire';
 import type { PartitionOwner } from './owner';
 import type { Settings } from './settings';
-import type { Shared } from './shared';
-import type { WorkerReach } from './worker-reach';
+import type { ControllerContext } from './controller-context';
+import type { WorkerConnectivity } from './worker-connectivity';
 
 /** What the manager needs to know of the other controllers. */
-export interface PeerHealth {
+export interface PeerLiveness {
   isAlive(node: string): boolean;
   /** Whether this process has ever heard of the controller. */
-  hasMet(node: string): boolean;
+  wasSeen(node: string): boolean;
   /** Whether the controller has been heard of for so long without a gap, and reads the state service. */
-  isWell(node: string, forMs: number): boolean;
+  isHealthy(node: string, forMs: number): boolean;
 }
 
 /** Hears of the begin and the end of each tenure. */
@@ -51,10 +51,10 @@
   #stopped = false;
 
   constructor(
-    readonly shared: Shared,
+    readonly context: ControllerContext,
     readonly process: string,
-    readonly peers: PeerHealth,
-    readonly workerReach: WorkerReach,
+    readonly peers: PeerLiveness,
+    readonly workerConnectivity: WorkerConnectivity,
     readonly listener: OwnershipListener,
   ) {}
 
@@ -63,17 +63,17 @@
   }
 
   get #settings(): Settings {
-    return this.shared.settings;
+    return this.context.settings;
   }
 
   get #clock(): Clock {
-    return this.shared.clock;
+    return this.context.clock;
   }
 
   /** Looks at all resources after a read. `lease` is this controller's state lease, valid or not, or null. */
   synced(lease: number | null): void {
     this.#lease = lease;
-    const { clusterState } = this.shared;
+    const { clusterState } = this.context;
     if (clusterState.meta === null) {
       void this.#createDeployment();
       return;
@@ -83,9 +83,9 @@
   }
 
   #decide(ownership: Ownership): void {
-    const { shared } = this;
-    const lease = shared.leaseValid() ? this.#lease : null;
-    const view = shared.clusterState.view(ownership.resource);
+    const { context } = this;
+    const lease = context.leaseValid() ? this.#lease : null;
+    const view = context.clusterState.view(ownership.resource);
     const decision = ownership.decide(view, lease, this.#clock.now(), this.#clock.wall());
     switch (decision.kind) {
       case 'none':
@@ -104,7 +104,7 @@
 
   /** Writes the settings of the deployment that hold for ever, as the first controller that ever starts. */
   async #createDeployment(): Promise<void> {
-    const { shared } = this;
+    const { context } = this;
     const tasks = Math.floor(this.#settings.valueBytes * PAGE_SHARE) * TASKS_PER_CHARACTER;
     const pageTasks = Math.max(LEAST_PAGE_TASKS, tasks);
     const partitionCount = this.#settings.clusterConfig.controllerCount;
@@ -114,10 +114,14 @@
     );
     const meta = { format: FORMAT, partitionCount, zones, pageTasks: pageTasks - (pageTasks % 8) };
     const changes = [{ put: KEYS.meta, value: metaRecord.write(meta) }];
-    const result = await shared.keyValueStore.compareAndSwap(URGENCY.accept, [{ key: KEYS.meta, version: 0 }], changes);
+    const result = await context.keyValueStore.compareAndSwap(
+      URGENCY.accept,
+      [{ key: KEYS.meta, version: 0 }],
+      changes,
+    );
     if (result.kind !== 'done') return;
-    shared.watchCache.applyOwn(changes, result.revision);
-    shared.announce(result.revision);
+    context.watchCache.applyOwn(changes, result.revision);
+    context.announce(result.revision);
   }
 
   // --- order of takers ---------------------------------------------------------------------------------------------
@@ -135,7 +139,7 @@
   /** Who should own the partition, its home first: those in its zone go before the others. */
   #orderFor(partitionId: number): string[] {
     const nodes = this.#nodes();
-    const zone = this.shared.clusterState.meta?.zones[partitionId];
+    const zone = this.context.clusterState.meta?.zones[partitionId];
     const from = nodes.map((_, i) => nodes[(i + partitionId) % nodes.length]!);
     return [...from.filter((n) => this.#zoneOf(n) === zone), ...from.filter((n) => this.#zoneOf(n) !== zone)];
   }
@@ -146,7 +150,7 @@
     for (const node of order) {
       if (node === this.#settings.node) break;
       if (this.peers.isAlive(node)) sum += ACQUISITION_DELAY.alive;
-      else sum += this.peers.hasMet(node) ? ACQUISITION_DELAY.silent : ACQUISITION_DELAY.unknown;
+      else sum += this.peers.wasSeen(node) ? ACQUISITION_DELAY.silent : ACQUISITION_DELAY.unknown;
     }
     return sum;
   }
@@ -178,10 +182,10 @@
   // --- taking and resuming -----------------------------------------------------------------------------------------
 
   async #acquire(ownership: Ownership, attempt: Acquisition): Promise<void> {
-    const { shared } = this;
+    const { context } = this;
     const { conditions, changes } = attempt.transaction;
     const isStillWanted = (): boolean => !this.#stopped && ownership.isPending(attempt);
-    const revision = await shared.commitWithRetry(URGENCY.renew, conditions, changes, isStillWanted);
+    const revision = await context.commitWithRetry(URGENCY.renew, conditions, changes, isStillWanted);
     const doneAt = this.#clock.now();
     if (revision === 0 || !(await this.#readUpTo(revision, isStillWanted)) || !this.#isOwnRecord(ownership, revision)) {
       ownership.failed(attempt);
@@ -190,14 +194,14 @@
     const ownershipTerm = ownership.acquired(attempt, revision, doneAt, this.#clock.now(), this.#clock.wall());
     if (ownershipTerm === null) return;
     const clearInMs = Math.round(ownershipTerm.fencedUntil - this.#clock.now());
-    shared.log.info({ slot: ownershipTerm.resource, term: ownershipTerm.term, clearInMs }, 'taken');
+    context.log.info({ slot: ownershipTerm.resource, term: ownershipTerm.term, clearInMs }, 'taken');
     this.listener.opened(ownershipTerm);
     this.#confirmAcquisition(ownershipTerm);
   }
 
   /** What the old owner wrote before it lost the resource has to be seen first: its membership above all. */
   async #readUpTo(revision: number, isStillWanted: () => boolean): Promise<boolean> {
-    const { watchCache, clusterConfig } = this.shared;
+    const { watchCache, clusterConfig } = this.context;
     while (watchCache.revision < revision) {
       try {
         await watchCache.linearizableRead();
@@ -210,7 +214,7 @@
   }
 
   #isOwnRecord(ownership: Ownership, version: number): boolean {
-    const owner: Versioned<OwnerRecord> | undefined = this.shared.clusterState.owners.get(ownership.resource);
+    const owner: Versioned<OwnerRecord> | undefined = this.context.clusterState.owners.get(ownership.resource);
     return owner?.version === version;
   }
 
@@ -218,23 +222,23 @@
     const transaction = ownershipTerm.resource === LEADERSHIP ? null : ownershipTerm.confirmAcquisition();
     if (transaction === null) return;
     const { conditions, changes } = transaction;
-    void this.shared.commitWithRetry(URGENCY.assign, conditions, changes, () => ownershipTerm.isCurrent);
+    void this.context.commitWithRetry(URGENCY.assign, conditions, changes, () => ownershipTerm.isCurrent);
   }
 
   async #resume(ownership: Ownership, attempt: Resumption): Promise<void> {
     const { conditions, changes } = attempt.transaction;
     const isStillWanted = (): boolean => !this.#stopped && ownership.isPending(attempt);
-    const revision = await this.shared.commitWithRetry(URGENCY.renew, conditions, changes, isStillWanted);
+    const revision = await this.context.commitWithRetry(URGENCY.renew, conditions, changes, isStillWanted);
     const { ownershipTerm } = attempt;
     if (revision === 0) {
       if (ownership.failed(attempt)) this.#ended(ownershipTerm);
     } else if (ownership.resumed(attempt)) {
-      this.shared.log.info({ slot: ownershipTerm.resource, term: ownershipTerm.term }, 'resumed');
+      this.context.log.info({ slot: ownershipTerm.resource, term: ownershipTerm.term }, 'resumed');
     }
   }
 
   #ended(ownershipTerm: OwnershipTerm): void {
-    this.shared.log.info({ slot: ownershipTerm.resource, term: ownershipTerm.term }, 'released');
+    this.context.log.info({ slot: ownershipTerm.resource, term: ownershipTerm.term }, 'released');
     this.listener.ended(ownershipTerm);
   }
 
@@ -265,16 +269,20 @@
    * meanwhile, but each report takes a way that costs it seconds whenever it is tried directly again.
    */
   releaseUnreachable(owners: Iterable<PartitionOwner>, now: number): void {
-    if (!this.shared.fresh() || this.shared.watchCache.failures > 0) return;
+    if (!this.context.fresh() || this.context.watchCache.failures > 0) return;
     for (const { partitionId, ownershipTerm, claimTable } of owners) {
-      if (ownershipTerm.state !== 'held' || !claimTable.isFencingOver || !this.workerReach.isCutOff(partitionId, now))
+      if (
+        ownershipTerm.state !== 'held' ||
+        !claimTable.isFencingOver ||
+        !this.workerConnectivity.isCutOff(partitionId, now)
+      )
         continue;
       if (!this.#settings.peers.some(({ node }) => this.peers.isAlive(node))) continue;
       const ownership = this.#ownerships.get(ownershipTerm.resource)!;
-      const attempt = ownership.release(this.shared.clusterState.view(ownershipTerm.resource));
+      const attempt = ownership.release(this.context.clusterState.view(ownershipTerm.resource));
       if (attempt === null) continue;
-      this.shared.log.info({ partitionId }, 'workers can not reach this controller');
-      this.#leftToOthersUntil.set(partitionId, now + this.shared.clusterConfig.workerLeaseMs);
+      this.context.log.info({ partitionId }, 'workers can not reach this controller');
+      this.#leftToOthersUntil.set(partitionId, now + this.context.clusterConfig.workerLeaseMs);
       this.#ended(ownershipTerm);
       void this.#release(ownership, attempt);
     }
@@ -282,13 +290,13 @@
 
   /** Gives up partitions whose terms run out of attempts: whoever takes them, mostly this controller, does so under a new term. */
   releaseExhausted(owners: Iterable<PartitionOwner>): void {
-    if (!this.shared.fresh()) return;
+    if (!this.context.fresh()) return;
     for (const { partitionId, ownershipTerm, claimTable } of owners) {
       if (ownershipTerm.state !== 'held' || !claimTable.needsNewTerm) continue;
       const ownership = this.#ownerships.get(ownershipTerm.resource)!;
-      const attempt = ownership.release(this.shared.clusterState.view(ownershipTerm.resource));
+      const attempt = ownership.release(this.context.clusterState.view(ownershipTerm.resource));
       if (attempt === null) continue;
-      this.shared.log.info({ partitionId, term: ownershipTerm.term }, 'term used up');
+      this.context.log.info({ partitionId, term: ownershipTerm.term }, 'term used up');
       this.#ended(ownershipTerm);
       void this.#release(ownership, attempt);
     }
@@ -300,16 +308,16 @@
    * partition have to find their new owner.
    */
   returnToHome(owners: Iterable<PartitionOwner>, now: number): void {
-    const { workerLeaseMs } = this.shared.clusterConfig;
-    if (now - this.#releasedAt < workerLeaseMs || !this.shared.fresh() || this.shared.watchCache.failures > 0) return;
+    const { workerLeaseMs } = this.context.clusterConfig;
+    if (now - this.#releasedAt < workerLeaseMs || !this.context.fresh() || this.context.watchCache.failures > 0) return;
     for (const { partitionId, ownershipTerm, claimTable } of owners) {
       const home = this.#orderFor(partitionId)[0]!;
       if (home === this.#settings.node || ownershipTerm.state !== 'held' || !claimTable.isFencingOver) continue;
       // What its home gave up itself, for its workers did not reach it, it gets back later.
       const patienceMs = ownershipTerm.releasedBy === home ? workerLeaseMs * CUT_OFF_RETURN_LEASES : workerLeaseMs;
-      if (now - ownershipTerm.acquiredAt < patienceMs || !this.peers.isWell(home, workerLeaseMs)) continue;
+      if (now - ownershipTerm.acquiredAt < patienceMs || !this.peers.isHealthy(home, workerLeaseMs)) continue;
       const ownership = this.#ownerships.get(ownershipTerm.resource)!;
-      const attempt = ownership.release(this.shared.clusterState.view(ownershipTerm.resource));
+      const attempt = ownership.release(this.context.clusterState.view(ownershipTerm.resource));
       if (attempt === null) continue;
       this.#releasedAt = now;
       this.#ended(ownershipTerm);
@@ -320,9 +328,9 @@
 
   async #release(ownership: Ownership, attempt: Release): Promise<void> {
     const { conditions, changes } = attempt.transaction;
-    const revision = await this.shared.commitWithRetry(URGENCY.renew, conditions, changes, () => !this.#stopped);
+    const revision = await this.context.commitWithRetry(URGENCY.renew, conditions, changes, () => !this.#stopped);
     ownership.released(attempt);
     const { resource, term } = attempt.ownershipTerm;
-    this.shared.log.info({ slot: resource, term, done: revision > 0 }, 'given back');
+    this.context.log.info({ slot: resource, term, done: revision > 0 }, 'given back');
   }
 }
--- a/packages/daemon/src/peer-health.ts
+++ b/packages/daemon/src/peer-failure-detector.ts
@@ -10,9 +10,9 @@
   readonly since: number;
 }
 
-export class PeerHealth {
+export class PeerFailureDetector {
   /** Controllers that this process has heard of, and since when without a gap; null: silent now. */
-  readonly #met = new Map<string, number | null>();
+  readonly #heardSince = new Map<string, number | null>();
   readonly #contact = new Map<string, PeerContact>();
 
   constructor(
@@ -22,37 +22,37 @@
   ) {}
 
   /** Whether this process has ever heard the controller. */
-  hasMet(node: string): boolean {
-    return this.#met.has(node);
+  wasSeen(node: string): boolean {
+    return this.#heardSince.has(node);
   }
 
-  heard(node: string, now: number): void {
-    if ((this.#met.get(node) ?? null) === null) this.#met.set(node, now);
+  recordHeartbeat(node: string, now: number): void {
+    if ((this.#heardSince.get(node) ?? null) === null) this.#heardSince.set(node, now);
   }
 
   /** Notes which connections have fallen silent. */
   tick(): void {
-    for (const node of this.#met.keys()) if (!this.link.alive(node)) this.#met.set(node, null);
+    for (const node of this.#heardSince.keys()) if (!this.link.alive(node)) this.#heardSince.set(node, null);
   }
 
   /** This process stood still: nobody was heard without a gap. */
   resumedAfterStall(): void {
-    for (const node of this.#met.keys()) this.#met.set(node, null);
+    for (const node of this.#heardSince.keys()) this.#heardSince.set(node, null);
   }
 
   /** Notes what a peer says of its contact with the state service, and since when it has had that without a gap. */
-  noteContact(node: string, ageMs: number, now: number): void {
+  recordContact(node: string, ageMs: number, now: number): void {
     const known = this.#contact.get(node);
     const hasContact = ageMs <= this.heartbeatIntervalMs;
     this.#contact.set(node, { ageMs, at: now, since: hasContact && known !== undefined ? known.since : now });
   }
 
   /** Whether the controller has been heard of for so long without a gap, and has just read the state service. */
-  isWell(node: string, forMs: number): boolean {
+  isHealthy(node: string, forMs: number): boolean {
     const now = this.clock.now();
-    const metAt = this.#met.get(node) ?? now;
+    const heardSince = this.#heardSince.get(node) ?? now;
     const contact = this.#contact.get(node);
-    if (contact === undefined || now - metAt < forMs || now - contact.since < forMs) return false;
+    if (contact === undefined || now - heardSince < forMs || now - contact.since < forMs) return false;
     return now - contact.at <= this.heartbeatIntervalMs && contact.ageMs <= this.heartbeatIntervalMs;
   }
 
--- a/packages/daemon/src/rendezvous.ts
+++ b/packages/daemon/src/rendezvous.ts
@@ -10,14 +10,14 @@
   type RendezvousQuestion,
 } from '@gingerlock/wire';
 import { refusal, type Reply } from './reply';
-import type { Shared } from './shared';
+import type { ControllerContext } from './controller-context';
 
 /** Members whose controller can't answer ask again after so many seconds. */
 const RETRY_S = 1;
 
 export class Rendezvous {
   constructor(
-    readonly shared: Shared,
+    readonly context: ControllerContext,
     readonly settings: ReplicaGroupSettings,
   ) {}
 
@@ -34,7 +34,7 @@
       return refusal(400, error instanceof Malformed ? error.message : 'malformed');
     }
     try {
-      await this.shared.watchCache.linearizableRead();
+      await this.context.watchCache.linearizableRead();
     } catch {
       return refusal(503, 'state service is out of reach', RETRY_S);
     }
@@ -42,7 +42,7 @@
   }
 
   #answer({ job: id, rank, attempt }: RendezvousQuestion): Reply {
-    const { clusterState, clusterConfig } = this.shared;
+    const { clusterState, clusterConfig } = this.context;
     const job = clusterState.jobs.live.get(id);
     const record = job?.isGroup === true ? clusterState.groups.get(id)?.record : undefined;
     const isServing = record?.state === 'serving' && record.members[rank]?.attempt === attempt;
--- a/packages/daemon/src/serve.ts
+++ b/packages/daemon/src/serve.ts
@@ -16,7 +16,7 @@
 };
 
 /** Share of the sockets for connections to other hosts that are kept open between two requests. */
-const KEPT_HOSTS_SHARE = 0.12;
+const KEEP_ALIVE_HOSTS_SHARE = 0.12;
 
 /** Runs one controller until the process is killed. */
 export async function serve(settings: Settings): Promise<void> {
@@ -32,7 +32,7 @@
   const controller = new Controller({
     settings,
     clock: realClock,
-    http: nodeHttp(Math.floor(settings.sockets * KEPT_HOSTS_SHARE)),
+    http: nodeHttp(Math.floor(settings.sockets * KEEP_ALIVE_HOSTS_SHARE)),
     link,
     log,
   });
--- a/packages/daemon/src/status-publisher.ts
+++ b/packages/daemon/src/status-publisher.ts
@@ -4,7 +4,7 @@
 import { type GroupReports, groupReportMessages } from './group-reports';
 import type { PartitionOwner } from './owner';
 import type { PeerChannel } from './peer-channel';
-import { DISPLAY_LAG_MS, type Shared } from './shared';
+import { DISPLAY_LAG_MS, type ControllerContext } from './controller-context';
 import type { PartitionStatuses } from './partition-statuses';
 
 /** Nothing is told more often than so many times in a report interval, and all of it so many times at the least. */
@@ -26,7 +26,7 @@
   #groupReportSequence = 0;
 
   constructor(
-    readonly shared: Shared,
+    readonly context: ControllerContext,
     readonly peers: PeerChannel,
     readonly statuses: PartitionStatuses,
     readonly claimLists: ClaimLists,
@@ -35,7 +35,7 @@
 
   /** Tells the peers how the partitions stand, if that is due; false: it is not. */
   publish(owners: readonly PartitionOwner[], contactAgeMs: number, now: number): boolean {
-    const { clusterConfig, settings, clusterState, watchCache } = this.shared;
+    const { clusterConfig, settings, clusterState, watchCache } = this.context;
     const changes = owners.reduce((sum, { claimTable }) => sum + claimTable.changes + 1, 0);
     const since = now - this.#sentAt;
     if (since < clusterConfig.heartbeatIntervalMs / MOST_PER_REPORT) return false;
@@ -46,41 +46,42 @@
     this.peers.broadcast({ kind: 'PeerHeartbeat', contactAgeMs, revision: watchCache.revision });
     // The leader divides by them and needs every one; the others show users what runs, and know images should they take
     // the part over.
-    const lead = clusterState.owners.get(LEADERSHIP)?.record.node;
+    const leaderNode = clusterState.owners.get(LEADERSHIP)?.record.node;
     const forAll = now - this.#sentToAllAt > Math.min(clusterConfig.heartbeatIntervalMs, DISPLAY_LAG_MS / 2);
     if (forAll) this.#sentToAllAt = now;
-    const to = this.peers.link.nodes.filter((node) => forAll || node === lead);
+    const to = this.peers.link.nodes.filter((node) => forAll || node === leaderNode);
     for (const owner of owners) this.statuses.publish(owner, settings.node, now, this.peers, to);
-    this.#tellClaims(owners, now);
-    this.#tellGroups(owners, now);
+    this.#publishClaims(owners, now);
+    this.#publishGroupReports(owners, now);
     return true;
   }
 
   /** Tells the leader how the members of replica groups are, if it takes that. */
-  #tellGroups(owners: readonly PartitionOwner[], now: number): void {
-    const lead = this.shared.clusterState.holds.get(LEADERSHIP)?.record;
-    const { features, node } = this.shared.settings;
-    if (features.replicaGroups === null || lead?.takesGroupReports !== true) return;
+  #publishGroupReports(owners: readonly PartitionOwner[], now: number): void {
+    const leadershipHold = this.context.clusterState.holds.get(LEADERSHIP)?.record;
+    const { features, node } = this.context.settings;
+    if (features.replicaGroups === null || leadershipHold?.takesGroupReports !== true) return;
     const { frameBytes } = this.peers.link;
     for (const { groups, claimTable } of owners) {
       const report = groups!.report(claimTable, now);
-      if (lead.node === node) this.groupReports.note(report);
-      else this.peers.sendGroup(lead.node, groupReportMessages(report, ++this.#groupReportSequence, frameBytes));
+      if (leadershipHold.node === node) this.groupReports.note(report);
+      else
+        this.peers.sendGroup(leadershipHold.node, groupReportMessages(report, ++this.#groupReportSequence, frameBytes));
     }
   }
 
   /** Tells the leader what the machines of our parts hold, if it takes that. */
-  #tellClaims(owners: readonly PartitionOwner[], now: number): void {
-    const lead = this.shared.clusterState.holds.get(LEADERSHIP)?.record;
-    const { features, node, clusterConfig } = this.shared.settings;
-    if (features.borrowing === null || lead?.takesClaimLists !== true) return;
+  #publishClaims(owners: readonly PartitionOwner[], now: number): void {
+    const leadershipHold = this.context.clusterState.holds.get(LEADERSHIP)?.record;
+    const { features, node, clusterConfig } = this.context.settings;
+    if (features.borrowing === null || leadershipHold?.takesClaimLists !== true) return;
     if (now - this.#claimsSentAt < clusterConfig.heartbeatIntervalMs / CLAIM_LISTS_PER_REPORT) return;
     this.#claimsSentAt = now;
     const { frameBytes } = this.peers.link;
     for (const { claimTable } of owners) {
-      const claims = claimsOf(claimTable, this.shared.watchCache.revision, now);
-      if (lead.node === node) this.claimLists.note(claims, now);
-      else this.peers.sendGroup(lead.node, claimListMessages(claims, ++this.#claimListSequence, frameBytes));
+      const claims = claimsOf(claimTable, this.context.watchCache.revision, now);
+      if (leadershipHold.node === node) this.claimLists.note(claims, now);
+      else this.peers.sendGroup(leadershipHold.node, claimListMessages(claims, ++this.#claimListSequence, frameBytes));
     }
   }
 }
--- a/packages/daemon/src/worker-command-sender.ts
+++ b/packages/daemon/src/worker-command-sender.ts
@@ -1,11 +1,11 @@
 // What an owner sends straight to the workers of its partition, beside the answers to their reports.
 import type { ClaimTable, Machine, TaskEntry } from '@gingerlock/core';
 import { decodeHeartbeat, encodeDirectCommands } from '@gingerlock/wire';
-import type { Shared } from './shared';
+import type { ControllerContext } from './controller-context';
 
 export class WorkerCommandSender {
   constructor(
-    readonly shared: Shared,
+    readonly context: ControllerContext,
     readonly claimTable: ClaimTable,
   ) {}
 
@@ -21,7 +21,7 @@
       graceS: s.claim!.stopGraceS ?? 0,
     }));
     const body = encodeDirectCommands(this.claimTable.fencingToken(machine), machine.agentEpoch, commands);
-    const { http, clusterConfig, log } = this.shared;
+    const { http, clusterConfig, log } = this.context;
     http(machine.addr, 'POST', '/commands', body, clusterConfig.heartbeatIntervalMs * 2).catch((error: unknown) => {
       // The answer to its next report says the same.
       log.debug({ machine: machine.name, error: String(error) }, 'direct stop not answered');
@@ -34,7 +34,7 @@
    */
   requestHeartbeat(machine: Machine, now: number): void {
     const body = encodeDirectCommands(this.claimTable.requestHeartbeat(machine, now), machine.agentEpoch, []);
-    const { http, clusterConfig, log } = this.shared;
+    const { http, clusterConfig, log } = this.context;
     http(machine.addr, 'POST', '/commands', body, clusterConfig.heartbeatIntervalMs).catch((error: unknown) => {
       // Then it reports in its own time.
       log.debug({ machine: machine.name, error: String(error) }, 'call not answered');
@@ -47,7 +47,7 @@
    * that is under way.
    */
   async announceTerm(name: string, addr: string, knownAgentEpoch: number | undefined): Promise<void> {
-    const { http, clusterConfig, log } = this.shared;
+    const { http, clusterConfig, log } = this.context;
     try {
       const agentEpoch =
         knownAgentEpoch ??
--- a/packages/daemon/src/worker-reach.ts
+++ b/packages/daemon/src/worker-connectivity.ts
@@ -6,14 +6,14 @@
 const CUT_LEASES = 1;
 
 /** Reports of a partition that come less often than this, in report intervals, say nothing. */
-const HEARD_INTERVALS = 3;
+const RELAY_GAP_INTERVALS = 3;
 
 interface Relayed {
   readonly since: number;
   readonly last: number;
 }
 
-export class WorkerReach {
+export class WorkerConnectivity {
   #directAt: number;
   /** By partition: since when its reports are relayed without a long gap. */
   readonly #relayed = new Map<number, Relayed>();
@@ -26,22 +26,23 @@
   }
 
   /** A worker, of whichever partition, has reached this controller. */
-  direct(now: number): void {
+  recordDirect(now: number): void {
     this.#directAt = now;
     this.#relayed.clear();
   }
 
   /** Another controller has relayed a report of a worker of the partition. */
-  relayed(partitionId: number, now: number): void {
+  recordRelayed(partitionId: number, now: number): void {
     const known = this.#relayed.get(partitionId);
-    const goesOn = known !== undefined && now - known.last <= this.clusterConfig.heartbeatIntervalMs * HEARD_INTERVALS;
+    const goesOn =
+      known !== undefined && now - known.last <= this.clusterConfig.heartbeatIntervalMs * RELAY_GAP_INTERVALS;
     this.#relayed.set(partitionId, { since: goesOn ? known.since : now, last: now });
   }
 
   /** Whether the workers of the partition report, and for long have not been able to do so here. */
   isCutOff(partitionId: number, now: number): boolean {
     const relayed = this.#relayed.get(partitionId);
-    if (relayed === undefined || now - relayed.last > this.clusterConfig.heartbeatIntervalMs * HEARD_INTERVALS)
+    if (relayed === undefined || now - relayed.last > this.clusterConfig.heartbeatIntervalMs * RELAY_GAP_INTERVALS)
       return false;
     const cutMs = this.clusterConfig.workerLeaseMs * CUT_LEASES;
     return now - relayed.since >= cutMs && now - this.#directAt >= cutMs;
--- a/packages/daemon/test/commit-with-retry.test.ts
+++ b/packages/daemon/test/commit-with-retry.test.ts
@@ -53,7 +53,7 @@
   const key = KEYS.membership(0, 'm-1');
   const before = txns;
   let settled: number | null = null;
-  void controller.shared
+  void controller.context
     .commitWithRetry(0, [{ key, version: 0 }], [{ put: key, value: membershipRecord.write('a:1') }], () => true)
     .then((revision) => {
       settled = revision;
--- a/packages/replica-groups/src/next-record.ts
+++ b/packages/replica-groups/src/next-record.ts
@@ -109,21 +109,25 @@
   return null;
 }
 
-interface ToldMember extends GroupMember {
+interface ReportedMember extends GroupMember {
   readonly report: MemberReport | null;
 }
 
-function membersOf(record: GroupRecord, { reportOf }: GroupContext): ToldMember[] {
-  const told = new Map<number, MemberReport>();
+function membersOf(record: GroupRecord, { reportOf }: GroupContext): ReportedMember[] {
+  const memberReports = new Map<number, MemberReport>();
   for (const partitionId of new Set(record.members.map((member) => member.partitionId))) {
     const report = reportOf(partitionId);
     if (report?.generation !== record.generation) continue;
-    for (const member of report.members) told.set(member.rank, member);
+    for (const member of report.members) memberReports.set(member.rank, member);
   }
-  return record.members.map((member, rank) => ({ ...member, report: told.get(rank) ?? null }));
+  return record.members.map((member, rank) => ({ ...member, report: memberReports.get(rank) ?? null }));
 }
 
-function whileReserved(record: GroupRecord, members: readonly ToldMember[], context: GroupContext): GroupRecord | null {
+function whileReserved(
+  record: GroupRecord,
+  members: readonly ReportedMember[],
+  context: GroupContext,
+): GroupRecord | null {
   const { settings, clusterConfig, wall, longestSaveS } = context;
   const late = members.find(({ report }) => report?.phase !== 'held');
   if (late === undefined) return moveTo(record, 'admitted', { since: wall, reason: 'all room is kept' });
@@ -134,7 +138,7 @@
 function whileAdmitted(
   job: Job,
   record: GroupRecord,
-  members: readonly ToldMember[],
+  members: readonly ReportedMember[],
   context: GroupContext,
 ): GroupRecord | null {
   const { settings, clusterConfig, types, wall } = context;
--- a/packages/replica-groups/src/partition-groups.ts
+++ b/packages/replica-groups/src/partition-groups.ts
@@ -118,8 +118,8 @@
     for (const [job, { record }, tasks] of this.#groupsHere()) {
       if (record.state === 'waiting' || record.state === 'ending') continue;
       const members = tasks.map((task) => this.#reportOn(task, record, now));
-      const told = record.state === 'serving' ? members.filter(({ phase }) => phase === 'lost') : members;
-      if (told.length > 0) reports.push({ job, generation: record.generation, members: told });
+      const memberReports = record.state === 'serving' ? members.filter(({ phase }) => phase === 'lost') : members;
+      if (memberReports.length > 0) reports.push({ job, generation: record.generation, members: memberReports });
     }
     return reports;
   }
--- a/packages/testkit/src/group-audit.ts
+++ b/packages/testkit/src/group-audit.ts
@@ -142,8 +142,8 @@
   }
 
   /** No room is kept without a record that says so. An owner that can't read the state service can't know. */
-  #checkKept({ groups, shared, partitionId, claimTable }: PartitionOwner): void {
-    const { clock, watchCache } = shared;
+  #checkKept({ groups, context, partitionId, claimTable }: PartitionOwner): void {
+    const { clock, watchCache } = context;
     const { now } = this.world.sim;
     const isFresh =
       watchCache.lastContactAt !== null && clock.now() - watchCache.lastContactAt < this.world.heartbeatIntervalMs;
--- a/packages/testkit/src/ownership-audit.ts
+++ b/packages/testkit/src/ownership-audit.ts
@@ -23,8 +23,8 @@
 
   /** A worker is being answered with 200 by a controller that takes itself for the owner of the worker's partition. */
   answered(node: string, owner: PartitionOwner): void {
-    const { ownershipTerm, shared } = owner;
-    const copy = shared.clusterState.owners.get(ownershipTerm.resource);
+    const { ownershipTerm, context } = owner;
+    const copy = context.clusterState.owners.get(ownershipTerm.resource);
     if (copy?.version === ownershipTerm.version) return;
     this.world.breach(
       'deposed_owner',
--- a/packages/testkit/test/borrowing-off.test.ts
+++ b/packages/testkit/test/borrowing-off.test.ts
@@ -30,8 +30,8 @@
   world.network.onSent = (from, addr, path, body) => trace.push(`${from} ${addr} ${path} ${body.toString('hex')}`);
   world.state.onStored = (key) => keys.add(key.split('/').slice(0, 2).join('/'));
   await playDay(world, { seed: 71, forMs: 90_000, faults: FAULTS });
-  const lead = holdRecord.read(world.state.data.get(KEYS.hold(LEADERSHIP))!.value);
-  assert.equal(lead.takesClaimLists, undefined);
+  const leadershipHold = holdRecord.read(world.state.data.get(KEYS.hold(LEADERSHIP))!.value);
+  assert.equal(leadershipHold.takesClaimLists, undefined);
   return { trace, kinds, keys: [...keys].sort() };
 }
 
--- a/packages/testkit/test/membership.test.ts
+++ b/packages/testkit/test/membership.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Machine, ClaimTable } from '@gingerlock/core';
-import { Shared } from '@gingerlock/daemon';
+import { ControllerContext } from '@gingerlock/daemon';
 import { KEYS } from '@gingerlock/wire';
 import { World } from '../src/index';
 
@@ -19,9 +19,15 @@
       .map((o) => o.claimTable.machines.get(name))
       .find((m) => m !== undefined);
   assert.equal(machine()?.isMember, true);
-  const { commitWithRetry } = Shared.prototype;
+  const { commitWithRetry } = ControllerContext.prototype;
   let back = false;
-  Shared.prototype.commitWithRetry = async function (this: Shared, urgency, conditions, changes, isStillWanted) {
+  ControllerContext.prototype.commitWithRetry = async function (
+    this: ControllerContext,
+    urgency,
+    conditions,
+    changes,
+    isStillWanted,
+  ) {
     const removal = changes.some((c) => 'remove' in c && [0, 1, 2].some((p) => c.remove === KEYS.membership(p, name)));
     if (!removal) return commitWithRetry.call(this, urgency, conditions, changes, isStillWanted);
     world.network.mute.delete(name);
@@ -34,7 +40,7 @@
     while (!back) await world.sim.run(world.sim.now + 100);
     await world.sim.run(world.sim.now + 100);
   } finally {
-    Shared.prototype.commitWithRetry = commitWithRetry;
+    ControllerContext.prototype.commitWithRetry = commitWithRetry;
   }
   assert.equal(machine()?.isMember, true);
 });
--- a/packages/testkit/test/mutants.test.ts
+++ b/packages/testkit/test/mutants.test.ts
@@ -114,7 +114,7 @@
         'plan',
         (original) =>
           function (this: LeaderBorrowing, view) {
-            const { reclaims } = this.shared.clusterState;
+            const { reclaims } = this.context.clusterState;
             const stored = [...reclaims];
             reclaims.clear();
             try {
--- a/packages/testkit/test/replica-groups-off.test.ts
+++ b/packages/testkit/test/replica-groups-off.test.ts
@@ -44,8 +44,8 @@
       [...world.state.data.keys()].filter((key) => key.startsWith('g/g/')),
       [],
     );
-    const lead = holdRecord.read(world.state.data.get(KEYS.hold(LEADERSHIP))!.value);
-    assert.equal(lead.takesGroupReports, undefined);
+    const leadershipHold = holdRecord.read(world.state.data.get(KEYS.hold(LEADERSHIP))!.value);
+    assert.equal(leadershipHold.takesGroupReports, undefined);
   }
 });
 
--- a/packages/testkit/test/takeover.test.ts
+++ b/packages/testkit/test/takeover.test.ts
@@ -117,6 +117,6 @@
   while (grants === 0) await world.sim.run(world.sim.now + 10);
   await world.sim.run(world.sim.now + 100);
   assert.ok(world.sim.now < until, 'its view is not too old yet');
-  assert.ok(node.shared.leaseValid());
+  assert.ok(node.context.leaseValid());
   assert.equal(mayStart(), false);
 });
