--- a/packages/clients/src/cloud.ts
+++ b/packages/clients/src/cloud.ts
@@ -20,10 +20,10 @@
   /** To be asked again under the same name. */
   | { readonly kind: 'unknown'; readonly why: string };
 
-export class CloudTrouble extends Error {
+export class CloudRequestError extends Error {
   constructor(what: string, status: number) {
     super(`${what}: status ${status}`);
-    this.name = 'CloudTrouble';
+    this.name = 'CloudRequestError';
   }
 }
 
@@ -36,7 +36,7 @@
 
   async types(): Promise<MachineTypeList> {
     const answer = await this.http(this.addr, 'GET', CLOUD_PATHS.types, null, this.timeoutMs);
-    if (answer.status !== 200) throw new CloudTrouble('machine types', answer.status);
+    if (answer.status !== 200) throw new CloudRequestError('machine types', answer.status);
     return readMachineTypes(decode(answer.body));
   }
 
@@ -44,7 +44,7 @@
     const machines: CloudMachine[] = [];
     for (let after = '', more = true; more;) {
       const answer = await this.http(this.addr, 'GET', CLOUD_PATHS.list(after), null, this.timeoutMs);
-      if (answer.status !== 200) throw new CloudTrouble('machine list', answer.status);
+      if (answer.status !== 200) throw new CloudRequestError('machine list', answer.status);
       const page = machineListOf(decode(answer.body));
       machines.push(...page.machines);
       after = page.machines.at(-1)?.name ?? after;
--- a/packages/clients/src/http.ts
+++ b/packages/clients/src/http.ts
@@ -1,11 +1,11 @@
 import { Agent, request } from 'node:http';
-import { AnswerTooLarge, type Http, type HttpAnswer, NoAnswer } from './ports';
+import { ResponseTooLargeError, type Http, type HttpResponse, NoResponseError } from './ports';
 
 /**
  * Largest answer that is read. A page of a list holds 512 KiB; changes to follow have no limit, and when they are more than this, all is
  * read again by pages.
  */
-const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
 /** A connection that is kept is given up for that to another host once it has not been used for so long. */
 const KEEP_ALIVE_IDLE_MS = 30_000;
@@ -45,7 +45,7 @@
   const closing = new Agent({ keepAlive: false, maxSockets: 8 });
   const kept = new KeepAliveHosts(keepAliveHosts);
   return (addr, method, path, body, timeoutMs) =>
-    new Promise<HttpAnswer>((resolve, reject) => {
+    new Promise<HttpResponse>((resolve, reject) => {
       const colon = addr.lastIndexOf(':');
       const req = request(
         {
@@ -62,7 +62,7 @@
           let size = 0;
           res.on('data', (chunk: Buffer) => {
             size += chunk.length;
-            if (size > MAX_ANSWER_BYTES) req.destroy(new AnswerTooLarge(MAX_ANSWER_BYTES));
+            if (size > MAX_RESPONSE_BYTES) req.destroy(new ResponseTooLargeError(MAX_RESPONSE_BYTES));
             else chunks.push(chunk);
           });
           res.on('end', () => {
@@ -70,14 +70,14 @@
             resolve({ status: res.statusCode ?? 0, body: chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks) });
           });
           res.on('error', fail);
-          res.on('aborted', () => fail(new NoAnswer('answer cut off')));
+          res.on('aborted', () => fail(new NoResponseError('answer cut off')));
         },
       );
       const fail = (error: Error): void => {
         clearTimeout(timer);
-        reject(error instanceof NoAnswer ? error : new NoAnswer(error.message));
+        reject(error instanceof NoResponseError ? error : new NoResponseError(error.message));
       };
-      const timer = setTimeout(() => req.destroy(new NoAnswer('no answer in time')), timeoutMs);
+      const timer = setTimeout(() => req.destroy(new NoResponseError('no answer in time')), timeoutMs);
       req.on('error', fail);
       req.end(body ?? undefined);
     });
--- a/packages/clients/src/key-value-store.ts
+++ b/packages/clients/src/key-value-store.ts
@@ -13,8 +13,8 @@
   type StateItem,
   txnMap,
 } from '@gingerlock/wire';
-import { type RateLimiter, Overloaded, type Urgency, URGENCY } from './rate-limiter';
-import { AnswerTooLarge, type Clock, type Http, type HttpAnswer, NoAnswer } from './ports';
+import { type RateLimiter, OverloadedError, type Urgency, URGENCY } from './rate-limiter';
+import { ResponseTooLargeError, type Clock, type Http, type HttpResponse, NoResponseError } from './ports';
 
 export type CompareAndSwapResult =
   | { readonly kind: 'done'; readonly revision: number }
@@ -35,7 +35,7 @@
     what: string,
   ) {
     super(`${what}: status ${status}`);
-    this.name = 'StateRefused';
+    this.name = 'StoreRejectedError';
   }
 }
 
@@ -62,7 +62,7 @@
     path: string,
     body: unknown,
     patienceMs?: number,
-  ): Promise<HttpAnswer> {
+  ): Promise<HttpResponse> {
     const { http, addr, rateLimiter, timeoutMs } = this.options;
     // A large transaction may take longer than that to fill its place in the budget, and others wait before it.
     const patience = patienceMs ?? Math.max(timeoutMs, ((writes * 2) / rateLimiter.writesPerS) * 1000);
@@ -103,11 +103,11 @@
   }
 
   /** Null: they are more than an answer may hold. Asked for again and again, they only became more. */
-  async #changesAfter(prefix: string, after: number): Promise<HttpAnswer | null> {
+  async #changesAfter(prefix: string, after: number): Promise<HttpResponse | null> {
     try {
       return await this.#send(URGENCY.cancel, 0, 'GET', STATE_PATHS.follow(prefix, after, 0), null);
     } catch (error) {
-      if (error instanceof AnswerTooLarge) return null;
+      if (error instanceof ResponseTooLargeError) return null;
       throw error;
     }
   }
@@ -144,7 +144,7 @@
           return { kind: 'unknown', why: `status ${answer.status}` };
       }
     } catch (error) {
-      if (error instanceof Overloaded) return { kind: 'refused', why: error.message };
+      if (error instanceof OverloadedError) return { kind: 'refused', why: error.message };
       known = false;
       return { kind: 'unknown', why: error instanceof Error ? error.message : 'failed' };
     } finally {
@@ -171,4 +171,4 @@
   }
 }
 
-export { NoAnswer };
+export { NoResponseError };
--- a/packages/clients/src/ports.ts
+++ b/packages/clients/src/ports.ts
@@ -10,7 +10,7 @@
   random(): number;
 }
 
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly body: Buffer;
 }
@@ -22,20 +22,20 @@
   path: string,
   body: Buffer | null,
   timeoutMs: number,
-) => Promise<HttpAnswer>;
+) => Promise<HttpResponse>;
 
-export class NoAnswer extends Error {
+export class NoResponseError extends Error {
   constructor(reason: string) {
     super(reason);
-    this.name = 'NoAnswer';
+    this.name = 'NoResponseError';
   }
 }
 
 /** The answer is larger than is read: asked again, it would be as large. */
-export class AnswerTooLarge extends NoAnswer {
+export class ResponseTooLargeError extends NoResponseError {
   constructor(bytes: number) {
     super(`answer of more than ${bytes} bytes`);
-    this.name = 'AnswerTooLarge';
+    this.name = 'ResponseTooLargeError';
   }
 }
 
--- a/packages/clients/src/rate-limiter.ts
+++ b/packages/clients/src/rate-limiter.ts
@@ -4,10 +4,10 @@
 export const URGENCY = { renew: 0, cancel: 1, accept: 2, assign: 3, finish: 4, rest: 5 } as const;
 export type Urgency = (typeof URGENCY)[keyof typeof URGENCY];
 
-export class Overloaded extends Error {
+export class OverloadedError extends Error {
   constructor() {
     super('request budget is used up');
-    this.name = 'Overloaded';
+    this.name = 'OverloadedError';
   }
 }
 
@@ -116,7 +116,7 @@
     const now = this.clock.now();
     this.#queue = this.#queue.filter((w) => {
       if (w.until >= now) return true;
-      w.refuse(new Overloaded());
+      w.refuse(new OverloadedError());
       return false;
     });
     for (;;) {
--- a/packages/clients/test/key-value-store.test.ts
+++ b/packages/clients/test/key-value-store.test.ts
@@ -5,7 +5,7 @@
 import fc from 'fast-check';
 import {
   RateLimiter,
-  Overloaded,
+  OverloadedError,
   WatchCache,
   KeyValueStore,
   type CompareAndSwapResult,
@@ -77,7 +77,7 @@
   for (const name of ['rest', 'finish', 'accept', 'renew'] as const) {
     void rateLimiter.acquire(URGENCY[name], 0, 1e9).then(() => order.push(name));
   }
-  const impatient = assert.rejects(rateLimiter.acquire(URGENCY.rest, 0, 10), Overloaded);
+  const impatient = assert.rejects(rateLimiter.acquire(URGENCY.rest, 0, 10), OverloadedError);
   await sim.run(10_000);
   await impatient;
   assert.deepEqual(order, ['renew', 'accept', 'finish', 'rest']);
--- a/packages/daemon/src/controller.ts
+++ b/packages/daemon/src/controller.ts
@@ -15,7 +15,7 @@
   encodeHeartbeatAnswer,
   encodeRedirect,
   LEADERSHIP,
-  Malformed,
+  MalformedMessageError,
   PREFIX,
   type Heartbeat,
 } from '@gingerlock/wire';
@@ -327,7 +327,7 @@
     try {
       heartbeat = decodeHeartbeat(body);
     } catch (error) {
-      return refusal(400, error instanceof Malformed ? error.message : 'malformed');
+      return refusal(400, error instanceof MalformedMessageError ? error.message : 'malformed');
     }
     this.#workerConnectivity.recordDirect(this.clock.now());
     const { partitioner } = this.clusterState;
--- a/packages/daemon/src/job-api.ts
+++ b/packages/daemon/src/job-api.ts
@@ -11,7 +11,7 @@
   type JobSpec,
   type JobState,
   KEYS,
-  Malformed,
+  MalformedMessageError,
   mostMembers,
 } from '@gingerlock/wire';
 import { refusal, type Reply } from './reply';
@@ -81,7 +81,7 @@
     try {
       spec = decodeSubmission(body);
     } catch (error) {
-      return refusal(400, error instanceof Malformed ? error.message : 'malformed');
+      return refusal(400, error instanceof MalformedMessageError ? error.message : 'malformed');
     }
     const { id } = spec;
     if (this.#isKnown(id)) return this.poll(id);
--- a/packages/daemon/src/rendezvous.ts
+++ b/packages/daemon/src/rendezvous.ts
@@ -6,7 +6,7 @@
   encodeRendezvousRefusal,
   type GroupRecord,
   hostOf,
-  Malformed,
+  MalformedMessageError,
   type RendezvousQuestion,
 } from '@gingerlock/wire';
 import { refusal, type Reply } from './reply';
@@ -31,7 +31,7 @@
     try {
       question = decodeRendezvousQuestion(body);
     } catch (error) {
-      return refusal(400, error instanceof Malformed ? error.message : 'malformed');
+      return refusal(400, error instanceof MalformedMessageError ? error.message : 'malformed');
     }
     try {
       await this.context.watchCache.linearizableRead();
--- a/packages/daemon/test/commit-with-retry.test.ts
+++ b/packages/daemon/test/commit-with-retry.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type Http, NoAnswer } from '@gingerlock/clients';
+import { type Http, NoResponseError } from '@gingerlock/clients';
 import { KEYS, membershipRecord, STATE_PATHS } from '@gingerlock/wire';
 import { MAX_FRAME_BYTES } from '@gingerlock/peer';
 import { Sim, SimStateService } from '@gingerlock/testkit';
@@ -22,12 +22,12 @@
       sim.after(5, () => {
         const isTxn = path === STATE_PATHS.txn;
         if (isTxn) txns++;
-        if (!isTxn && unreadable) return reject(new NoAnswer('lost'));
+        if (!isTxn && unreadable) return reject(new NoResponseError('lost'));
         const answer = service.handle(method, path, body ?? Buffer.alloc(0), 'n0');
         if (isTxn && lose) {
           lose = false;
           unreadable = true;
-          return reject(new NoAnswer('lost'));
+          return reject(new NoResponseError('lost'));
         }
         resolve(answer);
       });
--- a/packages/daemon/test/questions.test.ts
+++ b/packages/daemon/test/questions.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { NoAnswer, URGENCY } from '@gingerlock/clients';
+import { NoResponseError, URGENCY } from '@gingerlock/clients';
 import { MAX_FRAME_BYTES, type PeerLink, type PeerMessage } from '@gingerlock/peer';
 import { Sim } from '@gingerlock/testkit';
 import { Controller } from '../src/controller';
@@ -26,7 +26,7 @@
       () => 0,
       () => true,
     ),
-    http: () => Promise.reject(new NoAnswer('cut off')),
+    http: () => Promise.reject(new NoResponseError('cut off')),
     link,
     log: SILENT,
   });
--- a/packages/peer/src/frames.ts
+++ b/packages/peer/src/frames.ts
@@ -1,10 +1,10 @@
 /** Largest frame that is sent or taken. */
 export const MAX_FRAME_BYTES = 1024 * 1024;
 
-export class BadFrame extends Error {
+export class MalformedFrameError extends Error {
   constructor(reason: string) {
     super(reason);
-    this.name = 'BadFrame';
+    this.name = 'MalformedFrameError';
   }
 }
 
@@ -22,7 +22,7 @@
     rest = rest.length === 0 ? chunk : Buffer.concat([rest, chunk]);
     while (rest.length >= 4) {
       const length = rest.readUInt32BE(0);
-      if (length > MAX_FRAME_BYTES) throw new BadFrame(`frame of ${length} bytes`);
+      if (length > MAX_FRAME_BYTES) throw new MalformedFrameError(`frame of ${length} bytes`);
       if (rest.length < 4 + length) break;
       yield rest.subarray(4, 4 + length);
       rest = rest.subarray(4 + length);
--- a/packages/peer/test/link.test.ts
+++ b/packages/peer/test/link.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import {
-  BadFrame,
+  MalformedFrameError,
   decodePeer,
   encodePeer,
   frame,
@@ -149,7 +149,7 @@
   huge.writeUInt32BE(MAX_FRAME_BYTES + 1, 0);
   await assert.rejects(async () => {
     for await (const payload of frames(pieces(huge, []))) got.push(payload);
-  }, BadFrame);
+  }, MalformedFrameError);
 });
 
 test('bytes that are no message are refused by an error, never taken for one that costs memory', () => {
--- a/packages/testkit/src/cloud.ts
+++ b/packages/testkit/src/cloud.ts
@@ -1,5 +1,5 @@
 // A stand-in of the cloud: it rents machines, lists them, maybe as they were a while ago, and takes them back.
-import type { HttpAnswer } from '@gingerlock/clients';
+import type { HttpResponse } from '@gingerlock/clients';
 import {
   type CloudMachine,
   decode,
@@ -38,7 +38,7 @@
 /** Fast boots take at least and at most so long. */
 const FAST_BOOT_MS = { least: 100, most: 2000 };
 
-function answer(status: number, map: unknown): HttpAnswer {
+function answer(status: number, map: unknown): HttpResponse {
   return { status, body: encode(map) };
 }
 
@@ -107,7 +107,7 @@
     else this.#records.delete(name, now);
   }
 
-  handle(method: string, path: string, body: Buffer): HttpAnswer {
+  handle(method: string, path: string, body: Buffer): HttpResponse {
     if (this.outage) return answer(503, { error: 'trouble' });
     const request = parseCloudRequest(method, path);
     switch (request?.kind) {
@@ -125,7 +125,7 @@
     }
   }
 
-  #rent({ request, type: name, zone, spot, count }: RentRequest): HttpAnswer {
+  #rent({ request, type: name, zone, spot, count }: RentRequest): HttpResponse {
     const known = this.#requests.get(request);
     if (known !== undefined) return answer(200, rentedMap(known));
     const type = this.options.types.find((t) => t.name === name);
@@ -149,7 +149,7 @@
     return bootS * 1000 * (0.6 + random()) * (bootTrouble?.factor ?? 1);
   }
 
-  #list(after: string, limit: number): HttpAnswer {
+  #list(after: string, limit: number): HttpResponse {
     const describedAt = this.options.sim.now - this.listAgeMs;
     const all = this.#records.machinesAt(describedAt).filter((m) => m.name > after);
     const page = all.slice(0, limit).map((m): CloudMachine => ({ ...m, ageS: (describedAt - m.bornAt) / 1000 }));
--- a/packages/testkit/src/network.ts
+++ b/packages/testkit/src/network.ts
@@ -1,8 +1,13 @@
-import { type Http, type HttpAnswer, NoAnswer } from '@gingerlock/clients';
+import { type Http, type HttpResponse, NoResponseError } from '@gingerlock/clients';
 import type { Sim } from './sim';
 import type { TrafficObserver } from './traffic';
 
-export type Handler = (method: string, path: string, body: Buffer, from: string) => Promise<HttpAnswer> | HttpAnswer;
+export type Handler = (
+  method: string,
+  path: string,
+  body: Buffer,
+  from: string,
+) => Promise<HttpResponse> | HttpResponse;
 
 /** How a way from one host to another is disturbed. Of what is refused its sender hears at once. */
 export type Cut = 'lose' | 'hold' | 'refuse';
@@ -140,13 +145,13 @@
 
   http(from: string, alive: () => boolean): Http {
     return (addr, method, path, body, timeoutMs) =>
-      new Promise<HttpAnswer>((resolve, reject) => {
+      new Promise<HttpResponse>((resolve, reject) => {
         let over = false;
         const way = { from, to: addr, request: `${method} ${path}` };
         const fail = (why: string): void => {
           if (!alive()) return;
           this.observe({ what: 'no answer', ...way });
-          reject(new NoAnswer(why));
+          reject(new NoResponseError(why));
         };
         this.observe({ what: 'request sent', ...way, body: body ?? null });
         const giveUp = this.sim.after(timeoutMs, () =>
--- a/packages/testkit/src/state-service.ts
+++ b/packages/testkit/src/state-service.ts
@@ -1,4 +1,4 @@
-import type { HttpAnswer } from '@gingerlock/clients';
+import type { HttpResponse } from '@gingerlock/clients';
 import {
   type Change,
   type Condition,
@@ -16,7 +16,7 @@
 } from '@gingerlock/wire';
 import type { Scheduler } from './sim';
 
-function answer(status: number, map: unknown): HttpAnswer {
+function answer(status: number, map: unknown): HttpResponse {
   return { status, body: encode(map) };
 }
 
@@ -152,7 +152,7 @@
     this.#events = [];
   }
 
-  handle(method: string, path: string, body: Buffer, from: string): HttpAnswer | Promise<HttpAnswer> {
+  handle(method: string, path: string, body: Buffer, from: string): HttpResponse | Promise<HttpResponse> {
     this.requests++;
     if (this.outage || this.refused.has(from)) return answer(503, { error: 'trouble' });
     const kind = parseStateRequest(method, path)?.kind;
@@ -178,7 +178,7 @@
   }
 
   /** The answer to a transaction that the limits do not allow; null: they allow it. */
-  #capacityBackoffOf(conditions: readonly Condition[], changes: readonly Change[]): HttpAnswer | null {
+  #capacityBackoffOf(conditions: readonly Condition[], changes: readonly Change[]): HttpResponse | null {
     const { limits } = this;
     if (limits === null) return null;
     const large = changes.find((c) => 'put' in c && JSON.stringify(c.value).length > limits.valueKb * 1024);
@@ -204,7 +204,7 @@
     return null;
   }
 
-  #carryOut(method: string, path: string, body: Buffer): HttpAnswer {
+  #carryOut(method: string, path: string, body: Buffer): HttpResponse {
     const request = parseStateRequest(method, path);
     switch (request?.kind) {
       case undefined:
--- a/packages/testkit/src/worker.ts
+++ b/packages/testkit/src/worker.ts
@@ -1,4 +1,4 @@
-import type { Http, HttpAnswer } from '@gingerlock/clients';
+import type { Http, HttpResponse } from '@gingerlock/clients';
 import {
   decodeCommands,
   decodeRedirect,
@@ -128,12 +128,12 @@
   }
 
   /** A `/inspect` request. */
-  inspect(): HttpAnswer {
+  inspect(): HttpResponse {
     return { status: 200, body: this.#body() };
   }
 
   /** A direct `/commands` request, however late it comes. */
-  command(body: Buffer): HttpAnswer {
+  command(body: Buffer): HttpResponse {
     const { fencingToken, agentEpoch, commands } = decodeCommands(body);
     const stale = fencingToken < this.fencingToken || agentEpoch !== this.agentEpoch;
     if (!stale) {
@@ -222,7 +222,7 @@
   }
 
   /** Takes an answer; true if something changed. */
-  #take(answer: HttpAnswer, agentEpoch: number, sentAt: number): boolean {
+  #take(answer: HttpResponse, agentEpoch: number, sentAt: number): boolean {
     const { fencingToken, commands } = decodeCommands(answer.body);
     if (!this.alive || agentEpoch !== this.agentEpoch || fencingToken < this.fencingToken) return false;
     // Late: it hung meanwhile.
--- a/packages/testkit/test/one-owner.test.ts
+++ b/packages/testkit/test/one-owner.test.ts
@@ -1,7 +1,7 @@
 // One owner at a time: faults that once let a former owner answer its workers while the next one started their tasks elsewhere.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { HttpAnswer } from '@gingerlock/clients';
+import type { HttpResponse } from '@gingerlock/clients';
 import { CLOUD_PATHS, type JobSpec, KEYS, ownerRecord, parseStateRequest } from '@gingerlock/wire';
 import { type Fault, type Handler, playDay, World, type WorldOptions, ZONES } from '../src/index';
 
@@ -10,7 +10,7 @@
 const OWNER = 'node-0';
 const ZONE = ZONES[0]!;
 
-const REFUSED: HttpAnswer = { status: 503, body: Buffer.alloc(0) };
+const REFUSED: HttpResponse = { status: 503, body: Buffer.alloc(0) };
 
 const SERVICE: Partial<JobSpec> = {
   kind: 'service',
@@ -62,7 +62,7 @@
   }, 'lose');
 }
 
-const unanswered = (): Promise<HttpAnswer> => new Promise(() => undefined);
+const unanswered = (): Promise<HttpResponse> => new Promise(() => undefined);
 
 function pause(world: World, ms: number): Promise<void> {
   return new Promise((resolve) => world.sim.after(ms, resolve));
@@ -85,7 +85,7 @@
   let isResuming = false;
   let isCutOff = false;
   intercept(world, (method, path, body, from) => {
-    const serve = (): HttpAnswer | Promise<HttpAnswer> => world.state.handle(method, path, body, from);
+    const serve = (): HttpResponse | Promise<HttpResponse> => world.state.handle(method, path, body, from);
     const kind = parseStateRequest(method, path)?.kind;
     if (from === OWNER) {
       if (!isResuming && ownerOf(world) === OWNER && world.state.data.has(holdKey)) return REFUSED;
@@ -155,7 +155,7 @@
   let isReading = false;
   let isCutOff = false;
   intercept(world, async (method, path, body, from) => {
-    const serve = (): HttpAnswer | Promise<HttpAnswer> => world.state.handle(method, path, body, from);
+    const serve = (): HttpResponse | Promise<HttpResponse> => world.state.handle(method, path, body, from);
     const kind = parseStateRequest(method, path)?.kind;
     if (from !== OWNER) {
       // The others see that the partition is free just after the owner has begun to read once more.
--- a/packages/testkit/test/rendezvous.test.ts
+++ b/packages/testkit/test/rendezvous.test.ts
@@ -9,7 +9,7 @@
   encodeRendezvousAnswer,
   encodeRendezvousQuestion,
   hostOf,
-  Malformed,
+  MalformedMessageError,
   parseKey,
   taskName,
 } from '@gingerlock/wire';
@@ -115,7 +115,7 @@
           try {
             decoder(bytes);
           } catch (error) {
-            assert.ok(error instanceof Malformed, String(error));
+            assert.ok(error instanceof MalformedMessageError, String(error));
           }
         }
       },
--- a/packages/wire/src/check.ts
+++ b/packages/wire/src/check.ts
@@ -1,6 +1,6 @@
 import { type Static, type TSchema } from '@sinclair/typebox';
 import { TypeCompiler } from '@sinclair/typebox/compiler';
-import { Malformed } from './codec';
+import { MalformedMessageError } from './codec';
 
 /** Compiles a schema into a function that returns the typed value or throws a `Malformed` naming the first bad field. */
 export function checker<T extends TSchema>(schema: T): (value: unknown) => Static<T> {
@@ -10,6 +10,6 @@
     compiled ??= TypeCompiler.Compile(schema);
     if (compiled.Check(value)) return value;
     const error = compiled.Errors(value).First();
-    throw new Malformed(error?.path.slice(1).replaceAll('/', '.') ?? '', error?.message ?? 'invalid');
+    throw new MalformedMessageError(error?.path.slice(1).replaceAll('/', '.') ?? '', error?.message ?? 'invalid');
   };
 }
--- a/packages/wire/src/codec.ts
+++ b/packages/wire/src/codec.ts
@@ -1,13 +1,13 @@
 import { Packr } from 'msgpackr';
 
 /** A body that is not what the protocol says it should be. `path` names the field at fault. */
-export class Malformed extends Error {
+export class MalformedMessageError extends Error {
   constructor(
     readonly path: string,
     readonly reason: string,
   ) {
     super(path === '' ? reason : `${path}: ${reason}`);
-    this.name = 'Malformed';
+    this.name = 'MalformedMessageError';
   }
 }
 
@@ -24,7 +24,7 @@
   try {
     return packr.unpack(body);
   } catch (error) {
-    throw new Malformed('', `not MessagePack (${error instanceof Error ? error.message : 'unreadable'})`);
+    throw new MalformedMessageError('', `not MessagePack (${error instanceof Error ? error.message : 'unreadable'})`);
   }
 }
 
@@ -37,7 +37,7 @@
     Array.isArray(value) ||
     Object.getPrototypeOf(value) !== Object.prototype
   ) {
-    throw new Malformed('', 'not a map');
+    throw new MalformedMessageError('', 'not a map');
   }
   return value as Record<string, unknown>;
 }
--- a/packages/wire/src/rendezvous.ts
+++ b/packages/wire/src/rendezvous.ts
@@ -1,7 +1,7 @@
 // What members of replica groups ask controllers, and the answers: who belongs to the group now, and for how long a member may serve.
 import { Type } from '@sinclair/typebox';
 import { checker } from './check';
-import { decodeMap, encode, integer, Malformed } from './codec';
+import { decodeMap, encode, integer, MalformedMessageError } from './codec';
 import { GROUP_STATES, type GroupState } from './group-record';
 import { parseTaskName } from './workers';
 
@@ -49,7 +49,7 @@
 export function decodeRendezvousQuestion(body: Uint8Array): RendezvousQuestion {
   const question = checkQuestion(decodeMap(body));
   const task = parseTaskName(question.parcel);
-  if (task === null) throw new Malformed('parcel', 'not a task');
+  if (task === null) throw new MalformedMessageError('parcel', 'not a task');
   return { job: task.job, rank: task.index, attempt: question.try };
 }
 
@@ -76,7 +76,8 @@
 /** Throws `Malformed` if the body is no answer. */
 export function decodeRendezvousAnswer(body: Uint8Array): RendezvousAnswer {
   const { generation, rank, world_size: worldSize, members, serve_ms: serveMs } = checkAnswer(decodeMap(body));
-  if (members.length !== worldSize || rank >= worldSize) throw new Malformed('world_size', 'not the number of members');
+  if (members.length !== worldSize || rank >= worldSize)
+    throw new MalformedMessageError('world_size', 'not the number of members');
   return { generation, rank, worldSize, members, serveMs };
 }
 
--- a/packages/wire/src/users.ts
+++ b/packages/wire/src/users.ts
@@ -1,6 +1,6 @@
 import { Type } from '@sinclair/typebox';
 import { checker } from './check';
-import { decodeMap, encode, Malformed } from './codec';
+import { decodeMap, encode, MalformedMessageError } from './codec';
 
 /** Most urgent first: the index is the rank. */
 export const PRIORITIES = ['production', 'high', 'normal', 'low'] as const;
@@ -176,8 +176,8 @@
 export function decodeJobState(body: Uint8Array): JobState {
   const map = decodeMap(body);
   const status = (Object.keys(STATUS_WORDS) as JobStatus[]).find((name) => STATUS_WORDS[name] === map.status);
-  if (status === undefined) throw new Malformed('status', 'unknown');
-  if (typeof map.name_id !== 'string') throw new Malformed('name_id', 'not text');
+  if (status === undefined) throw new MalformedMessageError('status', 'unknown');
+  if (typeof map.name_id !== 'string') throw new MalformedMessageError('name_id', 'not text');
   return {
     id: map.name_id,
     status,
--- a/packages/wire/src/workers.ts
+++ b/packages/wire/src/workers.ts
@@ -1,6 +1,6 @@
 import { Type } from '@sinclair/typebox';
 import { checker } from './check';
-import { decodeMap, encode, integer, Malformed } from './codec';
+import { decodeMap, encode, integer, MalformedMessageError } from './codec';
 import { isJobId } from './users';
 
 export type TaskState = 'fetching' | 'running' | 'saving' | 'exited';
@@ -94,7 +94,7 @@
     tasks: r.parcels.map((p, i) => {
       const state = STATE_NAMES[p.status];
       // An unknown state is not evidence of anything, least of all that the task is gone.
-      if (state === undefined) throw new Malformed(`parcels.${i}.status`, 'unknown');
+      if (state === undefined) throw new MalformedMessageError(`parcels.${i}.status`, 'unknown');
       return {
         task: p.parcel,
         attempt: p.try,
--- a/packages/wire/test/formats.test.ts
+++ b/packages/wire/test/formats.test.ts
@@ -130,12 +130,12 @@
   const decoders = [wire.decodeSubmission, wire.decodeHeartbeat, wire.decodeCommands];
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 200 }), (bytes) => {
-      for (const decode of decoders) assert.throws(() => decode(bytes), wire.Malformed);
+      for (const decode of decoders) assert.throws(() => decode(bytes), wire.MalformedMessageError);
     }),
     params,
   );
   for (const value of [null, 1, 'x', [], [1], true]) {
-    for (const decode of decoders) assert.throws(() => decode(wire.encode(value)), wire.Malformed);
+    for (const decode of decoders) assert.throws(() => decode(wire.encode(value)), wire.MalformedMessageError);
   }
 });
 
@@ -171,18 +171,18 @@
     } else {
       assert.throws(
         () => wire.jobSpecOf(rest),
-        (e: wire.Malformed) => e.path === field,
+        (e: wire.MalformedMessageError) => e.path === field,
         field,
       );
       assert.throws(
         () => wire.jobSpecOf({ ...good, [field]: null }),
-        (e: wire.Malformed) => e.path === field,
+        (e: wire.MalformedMessageError) => e.path === field,
         field,
       );
     }
     assert.throws(
       () => wire.jobSpecOf({ ...good, [field]: { no: 1 } }),
-      (e: wire.Malformed) => e.path.startsWith(field),
+      (e: wire.MalformedMessageError) => e.path.startsWith(field),
       field,
     );
   }
@@ -200,7 +200,7 @@
   for (const [field, value] of outOfRange) {
     assert.throws(
       () => wire.jobSpecOf({ ...good, [field]: value }),
-      (e: wire.Malformed) => e.path === field,
+      (e: wire.MalformedMessageError) => e.path === field,
       field,
     );
   }
@@ -284,7 +284,7 @@
       try {
         wire.groupRecord.read(value);
       } catch (error) {
-        assert.ok(error instanceof wire.Malformed);
+        assert.ok(error instanceof wire.MalformedMessageError);
       }
     }),
     params,
