--- a/packages/daemon/test/borrowing-command.test.ts
+++ b/packages/daemon/test/borrowing-command.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { Readable } from 'node:stream';
 import { test } from 'node:test';
-import { playDay, World } from '@gingerlock/testkit';
+import { runScenario, World } from '@gingerlock/testkit';
 import { borrowingCommand, type CommandOutput } from '../src/borrowing-command';
 import type { BorrowingReport } from '../src/borrowing-report';
 
@@ -28,7 +28,7 @@
     log: { error: write, info: write, debug: () => undefined },
   });
   clock = () => world.sim.now;
-  await playDay(world, {
+  await runScenario(world, {
     seed: 1,
     forMs: 45_000,
     faults: [
--- a/packages/testkit/fingerprint/days.ts
+++ b/packages/testkit/fingerprint/days.ts
@@ -1,8 +1,8 @@
 // The fixed days: their worlds, troubles and seeds. A change of any of them changes the fingerprints.
-import { type Day, GROUP_CLASS, TWO_TYPES, type WorldOptions } from '../src/index';
+import { type Scenario, GROUP_CLASS, TWO_TYPES, type WorldOptions } from '../src/index';
 
 /** One day with a name; all controllers may start anew with other features at a moment of it. */
-export interface FixedDay extends Day {
+export interface FixedDay extends Scenario {
   readonly name: string;
   readonly world: Omit<WorldOptions, 'seed'>;
   readonly switched?: { readonly at: number; readonly features: unknown };
--- a/packages/testkit/fingerprint/play.ts
+++ b/packages/testkit/fingerprint/play.ts
@@ -1,5 +1,5 @@
 // Plays one of the fixed days with a recorder on it.
-import { playDay, World } from '../src/index';
+import { runScenario, World } from '../src/index';
 import type { FixedDay } from './days';
 import { type Fingerprint, type LineSink, Recorder } from './recorder';
 
@@ -15,6 +15,6 @@
       for (const name of world.controllers) world.startNode(name);
     });
   }
-  await playDay(world, { seed, forMs, faults });
+  await runScenario(world, { seed, forMs, faults });
   return recorder.finish();
 }
--- a/packages/testkit/src/borrowing-audit.ts
+++ b/packages/testkit/src/borrowing-audit.ts
@@ -2,10 +2,10 @@
 import { PRIORITIES, parseTaskName, type ReclaimRecord, reclaimRecord } from '@gingerlock/wire';
 import { ABANDONED_BOUNDS } from '@gingerlock/borrowing';
 import type { JobSpec } from '@gingerlock/wire';
-import type { Rule } from './rules';
+import type { Invariant } from './invariants';
 import type { Scheduler } from './sim';
 import type { SimStateService } from './state-service';
-import type { Told } from './users';
+import type { ObservedStatus } from './users';
 import type { SimWorker } from './worker';
 
 /** What is looked at: a simulated deployment, or one on loopback. */
@@ -14,9 +14,9 @@
   readonly state: SimStateService;
   readonly workers: ReadonlyMap<string, SimWorker>;
   readonly users: {
-    readonly told: ReadonlyMap<string, Told>;
+    readonly observedByJob: ReadonlyMap<string, ObservedStatus>;
     /** Whether the job's user has been told that it is cancelled. */
-    isCancelled(told: Told): boolean;
+    isCancelled(observed: ObservedStatus): boolean;
   };
   readonly heartbeatIntervalMs: number;
   readonly cancellationBoundMs: number;
@@ -24,8 +24,8 @@
   readonly guaranteedGpus: number;
   readonly guestTeam: string;
   job(id: string): JobSpec | undefined;
-  came(what: string): void;
-  breach(rule: Rule, detail: string): void;
+  recordOccurrence(what: string): void;
+  reportViolation(rule: Invariant, detail: string): void;
 }
 
 /** What is stored of reclaims stands below this. */
@@ -58,9 +58,9 @@
     const { users, workers } = this.world;
     for (const { tasks } of workers.values()) {
       for (const { task: taskName, state } of tasks.values()) {
-        const told = users.told.get(parseTaskName(taskName)!.job);
-        if (state === 'exited' || told === undefined || users.isCancelled(told)) continue;
-        use.set(told.spec.team, (use.get(told.spec.team) ?? 0) + told.spec.gpus);
+        const observed = users.observedByJob.get(parseTaskName(taskName)!.job);
+        if (state === 'exited' || observed === undefined || users.isCancelled(observed)) continue;
+        use.set(observed.spec.team, (use.get(observed.spec.team) ?? 0) + observed.spec.gpus);
       }
     }
     return use;
@@ -89,8 +89,8 @@
 
   #checkNew(key: string, record: ReclaimRecord): void {
     this.decided++;
-    this.world.came('reclaim');
-    this.world.came(`reclaim by ${record.reason}`);
+    this.world.recordOccurrence('reclaim');
+    this.world.recordOccurrence(`reclaim by ${record.reason}`);
     for (const { task: taskName } of record.victims) this.stops.set(taskName, (this.stops.get(taskName) ?? 0) + 1);
     this.#checkPromisedOnce(key, record);
     this.#checkPriorities(key, record);
@@ -102,7 +102,7 @@
     for (const [other, { record }] of this.stored) {
       if (other === key) continue;
       const isSameTask = record.job === job && record.tasks.some((taskIndex) => tasks.includes(taskIndex));
-      if (record.machine === machine || isSameTask) this.world.breach('promised_twice', `${key} and ${other}`);
+      if (record.machine === machine || isSameTask) this.world.reportViolation('promised_twice', `${key} and ${other}`);
     }
   }
 
@@ -115,9 +115,9 @@
       const isReplica = victim.kind === 'service';
       const isHigher = beneficiary.kind === 'service' && victimPriority < rank;
       if (isReplica && (victim.priority === 'production' || isHigher))
-        this.world.breach('replica_reclaimed', `${key}: ${taskName}`);
+        this.world.reportViolation('replica_reclaimed', `${key}: ${taskName}`);
       if (victimPriority <= rank && victim.team === beneficiary.team)
-        this.world.breach('replica_reclaimed', `${key}: ${taskName} is as urgent and of the same team`);
+        this.world.reportViolation('replica_reclaimed', `${key}: ${taskName} is as urgent and of the same team`);
     }
   }
 
@@ -136,7 +136,7 @@
       const most = Math.max(...this.#samples.map(({ use }) => use.get(team) ?? 0));
       const left = most - this.#stoppedOf(team);
       if (left < Math.min(guarantee, most) - 1e-9)
-        this.world.breach('below_guarantee', `${key}: ${team} is left ${left} of ${most}`);
+        this.world.reportViolation('below_guarantee', `${key}: ${team} is left ${left} of ${most}`);
     }
   }
 
@@ -160,7 +160,7 @@
     const boundMs =
       (cancellationBoundMs + this.world.longestSaveMs) * ABANDONED_BOUNDS + heartbeatIntervalMs * SLACK_REPORTS;
     for (const [key, { since }] of this.stored) {
-      if (now - Math.max(since, quietAt) > boundMs) this.world.breach('endless_reclaim', key);
+      if (now - Math.max(since, quietAt) > boundMs) this.world.reportViolation('endless_reclaim', key);
     }
   }
 }
--- a/packages/testkit/src/borrowing-faults.ts
+++ b/packages/testkit/src/borrowing-faults.ts
@@ -63,7 +63,7 @@
 /** How often it is looked whether a reclaim has come to a step. */
 const LOOK_MS = 20;
 
-export function inflictBorrowing(world: World, fault: BorrowingFault): void {
+export function injectBorrowingFault(world: World, fault: BorrowingFault): void {
   switch (fault.kind) {
     case 'surge':
       return surge(world, fault);
@@ -72,7 +72,7 @@
     case 'crash at reclaim':
       return crashAtReclaim(world, fault);
     case 'victims trouble':
-      return onNewReclaims(world, fault.forMs, (machine) => troubleMachine(world, machine, fault));
+      return onNewReclaims(world, fault.forMs, (machine) => injectMachineFault(world, machine, fault));
     case 'beneficiaries cancelled':
       return onNewReclaims(world, fault.forMs, (_machine, job) => {
         if (world.sim.random() < fault.share) void world.users.cancel(job);
@@ -128,11 +128,11 @@
   look();
 }
 
-function troubleMachine(world: World, machine: string, fault: BorrowingFault & { kind: 'victims trouble' }): void {
+function injectMachineFault(world: World, machine: string, fault: BorrowingFault & { kind: 'victims trouble' }): void {
   const { sim, network } = world;
   const worker = world.workers.get(machine);
   if (worker === undefined || sim.random() >= fault.share) return;
-  world.came(`victims ${fault.what}`);
+  world.recordOccurrence(`victims ${fault.what}`);
   switch (fault.what) {
     case 'hang':
       network.freeze(machine, fault.forMs);
@@ -177,7 +177,7 @@
         world.crash(name);
         sim.after(fault.backMs, () => world.startNode(name));
       }
-      world.came(`crash at ${fault.step}`);
+      world.recordOccurrence(`crash at ${fault.step}`);
       nextAt = sim.now + fault.backMs * 2 + world.workerLeaseMs;
     }
     if (sim.now < until) sim.after(LOOK_MS, look);
--- a/packages/testkit/src/cloud.ts
+++ b/packages/testkit/src/cloud.ts
@@ -30,7 +30,7 @@
 }
 
 /** How boots go wrong: so many times as slow, and this share of them never ends. */
-export interface BootTrouble {
+export interface BootFault {
   readonly never: number;
   readonly factor: number;
 }
@@ -46,7 +46,7 @@
   outage = false;
   /** Machines that are rented now are up within two seconds. */
   fastBoots = false;
-  bootTrouble: BootTrouble | null = null;
+  bootFault: BootFault | null = null;
   /** What is listed in place of the machine types; null: they are. */
   listedTypes: unknown = null;
   /** The list describes how machines stood so long ago. */
@@ -142,11 +142,11 @@
   #nextBootMs({ bootS }: MachineType): number | null {
     const { neverUp } = this.options;
     const { random } = this.options.sim;
-    const { bootTrouble } = this;
+    const { bootFault } = this;
     if (this.fastBoots) return FAST_BOOT_MS.least + (FAST_BOOT_MS.most - FAST_BOOT_MS.least) * random();
-    if (bootTrouble !== null && random() < bootTrouble.never) return null;
+    if (bootFault !== null && random() < bootFault.never) return null;
     if (neverUp > 0 && random() < neverUp) return null;
-    return bootS * 1000 * (0.6 + random()) * (bootTrouble?.factor ?? 1);
+    return bootS * 1000 * (0.6 + random()) * (bootFault?.factor ?? 1);
   }
 
   #list(after: string, limit: number): HttpResponse {
--- a/packages/testkit/src/faults.ts
+++ b/packages/testkit/src/faults.ts
@@ -1,13 +1,13 @@
 // Troubles as data, so that a generator can draw them and a shrinker can take them away one by one.
 import { KEYS } from '@gingerlock/wire';
-import { type BorrowingFault, borrowingFaultMs, inflictBorrowing, isBorrowingFault } from './borrowing-faults';
-import { inflictOperations, isOperationsFault, type OperationsFault, operationsFaultMs } from './operations-faults';
-import { type GroupFault, groupFaultMs, inflictOnGroups, isGroupFault } from './group-faults';
+import { type BorrowingFault, borrowingFaultMs, injectBorrowingFault, isBorrowingFault } from './borrowing-faults';
+import { injectOperationsFault, isOperationsFault, type OperationsFault, operationsFaultMs } from './operations-faults';
+import { type GroupFault, groupFaultMs, injectGroupFault, isGroupFault } from './group-faults';
 import { FaultTargets } from './fault-targets';
 import type { Cut } from './network';
-import { inflictOnState, isStateFault, type StateFault } from './state-faults';
+import { injectStateFault, isStateFault, type StateFault } from './state-faults';
 import { observeDirect } from './traffic';
-import { inflictByUsers, isUserFault, type UserFault } from './user-faults';
+import { injectUserFault, isUserFault, type UserFault } from './user-faults';
 import type { World } from './world';
 
 export type Fault =
@@ -70,15 +70,15 @@
   | { readonly kind: 'spot wave'; readonly share: number; readonly noticeMs: number }
   | { readonly kind: 'slow machine'; readonly machine: number; readonly factor: number; readonly forMs: number };
 
-export function inflict(world: World, fault: Fault): void {
+export function injectFault(world: World, fault: Fault): void {
   const { sim, network, state } = world;
   const targets = new FaultTargets(world);
-  world.came(fault.kind);
-  if (isOperationsFault(fault)) return inflictOperations(world, fault, (i) => targets.node(i));
-  if (isBorrowingFault(fault)) return inflictBorrowing(world, fault);
-  if (isGroupFault(fault)) return inflictOnGroups(world, fault);
-  if (isStateFault(fault)) return inflictOnState(world, fault, targets);
-  if (isUserFault(fault)) return inflictByUsers(world, fault, targets);
+  world.recordOccurrence(fault.kind);
+  if (isOperationsFault(fault)) return injectOperationsFault(world, fault, (i) => targets.node(i));
+  if (isBorrowingFault(fault)) return injectBorrowingFault(world, fault);
+  if (isGroupFault(fault)) return injectGroupFault(world, fault);
+  if (isStateFault(fault)) return injectStateFault(world, fault, targets);
+  if (isUserFault(fault)) return injectUserFault(world, fault, targets);
   switch (fault.kind) {
     case 'crash':
       for (const i of fault.nodes) {
@@ -259,7 +259,7 @@
       sim.after(fault.backMs + fault.afterMs, () => {
         state.slowReadsOf.delete(name);
         const index = world.controllers.indexOf(name);
-        inflict(world, { kind: 'node cut', node: index, from: 'both', how: 'lose', forMs: fault.forMs });
+        injectFault(world, { kind: 'node cut', node: index, from: 'both', how: 'lose', forMs: fault.forMs });
       });
       return;
     }
@@ -315,7 +315,7 @@
     if (now !== term) {
       term = now;
       for (const [worker, body] of kept) {
-        world.came('old report');
+        world.recordOccurrence('old report');
         for (const n of world.nodes) {
           sim.after(sim.random() * 500, () => {
             const { controller } = n;
@@ -371,17 +371,17 @@
   }
 }
 
-export interface Day {
+export interface Scenario {
   readonly seed: number;
   readonly forMs: number;
   readonly faults: readonly { readonly at: number; readonly fault: Fault }[];
 }
 
 /** Plays one day: users come and go for its first half, troubles come at their times. */
-export async function playDay(world: World, day: Day): Promise<void> {
+export async function runScenario(world: World, scenario: Scenario): Promise<void> {
   const { sim } = world;
   const arrive = (): void => {
-    if (sim.now > day.forMs / 2) return;
+    if (sim.now > scenario.forMs / 2) return;
     const spec = world.randomJob();
     const cancel =
       spec.kind === 'service' ? 5000 + sim.random() * 30_000 : sim.random() < 0.3 ? sim.random() * 12_000 : null;
@@ -394,14 +394,14 @@
     sim.after(7000, strange);
   };
   strange();
-  world.quietAt = Math.max(0, ...day.faults.map(({ at, fault }) => at + lastsMs(fault, world.nodes.length)));
+  world.quietAt = Math.max(0, ...scenario.faults.map(({ at, fault }) => at + lastsMs(fault, world.nodes.length)));
   const audit = (): void => {
     world.audit();
     sim.after(200, audit);
   };
   audit();
-  for (const { at, fault } of day.faults) sim.after(at, () => inflict(world, fault));
-  await sim.run(day.forMs);
+  for (const { at, fault } of scenario.faults) sim.after(at, () => injectFault(world, fault));
+  await sim.run(scenario.forMs);
 }
 
 function zoneAt({ deployment: { zones } }: World, index: number): string {
--- a/packages/testkit/src/group-audit.ts
+++ b/packages/testkit/src/group-audit.ts
@@ -54,7 +54,10 @@
     const from = before?.state ?? 'waiting';
     const expected = (before?.generation ?? 0) + (state === 'reserved' ? 1 : 0);
     if (GROUP_MOVES[from].includes(state) && generation === expected) return;
-    this.world.breach('group_moved', `${job}: ${from} of ${before?.generation ?? 0} to ${state} of ${generation}`);
+    this.world.reportViolation(
+      'group_moved',
+      `${job}: ${from} of ${before?.generation ?? 0} to ${state} of ${generation}`,
+    );
   }
 
   /** All members' room is kept as the record says so, by the owners that have the partitions then. */
@@ -65,7 +68,7 @@
       if (owner === undefined || task === undefined || task.job.cancelled) continue;
       const isHeld =
         owner.claimTable.reservations.reservedMachineFor(task.name) === machine && task.startedIn !== generation;
-      if (!isHeld) this.world.breach('member_unheld', `${task.name} is admitted and not kept on ${machine}`);
+      if (!isHeld) this.world.reportViolation('member_unheld', `${task.name} is admitted and not kept on ${machine}`);
     }
   }
 
@@ -87,7 +90,7 @@
     const record = this.seen.get(job)?.record;
     const isAdmitted = record !== undefined && record.state !== 'waiting' && record.state !== 'reserved';
     if (!isAdmitted || record.members[index]?.machine !== machine) {
-      world.breach(
+      world.reportViolation(
         'member_unheld',
         `${taskName} starts on ${machine} while its group is ${record?.state ?? 'not placed'}`,
       );
@@ -95,7 +98,7 @@
     }
     const { generation } = record;
     if (this.#startedIn.get(taskName) === generation)
-      world.breach('member_restarted', `${taskName} twice in generation ${generation}`);
+      world.reportViolation('member_restarted', `${taskName} twice in generation ${generation}`);
     this.#startedIn.set(taskName, generation);
     this.#generationOf.set(`${taskName} ${attempt}`, generation);
   }
@@ -108,7 +111,7 @@
     this.#checkRuns(sinceMs);
     for (const { controller } of this.world.nodes)
       for (const owner of controller?.owned() ?? []) this.#checkKept(owner);
-    if (now > quietAt) this.#checkStuck(quietAt);
+    if (now > quietAt) this.#checkProgress(quietAt);
   }
 
   /** All members on machines are of one generation, and none is of a group that is withdrawn. */
@@ -123,9 +126,10 @@
       }
     }
     for (const [job, found] of generations) {
-      if (found.size > 1) this.world.breach('two_generations', `${job}: ${[...found].join()}`);
+      if (found.size > 1) this.world.reportViolation('two_generations', `${job}: ${[...found].join()}`);
       const state = this.seen.get(job)?.record.state;
-      if (state === 'waiting' || state === 'reserved') this.world.breach('withdrawn_runs', `${job} is ${state}`);
+      if (state === 'waiting' || state === 'reserved')
+        this.world.reportViolation('withdrawn_runs', `${job} is ${state}`);
     }
     this.#countUptime(sinceMs);
   }
@@ -155,12 +159,12 @@
       if (isKept && stored.record.members[index]?.machine === machine) continue;
       if (now - (stored?.at ?? 0) < this.world.heartbeatIntervalMs * READ_INTERVALS) continue;
       if (claimTable.tasksByJob.get(job)?.get(index)?.job.cancelled === true) continue;
-      this.world.breach('kept_in_vain', `partition ${partitionId} keeps ${machine} for ${taskName}`);
+      this.world.reportViolation('kept_in_vain', `partition ${partitionId} keeps ${machine} for ${taskName}`);
     }
   }
 
   /** Once all troubles are over, a group is not on its way for ever. */
-  #checkStuck(quietAt: number): void {
+  #checkProgress(quietAt: number): void {
     const { world } = this;
     const bound = world.groupBoundMs + world.cancellationBoundMs * ON_THE_WAY_CANCELS;
     for (const [job, { record, at, version }] of this.seen) {
@@ -172,7 +176,7 @@
       const key = `${job} ${version}`;
       if (world.sim.now - Math.max(at, quietAt) < bound || this.#reported.has(key)) continue;
       this.#reported.add(key);
-      world.breach('group_stuck', `${job} is ${record.state} since ${Math.round(at)}: ${record.reason}`);
+      world.reportViolation('group_stuck', `${job} is ${record.state} since ${Math.round(at)}: ${record.reason}`);
     }
   }
 
--- a/packages/testkit/src/group-faults.ts
+++ b/packages/testkit/src/group-faults.ts
@@ -58,20 +58,21 @@
   }
 }
 
-export function inflictOnGroups(world: World, fault: GroupFault): void {
+export function injectGroupFault(world: World, fault: GroupFault): void {
   switch (fault.kind) {
     case 'groups':
       return submitGroups(world, fault);
     case 'members trouble':
       return onState(world, fault, (job) => {
-        if (world.sim.random() < fault.share) world.sim.after(fault.afterMs, () => troubleMembers(world, job, fault));
+        if (world.sim.random() < fault.share)
+          world.sim.after(fault.afterMs, () => injectMemberFaults(world, job, fault));
       });
     case 'crash at group':
       return crashAtGroup(world, fault);
     case 'groups cancelled':
       return onState(world, fault, (job) => {
         if (world.sim.random() >= fault.share) return;
-        world.came(`cancelled while ${fault.state}`);
+        world.recordOccurrence(`cancelled while ${fault.state}`);
         void world.users.cancel(job);
       });
   }
@@ -124,14 +125,14 @@
   look();
 }
 
-function troubleMembers(world: World, job: string, fault: GroupFault & { kind: 'members trouble' }): void {
+function injectMemberFaults(world: World, job: string, fault: GroupFault & { kind: 'members trouble' }): void {
   const record = world.groups.seen.get(job)?.record;
   const machines = [...new Set(record?.members.map(({ machine }) => machine))].slice(0, fault.machines);
-  for (const machine of machines) troubleMachine(world, machine, fault);
-  if (machines.length > 0) world.came(`members ${fault.what} while ${fault.state}`);
+  for (const machine of machines) injectMachineFault(world, machine, fault);
+  if (machines.length > 0) world.recordOccurrence(`members ${fault.what} while ${fault.state}`);
 }
 
-function troubleMachine(
+function injectMachineFault(
   world: World,
   machine: string,
   { what, forMs }: GroupFault & { kind: 'members trouble' },
@@ -165,7 +166,7 @@
     if (sim.now < nextAt) return;
     nextAt = sim.now + fault.afterMs + fault.backMs + world.workerLeaseMs;
     sim.after(fault.afterMs, () => {
-      world.came(`crash while ${fault.state}`);
+      world.recordOccurrence(`crash while ${fault.state}`);
       for (const name of namesOf(world, job, fault.who)) {
         world.crash(name);
         sim.after(fault.backMs, () => world.startNode(name));
--- a/packages/testkit/src/index.ts
+++ b/packages/testkit/src/index.ts
@@ -3,7 +3,7 @@
 export * from './traffic';
 export * from './state-service';
 export * from './worker';
-export * from './rules';
+export * from './invariants';
 export * from './users';
 export * from './pipelines';
 export * from './liveness';
--- a/packages/testkit/src/rules.ts
+++ b/packages/testkit/src/invariants.ts
@@ -31,7 +31,7 @@
  * free_but_running: a task that may be started, or assigned anew, runs.
  * stale_entry:      a task waits to be started elsewhere than the newest record that its owner has read says.
  */
-export type Rule =
+export type Invariant =
   | 'ran_twice'
   | 'quota'
   | 'wrong_place'
@@ -68,8 +68,8 @@
   | 'kept_in_vain'
   | 'group_stuck';
 
-export interface Breach {
-  readonly rule: Rule;
+export interface Violation {
+  readonly rule: Invariant;
   readonly at: number;
   readonly detail: string;
 }
--- a/packages/testkit/src/liveness.ts
+++ b/packages/testkit/src/liveness.ts
@@ -2,7 +2,7 @@
 // questions are answered.
 import { type Resources, fitsIn, NO_RESOURCES, countFitting, allowsMachine, subtractResources } from '@gingerlock/core';
 import { type JobSpec, jobRecord, KEYS, parseTaskName } from '@gingerlock/wire';
-import type { Told } from './users';
+import type { ObservedStatus } from './users';
 import type { SimWorker } from './worker';
 import type { World } from './world';
 
@@ -43,15 +43,15 @@
     const { world } = this;
     const upSince = this.#upSince.get(worker.name) ?? -Infinity;
     if (upSince < world.quietAt || this.#usedMachines.has(worker.name)) return;
-    for (const told of world.users.open()) {
-      const { id } = told.spec;
+    for (const observed of world.users.open()) {
+      const { id } = observed.spec;
       // For moments its team's limit leaves room again and again: only what could have started all the time is left out.
       const waitsSince = this.#waiting.get(id)?.since ?? Infinity;
-      if (waitsSince > upSince + world.heartbeatIntervalMs || !this.#wantsMore(told) || world.isGroup(id)) continue;
-      if (!this.#limitLeaves(told.spec) || !this.#couldStartOn(worker, told.spec, this.#zonesOf(id))) continue;
+      if (waitsSince > upSince + world.heartbeatIntervalMs || !this.#wantsMore(observed) || world.isGroup(id)) continue;
+      if (!this.#limitLeaves(observed.spec) || !this.#couldStartOn(worker, observed.spec, this.#zonesOf(id))) continue;
       const times = (this.#vainRentals.get(id) ?? 0) + 1;
       this.#vainRentals.set(id, times);
-      if (times === MOST_VAIN_RENTALS + 1) world.breach('rented_in_vain', `${id} waits, ${worker.name} goes`);
+      if (times === MOST_VAIN_RENTALS + 1) world.reportViolation('rented_in_vain', `${id} waits, ${worker.name} goes`);
     }
   }
 
@@ -60,14 +60,14 @@
     const { world } = this;
     const { now } = world.sim;
     if (now < quietAt) return;
-    for (const told of world.users.open()) {
-      const { id } = told.spec;
-      if (now - Math.max(told.answeredAt, quietAt) > UNANSWERED_MS) world.breach('unanswered', id);
-      if (!this.#wantsMore(told) || !this.#couldStart(told.spec)) {
+    for (const observed of world.users.open()) {
+      const { id } = observed.spec;
+      if (now - Math.max(observed.answeredAt, quietAt) > UNANSWERED_MS) world.reportViolation('unanswered', id);
+      if (!this.#wantsMore(observed) || !this.#couldStart(observed.spec)) {
         this.#waiting.delete(id);
         continue;
       }
-      this.#auditWaiting(told.spec);
+      this.#auditWaiting(observed.spec);
     }
   }
 
@@ -82,19 +82,19 @@
     }
     const pauseMs = world.isGroup(spec.id) ? world.groupBoundMs : 0;
     if (now - known.since <= world.cancellationBoundMs * WAIT_CANCELS + pauseMs) return;
-    if (this.#limitLeaves(spec)) world.breach('left_waiting', `${spec.id} since ${Math.round(known.since)}`);
+    if (this.#limitLeaves(spec)) world.reportViolation('left_waiting', `${spec.id} since ${Math.round(known.since)}`);
     this.#waiting.set(spec.id, { since: now, started });
   }
 
   /** Whether the job has a task that could be started, but for room and limits. */
-  #wantsMore(told: Told): boolean {
+  #wantsMore(observed: ObservedStatus): boolean {
     const { world } = this;
-    const { id, tasks } = told.spec;
+    const { id, tasks } = observed.spec;
     return (
       this.#on(id).length + world.doneOf(id) < tasks &&
-      !world.users.isUnwanted(told) &&
+      !world.users.isUnwanted(observed) &&
       !world.isBroken(id) &&
-      world.users.isReady(told)
+      world.users.isReady(observed)
     );
   }
 
@@ -112,8 +112,8 @@
   #limitLeaves(spec: JobSpec): boolean {
     const { world } = this;
     let gpus = this.#on(spec.id).length * spec.gpus;
-    for (const told of world.users.told.values()) {
-      const { id, team, gpus: each } = told.spec;
+    for (const observed of world.users.observedByJob.values()) {
+      const { id, team, gpus: each } = observed.spec;
       if (team === spec.team && id !== spec.id) gpus += each * this.#assigned(id);
     }
     const wanted = world.isGroup(spec.id) ? spec.gpus * spec.tasks : spec.gpus;
--- a/packages/testkit/src/loopback-groups.ts
+++ b/packages/testkit/src/loopback-groups.ts
@@ -144,10 +144,10 @@
 
   /** All members have taken part, each once and under one generation, and no later generation has answered before. */
   #check(answer: GroupAnswer): void {
-    const { generation, worldSize, parts } = answer;
-    const ranks = new Set(parts.map(({ rank }) => rank));
-    const isWhole = ranks.size === worldSize && parts.length === worldSize;
-    const isOfOne = parts.every((part) => part.generation === generation);
+    const { generation, worldSize, partials } = answer;
+    const ranks = new Set(partials.map(({ rank }) => rank));
+    const isWhole = ranks.size === worldSize && partials.length === worldSize;
+    const isOfOne = partials.every((partial) => partial.generation === generation);
     const latest = this.answers.at(-1)?.generation ?? 0;
     if (!isWhole || !isOfOne || generation < latest) this.wrongAnswers.push(JSON.stringify({ ...answer, latest }));
     else this.answers.push(answer);
--- a/packages/testkit/src/loopback.ts
+++ b/packages/testkit/src/loopback.ts
@@ -10,10 +10,10 @@
 import { BorrowingAudit } from './borrowing-audit';
 import { SimCloud } from './cloud';
 import type { Handler } from './network';
-import type { Rule } from './rules';
+import type { Invariant } from './invariants';
 import { type Scheduler, seeded } from './sim';
 import { SimStateService } from './state-service';
-import type { Told } from './users';
+import type { ObservedStatus } from './users';
 import { SimWorker, type WorkerNetwork, type WorkerWorld } from './worker';
 
 /** How often the audit looks. */
@@ -168,8 +168,11 @@
   readonly state: SimStateService;
   readonly cloud: SimCloud;
   readonly workers = new Map<string, SimWorker>();
-  readonly breaches: { readonly rule: Rule; readonly detail: string }[] = [];
-  readonly users = { told: new Map<string, Told>(), isCancelled: (told: Told): boolean => told.final === 'cancelled' };
+  readonly violations: { readonly rule: Invariant; readonly detail: string }[] = [];
+  readonly users = {
+    observedByJob: new Map<string, ObservedStatus>(),
+    isCancelled: (observedByJob: ObservedStatus): boolean => observedByJob.final === 'cancelled',
+  };
   readonly savedMs = new Map<string, number>();
   readonly running = new Map<string, string>();
   readonly guestTeam = 'none';
@@ -311,7 +314,7 @@
 
   /** Submits a job to one controller after the other until it is accepted. */
   async submit(spec: JobSpec): Promise<void> {
-    const told: Told = {
+    const observedByJob: ObservedStatus = {
       spec,
       since: this.sim.now,
       accepted: false,
@@ -321,14 +324,14 @@
       cancelAsked: false,
       answeredAt: this.sim.now,
     };
-    this.users.told.set(spec.id, told);
+    this.users.observedByJob.set(spec.id, observedByJob);
     await this.#ask('/submissions', encodeSubmission(spec));
-    told.accepted = true;
+    observedByJob.accepted = true;
   }
 
   async cancel(id: string): Promise<void> {
     await this.#ask(`/submissions/${id}/cancel`, null);
-    this.users.told.get(id)!.final = 'cancelled';
+    this.users.observedByJob.get(id)!.final = 'cancelled';
   }
 
   async #ask(path: string, body: Buffer | null): Promise<void> {
@@ -369,7 +372,7 @@
   // --- what workers tell -------------------------------------------------------------------------------------------
 
   job(id: string): JobSpec | undefined {
-    return this.users.told.get(id)?.spec;
+    return this.users.observedByJob.get(id)?.spec;
   }
 
   isBroken(): boolean {
@@ -379,7 +382,8 @@
   // eslint-disable-next-line @typescript-eslint/no-unused-vars
   onTask(taskName: string, machine: string, _attempt: number): void {
     const other = this.running.get(taskName);
-    if (other !== undefined && other !== machine) this.breach('ran_twice', `${taskName} on ${machine} and ${other}`);
+    if (other !== undefined && other !== machine)
+      this.reportViolation('ran_twice', `${taskName} on ${machine} and ${other}`);
     this.running.set(taskName, machine);
   }
 
@@ -395,12 +399,12 @@
     // What was lost is not measured here.
   }
 
-  came(what: string): void {
+  recordOccurrence(what: string): void {
     this.happened.set(what, (this.happened.get(what) ?? 0) + 1);
   }
 
-  breach(rule: Rule, detail: string): void {
-    this.breaches.push({ rule, detail });
+  reportViolation(rule: Invariant, detail: string): void {
+    this.violations.push({ rule, detail });
   }
 
   async stop(): Promise<void> {
--- a/packages/testkit/src/member-process.ts
+++ b/packages/testkit/src/member-process.ts
@@ -25,7 +25,7 @@
 }
 
 /** What one member adds to an answer. */
-export interface AnswerPart {
+export interface PartialAnswer {
   readonly rank: number;
   readonly generation: number;
   readonly attempt: number;
@@ -35,12 +35,12 @@
 export interface GroupAnswer {
   readonly generation: number;
   readonly worldSize: number;
-  readonly parts: readonly AnswerPart[];
+  readonly partials: readonly PartialAnswer[];
 }
 
 /** Paths at a member: of clients, and of the head. */
 export const ASK_PATH = '/ask';
-export const PART_PATH = '/part';
+export const PARTIAL_PATH = '/part';
 
 /** A member asks again after this share of the time that it may serve. */
 const RENEW_SHARE = 0.3;
@@ -100,12 +100,13 @@
   async #handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const url = new URL(request.url ?? '/', 'http://member');
     if (!this.#serves()) return answer(response, NOT_SERVING, null);
-    if (url.pathname === PART_PATH) return this.#takePart(Number(url.searchParams.get('generation')), response);
+    if (url.pathname === PARTIAL_PATH)
+      return this.#answerPartially(Number(url.searchParams.get('generation')), response);
     if (this.#group!.rank !== 0) return answer(response, NOT_THE_HEAD, null);
     return this.#answerClient(this.#group!, response);
   }
 
-  #takePart(generation: number, response: ServerResponse): void {
+  #answerPartially(generation: number, response: ServerResponse): void {
     const group = this.#group!;
     if (this.options.checksGeneration && generation !== group.generation)
       return answer(response, OTHER_GENERATION, null);
@@ -117,20 +118,20 @@
     { generation, worldSize, members, rank }: RendezvousAnswer,
     response: ServerResponse,
   ): Promise<void> {
-    const own: AnswerPart = { rank, generation, attempt: this.options.attempt };
+    const own: PartialAnswer = { rank, generation, attempt: this.options.attempt };
     const others = members.filter((_, other) => other !== rank);
-    const parts = [own, ...(await Promise.all(others.map((host) => this.#partOf(host, generation))))];
-    const isOfOne = parts.every((part) => part.generation === generation);
+    const partials = [own, ...(await Promise.all(others.map((host) => this.#partialOf(host, generation))))];
+    const isOfOne = partials.every((partial) => partial.generation === generation);
     if (this.options.checksGeneration && !isOfOne) return answer(response, OTHER_GENERATION, null);
     if (!this.#serves()) return answer(response, NOT_SERVING, null);
-    answer(response, 200, { generation, worldSize, parts } satisfies GroupAnswer);
+    answer(response, 200, { generation, worldSize, partials } satisfies GroupAnswer);
   }
 
-  async #partOf(host: string, generation: number): Promise<AnswerPart> {
-    const path = `${PART_PATH}?generation=${generation}`;
+  async #partialOf(host: string, generation: number): Promise<PartialAnswer> {
+    const path = `${PARTIAL_PATH}?generation=${generation}`;
     const { status, body } = await this.#http(`${host}:${this.options.port}`, 'GET', path, null, REQUEST_MS);
     if (status !== 200) throw new Error(`member refuses: ${status}`);
-    return JSON.parse(body.toString()) as AnswerPart;
+    return JSON.parse(body.toString()) as PartialAnswer;
   }
 }
 
--- a/packages/testkit/src/network.ts
+++ b/packages/testkit/src/network.ts
@@ -16,12 +16,12 @@
 export type WakeOrder = 'as it came' | 'input first' | 'timers first';
 
 /** What happens on a host: something that has come to it, or a timer of its own. */
-export type Occurrence = 'input' | 'timer';
+export type HostEventKind = 'input' | 'timer';
 
 /** How long after what goes first the rest is taken up: longer than anything that waits may take to be spread out. */
 const WAKE_STEP_MS = 5;
 
-export type Between = (from: string, to: string) => boolean;
+export type RoutePredicate = (from: string, to: string) => boolean;
 
 /**
  * HTTP between named hosts in simulated time. A cut way loses messages or holds them back until it heals; a request
@@ -31,9 +31,9 @@
   readonly hosts = new Map<string, Handler>();
   readonly #cuts = new Map<string, Cut>();
   /** Cuts between groups of hosts, also those that come up later. */
-  readonly #walls = new Set<{ readonly between: Between; readonly how: Cut }>();
+  readonly #walls = new Set<{ readonly appliesTo: RoutePredicate; readonly how: Cut }>();
   /** Ways on which everything takes longer, by so many milliseconds. */
-  readonly #slow = new Set<{ readonly between: Between; readonly ms: number }>();
+  readonly #slow = new Set<{ readonly appliesTo: RoutePredicate; readonly ms: number }>();
   #held: { readonly from: string; readonly to: string; readonly deliver: () => void }[] = [];
   /** Share of requests of which a copy arrives once more, and within which time. */
   copies: { share: number; withinMs: number; only: (path: string) => boolean } | null = null;
@@ -71,15 +71,15 @@
   }
 
   /** Runs what happens on a host: at once, or when it goes on. */
-  on(host: string, run: () => void, occurrence: Occurrence = 'input'): void {
+  on(host: string, run: () => void, eventKind: HostEventKind = 'input'): void {
     const still = this.#still.get(host);
     if (still === undefined || still.until <= this.sim.now) {
       run();
       return;
     }
-    const goesSecond = still.wakes === (occurrence === 'input' ? 'timers first' : 'input first');
+    const goesSecond = still.wakes === (eventKind === 'input' ? 'timers first' : 'input first');
     const step = goesSecond ? WAKE_STEP_MS : 0;
-    this.sim.after(still.until - this.sim.now + step, () => this.on(host, run, occurrence));
+    this.sim.after(still.until - this.sim.now + step, () => this.on(host, run, eventKind));
   }
 
   cut(from: string, to: string, how: Cut): void {
@@ -92,8 +92,8 @@
   }
 
   /** Cuts all ways for which `between` holds; the function that is returned heals them. */
-  wall(between: Between, how: Cut): () => void {
-    const wall = { between, how };
+  wall(appliesTo: RoutePredicate, how: Cut): () => void {
+    const wall = { appliesTo, how };
     this.#walls.add(wall);
     return () => {
       this.#walls.delete(wall);
@@ -101,8 +101,8 @@
     };
   }
 
-  slow(between: Between, ms: number): () => void {
-    const slow = { between, ms };
+  slow(appliesTo: RoutePredicate, ms: number): () => void {
+    const slow = { appliesTo, ms };
     this.#slow.add(slow);
     return () => this.#slow.delete(slow);
   }
@@ -110,7 +110,7 @@
   #cutOn(from: string, to: string): Cut | undefined {
     const cut = this.#cuts.get(`${from}>${to}`);
     if (cut !== undefined) return cut;
-    for (const wall of this.#walls) if (wall.between(from, to)) return wall.how;
+    for (const wall of this.#walls) if (wall.appliesTo(from, to)) return wall.how;
     return undefined;
   }
 
@@ -122,7 +122,7 @@
 
   #latency(from: string, to: string): number {
     let ms = 1 + this.sim.random() * 6 + (this.sim.random() < 0.01 ? 300 * this.sim.random() : 0);
-    for (const slow of this.#slow) if (slow.between(from, to)) ms += slow.ms * (0.5 + this.sim.random());
+    for (const slow of this.#slow) if (slow.appliesTo(from, to)) ms += slow.ms * (0.5 + this.sim.random());
     return ms;
   }
 
@@ -135,7 +135,7 @@
   }
 
   /** Brings a message that has no answer over, and maybe a copy of it later. */
-  tell(from: string, to: string, deliver: () => void): void {
+  sendOneWay(from: string, to: string, deliver: () => void): void {
     this.pass(from, to, deliver);
     const { peerCopies } = this;
     if (peerCopies !== null && this.sim.random() < peerCopies.share) {
--- a/packages/testkit/src/operations-audit.ts
+++ b/packages/testkit/src/operations-audit.ts
@@ -25,7 +25,7 @@
     const { tasks } = world.job(job)!;
     const probes = (world.sim.now - broken.firstStartAt) / (world.heartbeatIntervalMs * PROBE_INTERVALS);
     if (broken.starts > tasks * STARTS_PER_TASK + probes + 1) {
-      world.breach('retried_often', `${job} of ${tasks} tasks was started ${broken.starts} times`);
+      world.reportViolation('retried_often', `${job} of ${tasks} tasks was started ${broken.starts} times`);
     }
   }
 
@@ -42,10 +42,10 @@
 
   #condemns(machine: string): void {
     const { world } = this;
-    world.came('condemned');
+    world.recordOccurrence('condemned');
     if (world.everUnhealthy.has(machine) || this.#condemned.has(machine)) return;
     this.#condemned.add(machine);
-    world.breach('condemned_healthy', machine);
+    world.reportViolation('condemned_healthy', machine);
   }
 
   #checkRented(quietAt: number): void {
@@ -56,7 +56,7 @@
       if (state !== 'booting' || now - Math.max(bornAt, quietAt) < bootMs * MOST_BOOTS) continue;
       if (this.#forgotten.has(name)) continue;
       this.#forgotten.add(name);
-      world.breach('forgotten_machine', `${name} is paid for and never came up`);
+      world.reportViolation('forgotten_machine', `${name} is paid for and never came up`);
     }
   }
 }
--- a/packages/testkit/src/operations-faults.ts
+++ b/packages/testkit/src/operations-faults.ts
@@ -71,7 +71,7 @@
   }
 }
 
-export function inflictOperations(world: World, fault: OperationsFault, node: (index: number) => string): void {
+export function injectOperationsFault(world: World, fault: OperationsFault, node: (index: number) => string): void {
   const { sim, network } = world;
   switch (fault.kind) {
     case 'broken jobs':
@@ -92,9 +92,9 @@
       return;
     }
     case 'boot trouble':
-      world.cloud.bootTrouble = { never: fault.never, factor: fault.factor };
+      world.cloud.bootFault = { never: fault.never, factor: fault.factor };
       sim.after(fault.forMs, () => {
-        world.cloud.bootTrouble = null;
+        world.cloud.bootFault = null;
       });
       return;
     case 'clocks jump':
--- a/packages/testkit/src/ownership-audit.ts
+++ b/packages/testkit/src/ownership-audit.ts
@@ -26,7 +26,7 @@
     const { ownershipTerm, context } = owner;
     const copy = context.clusterState.owners.get(ownershipTerm.resource);
     if (copy?.version === ownershipTerm.version) return;
-    this.world.breach(
+    this.world.reportViolation(
       'deposed_owner',
       `${node} answers for partition ${owner.partitionId} under term ${ownershipTerm.term}`,
     );
@@ -47,7 +47,7 @@
   #checkPlace({ claimTable, partitionId }: PartitionOwner, { job, index, name, zone }: TaskEntry): void {
     const assigned = tasksAssignedTo(job, partitionId, claimTable.term).get(index);
     if (assigned?.zone === zone) return;
-    this.world.breach('stale_entry', `${name} waits for zone ${zone}, its record says ${assigned?.zone}`);
+    this.world.reportViolation('stale_entry', `${name} waits for zone ${zone}, its record says ${assigned?.zone}`);
   }
 
   /**
@@ -66,7 +66,7 @@
   /** What may be started, or given back to be started elsewhere, runs nowhere. */
   #checkFree({ name, state }: TaskEntry): void {
     const machine = this.world.runningTasks().get(name);
-    if (machine !== undefined) this.world.breach('free_but_running', `${name} is ${state} and on ${machine}`);
+    if (machine !== undefined) this.world.reportViolation('free_but_running', `${name} is ${state} and on ${machine}`);
   }
 
   /** What is assigned to no partition runs nowhere: the leader may assign it to any. */
@@ -75,7 +75,8 @@
     const record = this.#recordOf(job);
     if (record === null || this.world.isDone(taskName)) return;
     const isAssigned = record.final === null && record.assignedRanges.some((range) => isIn(range, index));
-    if (!isAssigned) this.world.breach('free_but_running', `${taskName} is assigned nowhere and on ${machine}`);
+    if (!isAssigned)
+      this.world.reportViolation('free_but_running', `${taskName} is assigned nowhere and on ${machine}`);
   }
 
   #recordOf(job: string): JobRecord | null {
--- a/packages/testkit/src/pipelines.ts
+++ b/packages/testkit/src/pipelines.ts
@@ -55,7 +55,7 @@
     // A pipeline hangs together: each job but the first needs another.
     if (awaits.length === 0 && before.length > 0) awaits.push(before.at(-1)!.id);
     if (this.#chance(CHANCE.earlier)) {
-      const earlier = [...this.world.users.told.values()].filter((t) => t.accepted && t.spec.kind === 'array');
+      const earlier = [...this.world.users.observedByJob.values()].filter((t) => t.accepted && t.spec.kind === 'array');
       const one = earlier[Math.floor(this.#random() * earlier.length)];
       if (one !== undefined && !awaits.includes(one.spec.id)) awaits.push(one.spec.id);
     }
@@ -77,8 +77,8 @@
   async #submit(spec: JobSpec, whenOver: boolean, cancelAfterMs: number | null): Promise<void> {
     const { users, sim } = this.world;
     const mayCome = (id: string): boolean => {
-      const told = users.told.get(id);
-      return told?.accepted === true && (!whenOver || told.final !== null);
+      const observed = users.observedByJob.get(id);
+      return observed?.accepted === true && (!whenOver || observed.final !== null);
     };
     while (!spec.awaits.every(mayCome)) {
       await new Promise<void>((resolve) => {
--- a/packages/testkit/src/sim-link.ts
+++ b/packages/testkit/src/sim-link.ts
@@ -1,7 +1,7 @@
 // The link between simulated controllers.
 import { decodePeer, encodePeer, MAX_FRAME_BYTES, type PeerLink, type PeerMessage } from '@gingerlock/peer';
 import type { Network } from './network';
-import type { Rule } from './rules';
+import type { Invariant } from './invariants';
 import type { Sim } from './sim';
 
 /** What a link needs of the world that it is in. */
@@ -17,15 +17,15 @@
   /** Bytes and messages that all links together have sent. */
   peerBytes: number;
   peerMessages: number;
-  breach(rule: Rule, detail: string): void;
-  came(what: string): void;
+  reportViolation(rule: Invariant, detail: string): void;
+  recordOccurrence(what: string): void;
 }
 
 /** The link of one controller: messages take the simulated network, and end with the process of either side. */
 export class SimLink implements PeerLink {
   readonly nodes: readonly string[];
   onMessage: (from: string, message: PeerMessage) => void = () => undefined;
-  readonly #heard = new Map<string, { link: SimLink; at: number }>();
+  readonly #lastHeardFrom = new Map<string, { link: SimLink; at: number }>();
 
   readonly frameBytes: number;
 
@@ -38,10 +38,11 @@
   }
 
   alive(node: string): boolean {
-    const heard = this.#heard.get(node);
+    const lastHeardFrom = this.#lastHeardFrom.get(node);
     // The end of a process ends its connections.
-    if (heard === undefined || this.world.nodes.find((n) => n.name === node)!.link !== heard.link) return false;
-    return this.world.sim.now - heard.at < this.world.heartbeatIntervalMs * 2;
+    if (lastHeardFrom === undefined || this.world.nodes.find((n) => n.name === node)!.link !== lastHeardFrom.link)
+      return false;
+    return this.world.sim.now - lastHeardFrom.at < this.world.heartbeatIntervalMs * 2;
   }
 
   send(node: string, told: PeerMessage): boolean {
@@ -49,8 +50,9 @@
     const message = falsify === undefined ? told : falsify(told);
     if (message === null) return true;
     const bytes = encodePeer(message);
-    if (bytes.length > this.frameBytes) this.world.breach('frame_too_large', `${message.kind}: ${bytes.length} bytes`);
-    if (message.kind === 'PartitionStatusFragment') this.world.came('summary piece');
+    if (bytes.length > this.frameBytes)
+      this.world.reportViolation('frame_too_large', `${message.kind}: ${bytes.length} bytes`);
+    if (message.kind === 'PartitionStatusFragment') this.world.recordOccurrence('summary piece');
     const to = this.world.nodes.find((n) => n.name === node)!;
     const { link } = to;
     const { network } = this.world;
@@ -60,11 +62,11 @@
     if (link === null) return false;
     this.world.peerBytes += bytes.length;
     this.world.peerMessages++;
-    network.tell(`peer:${this.node}`, `peer:${node}`, () =>
+    network.sendOneWay(`peer:${this.node}`, `peer:${node}`, () =>
       network.on(node, () => {
         if (to.link !== link) return;
         network.observe({ what: 'frame received', ...way });
-        link.#heard.set(this.node, { link: this, at: this.world.sim.now });
+        link.#lastHeardFrom.set(this.node, { link: this, at: this.world.sim.now });
         link.onMessage(this.node, decodePeer(bytes));
       }),
     );
--- a/packages/testkit/src/state-faults.ts
+++ b/packages/testkit/src/state-faults.ts
@@ -51,7 +51,7 @@
   return KINDS.has(fault.kind);
 }
 
-export function inflictOnState(world: World, fault: StateFault, targets: FaultTargets): void {
+export function injectStateFault(world: World, fault: StateFault, targets: FaultTargets): void {
   const { sim, network, state } = world;
   switch (fault.kind) {
     case 'state outage':
@@ -103,9 +103,9 @@
       return;
     }
     case 'unhelpful reads':
-      state.unhelpful = fault;
+      state.staleReads = fault;
       sim.after(fault.forMs, () => {
-        state.unhelpful = null;
+        state.staleReads = null;
       });
       return;
   }
--- a/packages/testkit/src/state-service.ts
+++ b/packages/testkit/src/state-service.ts
@@ -35,7 +35,7 @@
 }
 
 /** How little the protocol lets a follower or a lister count on. */
-export interface UnhelpfulReads {
+export interface StaleReads {
   /** So many changes are kept; who asks for older ones has to read all again. */
   readonly keptEvents: number;
   /** So many items come in one page of a list. */
@@ -70,7 +70,7 @@
   /** By controller: how long the answers to its reads take, which are of the moment at which they were asked for. */
   readonly slowReadsOf = new Map<string, number>();
   /** Set while reads are as unhelpful as the protocol allows: changes in any order, of each key the last one only. */
-  unhelpful: UnhelpfulReads | null = null;
+  staleReads: StaleReads | null = null;
   /** Enforced from the moment when they are set; until then what breaks a limit is only counted. */
   limits: StateLimits | null = null;
   /** Hears of each key that a transaction has set, once all of it is carried out. */
@@ -138,10 +138,10 @@
   #eventsAfter(revision: number, prefix: string): StateEvent[] | null {
     if (revision < this.#dropped) return null;
     const later = this.#events.filter((e) => e.version > revision);
-    const { unhelpful } = this;
-    if (unhelpful !== null && later.length > unhelpful.keptEvents) return null;
+    const { staleReads } = this;
+    if (staleReads !== null && later.length > staleReads.keptEvents) return null;
     const events = later.filter((e) => e.key.startsWith(prefix));
-    if (unhelpful === null) return events;
+    if (staleReads === null) return events;
     const last = new Map(events.map((e) => [e.key, e]));
     return shuffled([...last.values()], this.sim.random);
   }
@@ -253,7 +253,7 @@
         const all = [...this.data]
           .filter(([key]) => key.startsWith(request.prefix) && key > request.after)
           .sort(([a], [b]) => (a < b ? -1 : 1));
-        const limit = Math.min(request.limit, this.unhelpful?.pageItems ?? Infinity);
+        const limit = Math.min(request.limit, this.staleReads?.pageItems ?? Infinity);
         const items = all.slice(0, limit).map(([key, e]) => ({ key, value: e.value, version: e.version }));
         return answer(200, listMap(items, all.length > items.length, this.revision));
       }
--- a/packages/testkit/src/user-faults.ts
+++ b/packages/testkit/src/user-faults.ts
@@ -38,12 +38,12 @@
   return KINDS.has(fault.kind);
 }
 
-export function inflictByUsers(world: World, fault: UserFault, targets: FaultTargets): void {
+export function injectUserFault(world: World, fault: UserFault, targets: FaultTargets): void {
   const { sim, network, state } = world;
   switch (fault.kind) {
     case 'cancel now': {
       const jobs = cancelSome(world, fault.count, 200);
-      world.came('cancelled', jobs.size);
+      world.recordOccurrence('cancelled', jobs.size);
       const on = [...world.runningTasks()]
         .filter(([taskName]) => jobs.has(parseTaskName(taskName)!.job))
         .map(([, m]) => m);
@@ -60,7 +60,7 @@
       const until = sim.now + fault.forMs;
       const next = (): void => {
         if (sim.now > until) return;
-        void world.users.odd(world.randomJob());
+        void world.users.sendOddRequest(world.randomJob());
         sim.after(100 + sim.random() * 600, next);
       };
       next();
@@ -88,7 +88,7 @@
     case 'gap': {
       const name = targets.node(fault.node);
       state.refused.add(name);
-      world.came('cancelled', cancelSome(world, fault.cancels, fault.afterMs).size);
+      world.recordOccurrence('cancelled', cancelSome(world, fault.cancels, fault.afterMs).size);
       sim.after(fault.afterMs, () => state.setOutage(true));
       sim.after(fault.afterMs + fault.forMs, () => {
         state.refused.delete(name);
--- a/packages/testkit/src/users.ts
+++ b/packages/testkit/src/users.ts
@@ -9,7 +9,7 @@
   type JobStatus,
   submissionMap,
 } from '@gingerlock/wire';
-import type { Rule } from './rules';
+import type { Invariant } from './invariants';
 import type { Sim } from './sim';
 import { observeDirect, type TrafficObserver } from './traffic';
 
@@ -20,13 +20,13 @@
   /** Controllers that say nothing to anybody, users included. */
   readonly silent: ReadonlySet<string>;
   readonly nodes: readonly { readonly controller: Controller | null }[];
-  breach(rule: Rule, detail: string): void;
+  reportViolation(rule: Invariant, detail: string): void;
   /** Completed tasks of a job. */
   doneOf(id: string): number;
 }
 
 /** What the users of one job have been told. */
-export interface Told {
+export interface ObservedStatus {
   readonly spec: JobSpec;
   readonly since: number;
   accepted: boolean;
@@ -45,10 +45,10 @@
 const PATIENCE_MS = 5000;
 
 export class SimUsers {
-  readonly told = new Map<string, Told>();
+  readonly observedByJob = new Map<string, ObservedStatus>();
   /** Until when all nodes are asked within milliseconds after each piece of news. */
   closeLooksUntil = 0;
-  #odd = 0;
+  #oddRequests = 0;
 
   constructor(readonly world: UsersWorld) {}
 
@@ -68,9 +68,9 @@
     return Promise.race([Promise.resolve(answer), this.#pause(PATIENCE_MS).then(() => undefined)]);
   }
 
-  #newTold(spec: JobSpec): Told {
+  #newObservedStatus(spec: JobSpec): ObservedStatus {
     const { now } = this.world.sim;
-    const told: Told = {
+    const observed: ObservedStatus = {
       spec,
       since: now,
       accepted: false,
@@ -80,20 +80,20 @@
       cancelAsked: false,
       answeredAt: now,
     };
-    this.told.set(spec.id, told);
-    return told;
+    this.observedByJob.set(spec.id, observed);
+    return observed;
   }
 
   /** Takes over the user of a job that was accepted before the world began. */
   adopt(spec: JobSpec): void {
-    this.#newTold(spec).accepted = true;
+    this.#newObservedStatus(spec).accepted = true;
   }
 
   /** Polls a job that was accepted until it is over. */
   async follow(id: string): Promise<void> {
-    const told = this.told.get(id)!;
-    while (told.final === null) {
-      await this.#ask(told, 'poll', this.#anyController());
+    const observed = this.observedByJob.get(id)!;
+    while (observed.final === null) {
+      await this.#ask(observed, 'poll', this.#anyController());
       await this.#pause(1000);
     }
   }
@@ -101,25 +101,26 @@
   /** A user's whole life with one job: submits until accepted, polls, and cancels when it wants to. */
   async live(spec: JobSpec, cancelAfterMs: number | null): Promise<void> {
     const { sim } = this.world;
-    const told = this.#newTold(spec);
-    while (!told.accepted) {
-      if (!(await this.#ask(told, 'submit', this.#anyController()))) await this.#pause(1000);
+    const observed = this.#newObservedStatus(spec);
+    while (!observed.accepted) {
+      if (!(await this.#ask(observed, 'submit', this.#anyController()))) await this.#pause(1000);
     }
-    if (cancelAfterMs !== null) told.cancelAt = Math.min(told.cancelAt, sim.now + cancelAfterMs);
+    if (cancelAfterMs !== null) observed.cancelAt = Math.min(observed.cancelAt, sim.now + cancelAfterMs);
     for (;;) {
       await this.#pause(500 + sim.random() * 1500);
-      if (sim.now >= told.cancelAt && told.final === null) await this.#ask(told, 'cancel', this.#anyController());
-      else await this.#ask(told, sim.random() < 0.1 ? 'submit' : 'poll', this.#anyController());
+      if (sim.now >= observed.cancelAt && observed.final === null)
+        await this.#ask(observed, 'cancel', this.#anyController());
+      else await this.#ask(observed, sim.random() < 0.1 ? 'submit' : 'poll', this.#anyController());
     }
   }
 
   /** Calls a job off, from now on until that is answered for. */
   async cancel(id: string): Promise<void> {
-    const told = this.told.get(id);
-    if (told === undefined || !told.accepted || told.cancelAsked) return;
-    told.cancelAt = this.world.sim.now;
-    while (told.final === null) {
-      if (!(await this.#ask(told, 'cancel', this.#anyController()))) await this.#pause(1000);
+    const observed = this.observedByJob.get(id);
+    if (observed === undefined || !observed.accepted || observed.cancelAsked) return;
+    observed.cancelAt = this.world.sim.now;
+    while (observed.final === null) {
+      if (!(await this.#ask(observed, 'cancel', this.#anyController()))) await this.#pause(1000);
     }
   }
 
@@ -141,128 +142,133 @@
   }
 
   /** Asks one controller; false: there was no answer that says anything. */
-  async #ask(told: Told, what: 'submit' | 'poll' | 'cancel', controller: Controller | null): Promise<boolean> {
+  async #ask(
+    observed: ObservedStatus,
+    what: 'submit' | 'poll' | 'cancel',
+    controller: Controller | null,
+  ): Promise<boolean> {
     if (controller === null) return false;
     const { world } = this;
-    const { id } = told.spec;
+    const { id } = observed.spec;
     if (world.silent.has(controller.settings.node)) {
       await this.#pause(PATIENCE_MS);
       return false;
     }
-    if (what === 'cancel') told.cancelAsked = true;
+    if (what === 'cancel') observed.cancelAsked = true;
     // An answer may be as old as its question, and no older.
-    const known = { accepted: told.accepted, final: told.final };
+    const known = { accepted: observed.accepted, final: observed.final };
     const reply = await this.#inTime(
       what === 'submit'
-        ? this.#submit(controller, encodeSubmission(told.spec))
+        ? this.#submit(controller, encodeSubmission(observed.spec))
         : what === 'poll'
           ? this.#poll(controller, id)
           : this.#cancel(controller, id),
     );
     if (reply === undefined || reply.status === 503 || reply.status === 429) return false;
-    told.answeredAt = world.sim.now;
+    observed.answeredAt = world.sim.now;
     if (reply.status !== 200 && reply.status !== 201) {
-      if (known.accepted || what === 'submit') world.breach('forgotten', `${id}: ${what} got ${reply.status}`);
+      if (known.accepted || what === 'submit') world.reportViolation('forgotten', `${id}: ${what} got ${reply.status}`);
       return false;
     }
-    this.#heard(told, known, reply);
+    this.#recordAnswer(observed, known, reply);
     return true;
   }
 
   /** The jobs that this one needs, directly and through others, as far as their users are known here. */
-  #before(id: string): Told[] {
-    const found = new Map<string, Told>();
-    const pending = [...(this.told.get(id)?.spec.awaits ?? [])];
+  #dependenciesOf(id: string): ObservedStatus[] {
+    const found = new Map<string, ObservedStatus>();
+    const pending = [...(this.observedByJob.get(id)?.spec.awaits ?? [])];
     for (let next = pending.pop(); next !== undefined; next = pending.pop()) {
-      const told = this.told.get(next);
-      if (told === undefined || found.has(next)) continue;
-      found.set(next, told);
-      pending.push(...told.spec.awaits);
+      const observed = this.observedByJob.get(next);
+      if (observed === undefined || found.has(next)) continue;
+      found.set(next, observed);
+      pending.push(...observed.spec.awaits);
     }
     return [...found.values()];
   }
 
   /** Whether the job, or one that it needs, is wanted cancelled. */
-  isUnwanted({ spec, cancelAt }: Told): boolean {
+  isUnwanted({ spec, cancelAt }: ObservedStatus): boolean {
     const { now } = this.world.sim;
-    return now >= cancelAt || this.#before(spec.id).some((before) => now >= before.cancelAt);
+    return now >= cancelAt || this.#dependenciesOf(spec.id).some((before) => now >= before.cancelAt);
   }
 
   /** Whether the job's user has been told that it is cancelled. What no controller has been able to take yet, none can know. */
-  isCancelled({ final }: Told): boolean {
+  isCancelled({ final }: ObservedStatus): boolean {
     return final === 'cancelled';
   }
 
   /** Whether all that the job needs has completed. */
-  isReady({ spec }: Told): boolean {
-    return spec.awaits.every((id) => this.world.doneOf(id) >= (this.told.get(id)?.spec.tasks ?? Infinity));
+  isReady({ spec }: ObservedStatus): boolean {
+    return spec.awaits.every((id) => this.world.doneOf(id) >= (this.observedByJob.get(id)?.spec.tasks ?? Infinity));
   }
 
-  #checkOrphaned(told: Told, status: JobStatus): void {
+  #checkOrphaned(observed: ObservedStatus, status: JobStatus): void {
     const { sim, cancellationBoundMs } = this.world;
     if (status === 'done' || status === 'cancelled') return;
-    const late = this.#before(told.spec.id).find(
+    const late = this.#dependenciesOf(observed.spec.id).find(
       (t) => t.cancelledAt !== null && sim.now - t.cancelledAt > cancellationBoundMs,
     );
-    if (late !== undefined) this.world.breach('orphaned', `${told.spec.id} is ${status} after ${late.spec.id}`);
+    if (late !== undefined)
+      this.world.reportViolation('orphaned', `${observed.spec.id} is ${status} after ${late.spec.id}`);
   }
 
-  #heard(told: Told, known: { final: JobStatus | null }, reply: Answer): void {
+  #recordAnswer(observed: ObservedStatus, known: { final: JobStatus | null }, reply: Answer): void {
     const { world } = this;
-    const { id, tasks } = told.spec;
+    const { id, tasks } = observed.spec;
     const { status } = decodeJobState(reply.body!);
     const final = status === 'done' || status === 'cancelled';
     if (known.final !== null && status !== known.final)
-      world.breach('went_back', `${id}: ${known.final}, then ${status}`);
-    if (final && told.final !== null && status !== told.final)
-      world.breach('went_back', `${id}: ${told.final} and ${status}`);
+      world.reportViolation('went_back', `${id}: ${known.final}, then ${status}`);
+    if (final && observed.final !== null && status !== observed.final)
+      world.reportViolation('went_back', `${id}: ${observed.final} and ${status}`);
     if (status === 'cancelled') {
-      if (!told.cancelAsked && !this.#before(id).some((before) => before.cancelAsked))
-        world.breach('went_back', `${id} called cancelled unasked`);
-      told.cancelledAt ??= world.sim.now;
+      if (!observed.cancelAsked && !this.#dependenciesOf(id).some((before) => before.cancelAsked))
+        world.reportViolation('went_back', `${id} called cancelled unasked`);
+      observed.cancelledAt ??= world.sim.now;
     }
-    if (status === 'done' && world.doneOf(id) < tasks) world.breach('not_done', id);
-    this.#checkOrphaned(told, status);
-    const news = !told.accepted || (final && told.final === null);
-    told.accepted = true;
-    if (final) told.final = status;
-    if (news && world.sim.now < this.closeLooksUntil) this.#lookClosely(told);
+    if (status === 'done' && world.doneOf(id) < tasks) world.reportViolation('not_done', id);
+    this.#checkOrphaned(observed, status);
+    const news = !observed.accepted || (final && observed.final === null);
+    observed.accepted = true;
+    if (final) observed.final = status;
+    if (news && world.sim.now < this.closeLooksUntil) this.#lookClosely(observed);
   }
 
   /** All nodes are asked, and the submission repeated, within milliseconds; some users cancel at once. */
-  #lookClosely(told: Told): void {
+  #lookClosely(observed: ObservedStatus): void {
     const { sim, nodes } = this.world;
     for (const { controller } of nodes) {
       for (const what of ['poll', 'submit', 'poll'] as const) {
-        sim.after(sim.random() * 30, () => void this.#ask(told, what, controller));
+        sim.after(sim.random() * 30, () => void this.#ask(observed, what, controller));
       }
     }
-    if (told.final === null && sim.random() < 0.2) void this.cancel(told.spec.id);
+    if (observed.final === null && sim.random() < 0.2) void this.cancel(observed.spec.id);
   }
 
   /** One odd request: a repetition, a cancellation that comes too late, or a job that can't be. */
-  async odd(like: JobSpec): Promise<void> {
+  async sendOddRequest(like: JobSpec): Promise<void> {
     const { world } = this;
     const { sim } = world;
-    const pick = (wanted: (t: Told) => boolean): Told | undefined => {
-      const fitting = [...this.told.values()].filter(wanted);
+    const pick = (matches: (t: ObservedStatus) => boolean): ObservedStatus | undefined => {
+      const fitting = [...this.observedByJob.values()].filter(matches);
       return fitting[Math.floor(sim.random() * fitting.length)];
     };
     const controller = this.#anyController();
     const unfinished = pick((t) => t.accepted && t.final === null);
     const done = pick((t) => t.final === 'done');
-    const turn = this.#odd++ % 4;
+    const turn = this.#oddRequests++ % 4;
     if (turn === 0 && unfinished !== undefined) await this.#ask(unfinished, 'submit', controller);
     if (turn === 1 && done !== undefined) await this.#ask(done, 'cancel', controller);
     if (turn < 2 || controller === null) return;
-    const map = submissionMap({ ...like, id: `j-${String(700_000 + this.#odd).padStart(6, '0')}` });
+    const map = submissionMap({ ...like, id: `j-${String(700_000 + this.#oddRequests).padStart(6, '0')}` });
     const impossible = [{ cores: 1e6 }, { breeds: ['none such'] }, { awaits: ['j-899999'] }, { awaits: [map.name_id] }];
     if (turn === 2) Object.assign(map, impossible[Math.floor(sim.random() * impossible.length)]);
-    else Reflect.deleteProperty(map, ['crew', 'shape', 'parcels', 'cores', 'same_place'][this.#odd % 5]!);
+    else Reflect.deleteProperty(map, ['crew', 'shape', 'parcels', 'cores', 'same_place'][this.#oddRequests % 5]!);
     const reply = await this.#inTime(this.#submit(controller, encode(map)));
-    const wanted = turn === 2 ? 422 : 400;
-    if (reply === undefined || reply.status === 503 || reply.status === 429 || reply.status === wanted) return;
-    world.breach('accepted_bad', `${JSON.stringify(map)} got ${reply.status}`);
+    const expectedStatus = turn === 2 ? 422 : 400;
+    if (reply === undefined || reply.status === 503 || reply.status === 429 || reply.status === expectedStatus) return;
+    world.reportViolation('accepted_bad', `${JSON.stringify(map)} got ${reply.status}`);
   }
 
   /** Asks about a job that nobody has submitted. */
@@ -270,15 +276,15 @@
     const controller = this.#anyController();
     if (controller === null) return;
     const reply = await this.#poll(controller, `j-${900_000 + Math.floor(this.world.sim.random() * 1000)}`);
-    if (reply?.status === 200) this.world.breach('invented', 'a job that nobody submitted');
+    if (reply?.status === 200) this.world.reportViolation('invented', 'a job that nobody submitted');
   }
 
   /** Jobs that were accepted and are neither done nor cancelled. */
-  open(): Told[] {
-    return [...this.told.values()].filter((t) => t.accepted && t.final === null);
+  open(): ObservedStatus[] {
+    return [...this.observedByJob.values()].filter((t) => t.accepted && t.final === null);
   }
 
   finished(): number {
-    return [...this.told.values()].filter((t) => t.final === 'done').length;
+    return [...this.observedByJob.values()].filter((t) => t.final === 'done').length;
   }
 }
--- a/packages/testkit/src/worker.ts
+++ b/packages/testkit/src/worker.ts
@@ -9,7 +9,7 @@
   type TaskState,
   type WorkerCommand,
 } from '@gingerlock/wire';
-import type { Handler, Occurrence } from './network';
+import type { Handler, HostEventKind } from './network';
 import type { Scheduler } from './sim';
 
 interface RunningTask {
@@ -28,7 +28,7 @@
   readonly hosts: { set(address: string, handler: Handler): unknown; delete(address: string): unknown };
   http(from: string, alive: () => boolean): Http;
   /** Runs what happens on a host: at once, or when it goes on. */
-  on(host: string, run: () => void, occurrence?: Occurrence): void;
+  on(host: string, run: () => void, eventKind?: HostEventKind): void;
 }
 
 export interface WorkerWorld {
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -37,7 +37,7 @@
 import { Network } from './network';
 import { OperationsAudit } from './operations-audit';
 import { OwnershipAudit } from './ownership-audit';
-import type { Breach, Rule } from './rules';
+import type { Violation, Invariant } from './invariants';
 import { Sim } from './sim';
 import { SimLink } from './sim-link';
 import { SimStateService, type StateLimits } from './state-service';
@@ -107,7 +107,7 @@
   readonly cloud: SimCloud;
   readonly nodes: Node[];
   readonly workers = new Map<string, SimWorker>();
-  readonly breaches: Breach[] = [];
+  readonly violations: Violation[] = [];
   readonly deployment: Deployment;
   readonly heartbeatIntervalMs: number;
   readonly workerLeaseMs: number;
@@ -168,7 +168,7 @@
       if (this.replicaGroups !== null) this.groups.stored(key);
       if (this.options.features !== undefined && key.startsWith(RECLAIM_PREFIX)) this.borrowing.audit(Infinity);
     };
-    this.state.onInvalid = (why) => this.breach('refused', why);
+    this.state.onInvalid = (why) => this.reportViolation('refused', why);
     this.heartbeatIntervalMs = (options.heartbeatIntervalS ?? 1) * 1000;
     this.workerLeaseMs = (options.workerLeaseS ?? 6) * 1000;
     this.cancellationBoundMs = (options.cancellationBoundS ?? 20) * 1000;
@@ -200,7 +200,7 @@
 
   /** The longest that any job's task may take to save, with the slack that it gets. */
   get longestSaveMs(): number {
-    return Math.max(0, ...[...this.users.told.values()].map(({ spec }) => spec.saveS)) * 1250;
+    return Math.max(0, ...[...this.users.observedByJob.values()].map(({ spec }) => spec.saveS)) * 1250;
   }
 
   get gpusMax(): number {
@@ -231,7 +231,7 @@
   }
 
   job(id: string): JobSpec | undefined {
-    return this.users.told.get(id)?.spec;
+    return this.users.observedByJob.get(id)?.spec;
   }
 
   /** The controller that has the lead, as the state service says. */
@@ -365,12 +365,12 @@
   // --- the rules ---------------------------------------------------------------------------------------------------
 
   /** Notes that something came about, so that a test can show that it brought about what it is for. */
-  came(what: string, times = 1): void {
+  recordOccurrence(what: string, times = 1): void {
     this.happened.set(what, (this.happened.get(what) ?? 0) + times);
   }
 
-  breach(rule: Rule, detail: string): void {
-    this.breaches.push({ rule, at: this.sim.now, detail });
+  reportViolation(rule: Invariant, detail: string): void {
+    this.violations.push({ rule, at: this.sim.now, detail });
   }
 
   onTask(taskName: string, machine: string): void {
@@ -381,24 +381,28 @@
     this.liveness.taskStarted(job, machine);
     this.operations.started(job);
     const other = this.#on.get(taskName);
-    if (other !== undefined && other !== machine) this.breach('ran_twice', `${taskName} on ${machine} and ${other}`);
+    if (other !== undefined && other !== machine)
+      this.reportViolation('ran_twice', `${taskName} on ${machine} and ${other}`);
     this.#put(taskName, machine, spec);
     if (spec.zone !== null && spec.zone !== worker.zone)
-      this.breach('wrong_place', `${taskName} in zone ${worker.zone}`);
-    if (worker.spot && !spec.spot) this.breach('wrong_place', `${taskName} on spot`);
-    if (spec.types?.includes(worker.type) === false) this.breach('wrong_place', `${taskName} on type ${worker.type}`);
+      this.reportViolation('wrong_place', `${taskName} in zone ${worker.zone}`);
+    if (worker.spot && !spec.spot) this.reportViolation('wrong_place', `${taskName} on spot`);
+    if (spec.types?.includes(worker.type) === false)
+      this.reportViolation('wrong_place', `${taskName} on type ${worker.type}`);
     const zones = [...this.#onByJob.get(job)!].map((t) => this.workers.get(this.#on.get(t)!)?.zone);
-    if (spec.oneZone && new Set(zones).size > 1) this.breach('wrong_place', `${job} in ${zones.join()}`);
+    if (spec.oneZone && new Set(zones).size > 1) this.reportViolation('wrong_place', `${job} in ${zones.join()}`);
     if (spec.spread && zones.filter((z) => z === worker.zone).length > Math.ceil(spec.tasks / 2)) {
-      this.breach('wrong_place', `${job} not spread: ${zones.join()}`);
+      this.reportViolation('wrong_place', `${job} not spread: ${zones.join()}`);
     }
     const gpus = this.#gpusOf.get(spec.team)!;
     this.peakGpus = Math.max(this.peakGpus, gpus);
-    if (gpus > this.gpusMax + 1e-9) this.breach('quota', `team ${spec.team} uses ${gpus}`);
+    if (gpus > this.gpusMax + 1e-9) this.reportViolation('quota', `team ${spec.team} uses ${gpus}`);
     const used = this.#gpusOn.get(machine)!;
-    if (used > this.capacityOfType(worker.type).gpus + 1e-9) this.breach('overcommitted', `${machine}: ${used} GPUs`);
-    const told = this.users.told.get(job)!;
-    if (!this.users.isReady(told)) this.breach('too_early', `${taskName} before one of ${spec.awaits.join()}`);
+    if (used > this.capacityOfType(worker.type).gpus + 1e-9)
+      this.reportViolation('overcommitted', `${machine}: ${used} GPUs`);
+    const observed = this.users.observedByJob.get(job)!;
+    if (!this.users.isReady(observed))
+      this.reportViolation('too_early', `${taskName} before one of ${spec.awaits.join()}`);
     this.#checkCancelled(taskName);
   }
 
@@ -425,13 +429,13 @@
   }
 
   #checkCancelled(taskName: string): void {
-    const { cancelledAt } = this.users.told.get(parseTaskName(taskName)!.job)!;
+    const { cancelledAt } = this.users.observedByJob.get(parseTaskName(taskName)!.job)!;
     if (cancelledAt === null) return;
     const since = this.sim.now - cancelledAt;
     this.longestCancelledMs = Math.max(this.longestCancelledMs, since);
     if (since <= this.cancellationBoundMs) return;
     const machine = this.#on.get(taskName)!;
-    this.breach(
+    this.reportViolation(
       'ran_cancelled',
       `${taskName} on ${machine}${this.network.standsStill(machine) ? ', which hangs' : ''}`,
     );
@@ -445,11 +449,12 @@
   /** A start command has come to a worker. */
   onCommanded(taskName: string, attempt: number, machine: string): void {
     this.groups.started(taskName, attempt, machine);
-    const { cancelledAt } = this.users.told.get(parseTaskName(taskName)?.job ?? '') ?? { cancelledAt: null };
+    const { cancelledAt } = this.users.observedByJob.get(parseTaskName(taskName)?.job ?? '') ?? { cancelledAt: null };
     if (cancelledAt === null) return;
-    this.came('started though cancelled');
+    this.recordOccurrence('started though cancelled');
     // An owner starts tasks for a tenth of `cancel_s` after its last look at the jobs; its answer counts for 4 s.
-    if (this.sim.now - cancelledAt > this.cancellationBoundMs / 10 + 4000) this.breach('start_cancelled', taskName);
+    if (this.sim.now - cancelledAt > this.cancellationBoundMs / 10 + 4000)
+      this.reportViolation('start_cancelled', taskName);
   }
 
   /** Checks what only time can show. */
@@ -548,7 +553,7 @@
   }
 
   #largestImage(): JobSpec {
-    const specs = [...this.users.told.values()].map(({ spec }) => spec);
+    const specs = [...this.users.observedByJob.values()].map(({ spec }) => spec);
     return specs.reduce((a, b) => (a.imageGb > b.imageGb ? a : b));
   }
 
--- a/packages/testkit/test/borrowing-loopback.test.ts
+++ b/packages/testkit/test/borrowing-loopback.test.ts
@@ -74,7 +74,7 @@
     for (const job of [...surge, jobOf(200, {})]) await deployment.cancel(job.id);
     assert.ok(await deployment.until(() => batchRuns() === GPUS, 30_000), `${batchRuns()} tasks of batch work`);
     assert.ok((deployment.happened.get('reclaim') ?? 0) > 0);
-    assert.deepEqual(deployment.breaches, []);
+    assert.deepEqual(deployment.violations, []);
   } finally {
     await deployment.stop();
   }
--- a/packages/testkit/test/borrowing-measure.test.ts
+++ b/packages/testkit/test/borrowing-measure.test.ts
@@ -3,7 +3,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '@gingerlock/wire';
-import { playDay, World } from '../src/index';
+import { runScenario, World } from '../src/index';
 
 const MACHINES = Number(process.env.GINGERLOCK_MACHINES ?? 12);
 const SEEDS = Number(process.env.GINGERLOCK_SEEDS ?? 1);
@@ -97,8 +97,8 @@
     world.sim.after(LOOK_MS, look);
   };
   look();
-  await playDay(world, { seed, forMs: DAY_MS, faults: [] });
-  assert.deepEqual(world.breaches, []);
+  await runScenario(world, { seed, forMs: DAY_MS, faults: [] });
+  assert.deepEqual(world.violations, []);
   const { lostGpuSeconds: lostGpuS, peerMessages: messages } = world;
   return { ...figures, lostGpuS, messages, changes: world.state.changes };
 }
--- a/packages/testkit/test/borrowing-off.test.ts
+++ b/packages/testkit/test/borrowing-off.test.ts
@@ -1,7 +1,7 @@
 // Off, borrowing changes nothing: no key, no message and no request of a whole day differs, and none is of its kinds.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type Fault, playDay, World } from '../src/index';
+import { type Fault, runScenario, World } from '../src/index';
 import { holdRecord, KEYS, LEADERSHIP } from '@gingerlock/wire';
 
 const FAULTS: readonly { readonly at: number; readonly fault: Fault }[] = [
@@ -29,7 +29,7 @@
   });
   world.network.onSent = (from, addr, path, body) => trace.push(`${from} ${addr} ${path} ${body.toString('hex')}`);
   world.state.onStored = (key) => keys.add(key.split('/').slice(0, 2).join('/'));
-  await playDay(world, { seed: 71, forMs: 90_000, faults: FAULTS });
+  await runScenario(world, { seed: 71, forMs: 90_000, faults: FAULTS });
   const leadershipHold = holdRecord.read(world.state.data.get(KEYS.hold(LEADERSHIP))!.value);
   assert.equal(leadershipHold.takesClaimLists, undefined);
   return { trace, kinds, keys: [...keys].sort() };
@@ -55,8 +55,8 @@
   const record = { m: 'm-000001', j: 'j-000900', t: [0], v: [['j-000901/0', 7]], at: 0, w: 'p' };
   world.state.put('g/b/0/1-1', record);
   world.state.put('g/b/0/1-2', { m: 5 });
-  await playDay(world, { seed: 72, forMs: 60_000, faults: [] });
-  assert.deepEqual(world.breaches, []);
+  await runScenario(world, { seed: 72, forMs: 60_000, faults: [] });
+  assert.deepEqual(world.violations, []);
   assert.deepEqual(world.state.data.get('g/b/0/1-1')!.value, record);
   assert.deepEqual(world.state.data.get('g/b/0/1-2')!.value, { m: 5 });
   assert.ok(errors.length > 0 && errors.every((line) => line.startsWith('unreadable record {"key":"g/b/0/1-2"')));
--- a/packages/testkit/test/borrowing.test.ts
+++ b/packages/testkit/test/borrowing.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { parseTaskName } from '@gingerlock/wire';
-import { type Fault, playDay, RECLAIM_PREFIX, type ReclaimStep, World, type WorldOptions } from '../src/index';
+import { type Fault, runScenario, RECLAIM_PREFIX, type ReclaimStep, World, type WorldOptions } from '../src/index';
 
 interface TimedFault {
   readonly at: number;
@@ -39,8 +39,8 @@
   base: readonly TimedFault[] = SURGE_AND_RETURN,
 ): Promise<World> {
   const world = new World({ seed, ...SMALL, ...options });
-  await playDay(world, { seed, forMs: 240_000, faults: [...base, ...faults] });
-  assert.deepEqual(world.breaches, []);
+  await runScenario(world, { seed, forMs: 240_000, faults: [...base, ...faults] });
+  assert.deepEqual(world.violations, []);
   assert.deepEqual(world.users.open(), []);
   return world;
 }
@@ -82,8 +82,8 @@
         if (teamOf(parseTaskName(task)!.job) !== teamOf(record.job)) taken.push(task);
       }
     };
-    await playDay(world, { seed, forMs: 200_000, faults: [...waves, surge] });
-    assert.deepEqual(world.breaches, []);
+    await runScenario(world, { seed, forMs: 200_000, faults: [...waves, surge] });
+    assert.deepEqual(world.violations, []);
     assert.deepEqual(taken, []);
   }
 });
@@ -113,8 +113,8 @@
 
 for (const what of ['hang', 'mute', 'notice', 'die'] as const) {
   test(`machines on which tasks are to be stopped are in trouble: ${what}`, async () => {
-    const trouble: Fault = { kind: 'victims trouble', what, share: 0.5, forMs: 5000 };
-    const world = await play(20, [{ at: SURGE_AT, fault: trouble }]);
+    const fault: Fault = { kind: 'victims trouble', what, share: 0.5, forMs: 5000 };
+    const world = await play(20, [{ at: SURGE_AT, fault: fault }]);
     assert.ok((world.happened.get(`victims ${what}`) ?? 0) > 0);
   });
 }
@@ -165,8 +165,8 @@
   const small = { ...world.randomJob(), ...tiny, team: 'blue', kind: 'array', priority: 'low', tasks: 480 } as const;
   world.sim.after(BATCH_AT, () => void world.users.live({ ...small, spot: true, types: null, estimateS: 60 }, null));
   const surge: Fault = { kind: 'surge', team: 0, replicas: 10, everyMs: 300, forMs: 30_000 };
-  await playDay(world, { seed: 36, forMs: 240_000, faults: [{ at: SURGE_AT, fault: surge }] });
-  assert.deepEqual(world.breaches, []);
+  await runScenario(world, { seed: 36, forMs: 240_000, faults: [{ at: SURGE_AT, fault: surge }] });
+  assert.deepEqual(world.violations, []);
   assert.ok((world.happened.get('reclaim') ?? 0) > 0);
   assert.ok(Math.max(...world.borrowing.stops.values()) <= 3);
 });
--- a/packages/testkit/test/counts.test.ts
+++ b/packages/testkit/test/counts.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FORMAT, KEYS, metaRecord } from '@gingerlock/wire';
-import { playDay, World } from '../src/index';
+import { runScenario, World } from '../src/index';
 
 // The number of parts is fixed by the first start; the number of controllers may be another one later.
 test('no part is lost when there are more or fewer controllers than at the first start', async () => {
@@ -13,8 +13,8 @@
     const world = new World({ seed: 9, controllers });
     const value = metaRecord.write({ format: FORMAT, partitionCount, zones: [], pageTasks: 1024 });
     world.state.data.set(KEYS.meta, { value, version: ++world.state.revision, lease: null });
-    await playDay(world, { seed: 9, forMs: 100_000, faults: [] });
-    assert.deepEqual(world.breaches, []);
+    await runScenario(world, { seed: 9, forMs: 100_000, faults: [] });
+    assert.deepEqual(world.violations, []);
     assert.deepEqual(world.users.open(), []);
     assert.ok(world.users.finished() > 3);
     const owned = world.nodes.flatMap((n) => (n.controller?.owned() ?? []).map((o) => o.partitionId));
--- a/packages/testkit/test/deployments.test.ts
+++ b/packages/testkit/test/deployments.test.ts
@@ -3,13 +3,13 @@
 import { test } from 'node:test';
 import { machineTypesMap } from '@gingerlock/wire';
 import fc from 'fast-check';
-import { ONE_TYPE, playDay, TWO_TYPES, World } from '../src/index';
+import { ONE_TYPE, runScenario, TWO_TYPES, World } from '../src/index';
 import { combination, deployment, size } from './day-generator';
 
 test('a fleet of two types that starts empty gets its work done', async () => {
   const world = new World({ seed: 5, machines: 0, capacity: 4, deployment: TWO_TYPES });
-  await playDay(world, { seed: 5, forMs: 120_000, faults: [] });
-  assert.deepEqual(world.breaches, []);
+  await runScenario(world, { seed: 5, forMs: 120_000, faults: [] });
+  assert.deepEqual(world.violations, []);
   assert.ok(world.users.finished() > 5, `${world.users.finished()} jobs done`);
   assert.deepEqual(world.users.open(), []);
 });
@@ -25,8 +25,8 @@
       async (seed, size, deployment, machines, combinations) => {
         const world = new World({ seed, ...size, ...size.times, machines, deployment });
         const forMs = Math.max(200_000, size.times.cancellationBoundS * 6000);
-        await playDay(world, { seed, forMs, faults: combinations.flat() });
-        assert.deepEqual(world.breaches, []);
+        await runScenario(world, { seed, forMs, faults: combinations.flat() });
+        assert.deepEqual(world.violations, []);
         assert.deepEqual(world.users.open(), []);
       },
     ),
@@ -50,8 +50,8 @@
       if (world.sim.now > 60_000 && world.workers.get(machine)?.zone === name) startsThere++;
       onTask.call(world, task, machine);
     };
-    await playDay(world, { seed: 40 + zone, forMs: 200_000, faults });
-    assert.deepEqual(world.breaches, [], name);
+    await runScenario(world, { seed: 40 + zone, forMs: 200_000, faults });
+    assert.deepEqual(world.violations, [], name);
     assert.deepEqual(world.users.open(), [], name);
     assert.ok(startsThere > 0, `${name} serves again`);
   }
@@ -67,8 +67,8 @@
   ];
   for (const seed of [61, 62, 63]) {
     const world = new World({ seed, machines: 6, deployment: { ...ONE_TYPE, maxClockSkewMs: 1000 } });
-    await playDay(world, { seed, forMs: 200_000, faults });
-    assert.deepEqual(world.breaches, [], `seed ${seed}`);
+    await runScenario(world, { seed, forMs: 200_000, faults });
+    assert.deepEqual(world.violations, [], `seed ${seed}`);
     assert.deepEqual(world.users.open(), [], `seed ${seed}`);
   }
 });
@@ -96,10 +96,10 @@
   };
   world.sim.after(from + beforeSwitch, () => (rentedWhenRead = world.cloud.machinesRented));
   world.sim.after(until - beforeReturn, () => (rentedAtEnd = world.cloud.machinesRented));
-  await playDay(world, { seed: 71, forMs: 200_000, faults: [] });
+  await runScenario(world, { seed: 71, forMs: 200_000, faults: [] });
   assert.equal(rentedAtEnd, rentedWhenRead);
   assert.ok(world.cloud.machinesRented > rentedAtEnd, 'later some are rented again');
   assert.ok(startsMeanwhile > 5, `${startsMeanwhile} tasks started`);
-  assert.deepEqual(world.breaches, []);
+  assert.deepEqual(world.violations, []);
   assert.deepEqual(world.users.open(), []);
 });
--- a/packages/testkit/test/fault-combinations.test.ts
+++ b/packages/testkit/test/fault-combinations.test.ts
@@ -3,7 +3,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { PeerMessage } from '@gingerlock/peer';
-import { type Fault, playDay, World, type WorldOptions } from '../src/index';
+import { type Fault, runScenario, World, type WorldOptions } from '../src/index';
 
 interface FaultCombination {
   readonly name: string;
@@ -11,7 +11,7 @@
   /** What comes when, in milliseconds from the begin of the combination. */
   readonly faults: readonly (readonly [at: number, fault: Fault])[];
   /** What must have come about. */
-  readonly came?: (world: World) => boolean;
+  readonly occurred?: (world: World) => boolean;
 }
 
 /** Settings of the stand-ins: reports every second, leases of 6 s, cancellations within 20 s. */
@@ -54,7 +54,7 @@
       [500, { kind: 'reports for the next', share: 1, forMs: 20_000 }],
       [1000, allEnd(1500)],
     ],
-    came: had('old report'),
+    occurred: had('old report'),
   },
   {
     name: 'every team is at its limit while jobs are cancelled whose machines hang, and the leader changes',
@@ -65,7 +65,7 @@
       [9000, cancelNow(LEASE * 0.8)],
       [9100, allEnd(500)],
     ],
-    came: (world) => atLimit(world) && had('cancelled')(world),
+    occurred: (world) => atLimit(world) && had('cancelled')(world),
   },
   {
     name: 'every team is at its limit while jobs are cancelled in a zone that is cut off, and the leader changes',
@@ -75,7 +75,7 @@
       [200, cancelNow()],
       [400, leaderEnds()],
     ],
-    came: (world) => atLimit(world) && had('cancelled')(world),
+    occurred: (world) => atLimit(world) && had('cancelled')(world),
   },
   {
     name: 'jobs bound to one zone, arrays too, lose machines',
@@ -105,7 +105,7 @@
       [500, leaderEnds()],
       [1500, cancelNow()],
     ],
-    came: (world) => atLimit(world) && had('cancelled')(world),
+    occurred: (world) => atLimit(world) && had('cancelled')(world),
   },
   {
     name: 'jobs of two or three tasks end far apart across a change of leader',
@@ -136,7 +136,7 @@
       [6000, lateWrites(false)],
       [7000, leaderEnds()],
     ],
-    came: (world) => world.state.carriedOutLate > 0,
+    occurred: (world) => world.state.carriedOutLate > 0,
   },
   {
     name: 'a command or its answer is held up for seconds, and the machine then goes on',
@@ -145,7 +145,7 @@
       [300, hang(8, LEASE * 0.7)],
       [600, cancelNow()],
     ],
-    came: had('cancelled'),
+    occurred: had('cancelled'),
   },
   {
     name: 'jobs are cancelled as the state service refuses the leader alone, and a second later it is out for longer than cancel_s',
@@ -153,7 +153,7 @@
       [0, { kind: 'gap', node: -1, cancels: 6, afterMs: 1000, forMs: CANCEL * 1.2 }],
       [CANCEL * 2, { kind: 'gap', node: 0, cancels: 6, afterMs: 700, forMs: CANCEL * 1.2 }],
     ],
-    came: had('cancelled'),
+    occurred: had('cancelled'),
   },
   {
     name: 'leaders change ten times in two minutes, also inside an outage',
@@ -169,7 +169,7 @@
       [0, { kind: 'slow state service', ms: 300, forMs: 12_000 }],
       [6000, { kind: 'gap', node: -1, cancels: 6, afterMs: 1500, forMs: CANCEL * 1.2 }],
     ],
-    came: had('cancelled'),
+    occurred: had('cancelled'),
   },
   {
     name: 'one-task jobs come four a second for minutes, a quarter of them cancelled',
@@ -184,7 +184,7 @@
       [12_000, allEnd(500)],
       [20_000, { kind: 'flapping', node: 1, times: 4, everyMs: 1500 }],
     ],
-    came: had('old report'),
+    occurred: had('old report'),
   },
   {
     name: 'a transaction without an answer is carried out late, after newer ones of the same controller',
@@ -193,7 +193,7 @@
       [4000, cancelNow()],
       [8000, leaderEnds()],
     ],
-    came: (world) => world.state.carriedOutLate > 0,
+    occurred: (world) => world.state.carriedOutLate > 0,
   },
   {
     name: 'users ask at all nodes within milliseconds, and repeat the submission, after every piece of news',
@@ -220,7 +220,7 @@
       [3000, cancelNow()],
       [6000, { kind: 'state refuses one', node: -1, how: 'lose answers', forMs: 8000 }],
     ],
-    came: had('cancelled'),
+    occurred: had('cancelled'),
   },
   {
     name: 'jobs are cancelled in the seconds in which one controller’s work changes hands',
@@ -232,7 +232,7 @@
       [1500 + LEASE * 1.4, cancelNow()],
       [1500 + LEASE * 2, cancelNow()],
     ],
-    came: had('cancelled'),
+    occurred: had('cancelled'),
   },
   {
     name: 'there is more work than room, urgent and not, over slow links',
@@ -251,7 +251,7 @@
       [LEASE * 3, { kind: 'zone cut', zone: 1, how: 'lose', forMs: CANCEL * 1.3 }],
       [LEASE * 3 + 500, cancelNow()],
     ],
-    came: had('cancelled'),
+    occurred: had('cancelled'),
   },
   {
     name: 'a cancellation, a question or a repeated submission meets the end of a job’s last task',
@@ -269,7 +269,7 @@
       [700, cancelNow()],
       [4000, cancelNow()],
     ],
-    came: had('cancelled'),
+    occurred: had('cancelled'),
   },
   {
     name: 'workers can open connections to no controller, while direct commands still reach them',
@@ -280,7 +280,7 @@
       [9500, leaderEnds()],
       [10_000, cancelNow()],
     ],
-    came: had('cancelled'),
+    occurred: had('cancelled'),
   },
   {
     name: 'an owner’s lease ends, its writes stay unanswered, its zone is apart, and the others read late',
@@ -316,23 +316,23 @@
 /** When the troubles begin: some jobs run by then. */
 const BEGIN_AT = 22_000;
 
-for (const { name, world: options, faults, came } of combinations) {
+for (const { name, world: options, faults, occurred } of combinations) {
   test(`fault combination: ${name}`, async () => {
     for (const seed of [1, 2]) {
       const world = new World({ seed, controllers: 5, machines: 9, capacity: 5, ...options });
-      await playDay(world, {
+      await runScenario(world, {
         seed,
         forMs: 130_000,
         faults: faults.map(([at, fault]) => ({ at: BEGIN_AT + at, fault })),
       });
-      assert.deepEqual(world.breaches, [], `seed ${seed}`);
+      assert.deepEqual(world.violations, [], `seed ${seed}`);
       assert.deepEqual(
         world.users.open().map((t) => t.spec.id),
         [],
         `seed ${seed}`,
       );
-      assert.ok([...world.users.told.values()].some((t) => t.final !== null));
-      if (came !== undefined) assert.ok(came(world), `seed ${seed}: ${JSON.stringify([...world.happened])}`);
+      assert.ok([...world.users.observedByJob.values()].some((t) => t.final !== null));
+      if (occurred !== undefined) assert.ok(occurred(world), `seed ${seed}: ${JSON.stringify([...world.happened])}`);
     }
   });
 }
@@ -344,7 +344,7 @@
     at: BEGIN_AT * times,
     fault: { kind: 'gap' as const, node: -1, cancels: 8, afterMs: 1500, forMs: CANCEL * 1.3 },
   }));
-  await playDay(world, { seed, forMs: 120_000, faults });
+  await runScenario(world, { seed, forMs: 120_000, faults });
   assert.ok(had('cancelled')(world));
   return world;
 }
@@ -353,20 +353,20 @@
 test('in the gap cancelled tasks are gone within reports of the confirmation, and in time when no controller hears of it', async () => {
   for (const seed of [1, 2, 3]) {
     const told = await gap(seed, (message) => message);
-    assert.deepEqual(told.breaches, []);
+    assert.deepEqual(told.violations, []);
     assert.ok(told.longestCancelledMs < told.heartbeatIntervalMs * 3, `${told.longestCancelledMs} ms`);
   }
   let longest = 0;
   for (const seed of [1, 2, 3, 4, 5, 6]) {
     const untold = await gap(seed, (message) => (message.kind === 'JobCancelled' ? null : message));
-    assert.deepEqual(untold.breaches, []);
+    assert.deepEqual(untold.violations, []);
     longest = Math.max(longest, untold.longestCancelledMs);
   }
   assert.ok(longest > LEASE, `the combination never came about: ${longest} ms`);
 });
 
 test('the gap breaks ran_cancelled when peers vouch for what they can not know', async () => {
-  const breaches = [];
+  const violations = [];
   for (const seed of [1, 2, 3, 4, 5, 6]) {
     const lying = await gap(seed, (message) =>
       message.kind === 'JobCancelled'
@@ -375,7 +375,7 @@
           ? { ...message, confirms: true }
           : message,
     );
-    breaches.push(...lying.breaches);
+    violations.push(...lying.violations);
   }
-  assert.ok(breaches.some((b) => b.rule === 'ran_cancelled'));
+  assert.ok(violations.some((b) => b.rule === 'ran_cancelled'));
 });
--- a/packages/testkit/test/group-mutants.ts
+++ b/packages/testkit/test/group-mutants.ts
@@ -3,12 +3,12 @@
 import { LeaderGroups, OwnerGroups } from '@gingerlock/daemon';
 import { PartitionGroups } from '@gingerlock/replica-groups';
 import { type GroupRecord, groupRecord } from '@gingerlock/wire';
-import { type Fault, GROUP_CLASS, type Rule } from '../src/index';
+import { type Fault, GROUP_CLASS, type Invariant } from '../src/index';
 import { type Mutant, patch } from './mutant';
 
 /** The rules that `GroupAudit` checks. */
 type GroupRule = Extract<
-  Rule,
+  Invariant,
   | 'group_moved'
   | 'member_unheld'
   | 'member_restarted'
--- a/packages/testkit/test/growth.test.ts
+++ b/packages/testkit/test/growth.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { playDay, World } from '../src/index';
+import { runScenario, World } from '../src/index';
 
 /** Work that grows in step with the fleet, give or take what chance does to some days. */
 const IN_STEP = 1.25;
@@ -18,8 +18,8 @@
     load: times,
     gpusMax: 10 * times,
   });
-  await playDay(world, { seed, forMs: 60_000, faults: [] });
-  assert.deepEqual(world.breaches, []);
+  await runScenario(world, { seed, forMs: 60_000, faults: [] });
+  assert.deepEqual(world.violations, []);
   return world;
 }
 
@@ -60,8 +60,8 @@
     world.sim.after(15_000, () => {
       for (const name of world.controllers.slice(1)) world.crash(name);
     });
-    await playDay(world, { seed: 6, forMs: 60_000, faults: [] });
-    assert.deepEqual(world.breaches, []);
+    await runScenario(world, { seed: 6, forMs: 60_000, faults: [] });
+    assert.deepEqual(world.violations, []);
     assert.equal(world.nodes[0]!.controller!.owned().length, 5);
     assert.ok(world.users.finished() > 0);
     counts.push({ requests: world.state.requests, changes: world.state.changes });
--- a/packages/testkit/test/rules.test.ts
+++ b/packages/testkit/test/invariants.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { playDay, World, type WorldOptions } from '../src/index';
+import { runScenario, World, type WorldOptions } from '../src/index';
 import { combination, size } from './day-generator';
 
 test('no rule is broken on a quiet day, and its work gets done', async () => {
   const world = new World({ seed: 8 });
-  await playDay(world, { seed: 8, forMs: 120_000, faults: [] });
-  assert.deepEqual(world.breaches, []);
+  await runScenario(world, { seed: 8, forMs: 120_000, faults: [] });
+  assert.deepEqual(world.violations, []);
   assert.ok(world.users.finished() > 5, `${world.users.finished()} jobs done`);
   assert.deepEqual(world.users.open(), []);
   assert.ok(world.state.largestTxn <= 12);
@@ -39,8 +39,8 @@
         const world = new World({ seed, ...size, ...size.times, ...sizeFromEnvironment() });
         // Users come in its first half; what is left then has three times the longest wait to get done.
         const forMs = Math.max(200_000, size.times.cancellationBoundS * 6000);
-        await playDay(world, { seed, forMs, faults: combinations.flat() });
-        assert.deepEqual(world.breaches, []);
+        await runScenario(world, { seed, forMs, faults: combinations.flat() });
+        assert.deepEqual(world.violations, []);
         assert.deepEqual(world.users.open(), []);
       },
     ),
--- a/packages/testkit/test/large-day.test.ts
+++ b/packages/testkit/test/large-day.test.ts
@@ -2,7 +2,7 @@
 // flood. Small in CI; GINGERLOCK_MACHINES gives them the size that operators have (`npm run large-day`).
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
-import { type Fault, playDay, World } from '../src/index';
+import { type Fault, runScenario, World } from '../src/index';
 
 const MACHINES = Number(process.env.GINGERLOCK_MACHINES ?? 48);
 const SEED = Number(process.env.GINGERLOCK_SEED ?? 391);
@@ -103,13 +103,13 @@
   const world = largeWorld();
   const fleet = watchFleet(world);
   occupy(world);
-  await playDay(world, { seed: SEED, forMs: 200_000, faults });
+  await runScenario(world, { seed: SEED, forMs: 200_000, faults });
   noteCost(context, world, startedAt, fleet.least);
-  assert.deepEqual(world.breaches, []);
+  assert.deepEqual(world.violations, []);
   // The team's limit lets the last tasks that keep the fleet busy begin halfway through the day, some of them for longer than the rest of it.
   assert.deepEqual(waitingJobs(world), [], openJobs(world).join());
   await world.sim.run(world.sim.now + LONGEST_RUN_MS);
-  assert.deepEqual(world.breaches, []);
+  assert.deepEqual(world.violations, []);
   assert.deepEqual(openJobs(world), []);
   return world;
 }
--- a/packages/testkit/test/large-fleet.test.ts
+++ b/packages/testkit/test/large-fleet.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { LEADERSHIP } from '@gingerlock/wire';
-import { type Fault, playDay, World, type WorldOptions } from '../src/index';
+import { type Fault, runScenario, World, type WorldOptions } from '../src/index';
 
 interface TimedFault {
   readonly at: number;
@@ -13,8 +13,8 @@
 
 async function play(seed: number, faults: readonly TimedFault[], options: Partial<WorldOptions>): Promise<World> {
   const world = new World({ seed, controllers: 5, machines: 20, capacity: 12, load: 2, ...options });
-  await playDay(world, { seed, forMs: 150_000, faults });
-  assert.deepEqual(world.breaches, []);
+  await runScenario(world, { seed, forMs: 150_000, faults });
+  assert.deepEqual(world.violations, []);
   assert.deepEqual(world.users.open(), []);
   return world;
 }
@@ -43,11 +43,11 @@
   const limits = { attemptsPerTerm: 16 };
   const faults: TimedFault[] = [{ at: 20_000, fault: { kind: 'crash', nodes: [-1], backMs: 3000 } }];
   const world = new World({ seed: 53, controllers: 5, machines: 20, capacity: 12, load: 4, limits });
-  await playDay(world, { seed: 53, forMs: 150_000, faults });
+  await runScenario(world, { seed: 53, forMs: 150_000, faults });
   // Each term starts 16 tasks and its successor waits for leases: four times the usual arrivals take a little longer than the day.
-  assert.ok(world.users.open().length * 10 < world.users.told.size, `${world.users.open().length} jobs left`);
+  assert.ok(world.users.open().length * 10 < world.users.observedByJob.size, `${world.users.open().length} jobs left`);
   await world.sim.run(150_000 + 2 * world.cancellationBoundMs);
-  assert.deepEqual(world.breaches, []);
+  assert.deepEqual(world.violations, []);
   assert.deepEqual(world.users.open(), []);
   const terms = world.nodes
     .flatMap((node) => [...node.controller!.clusterState.owners])
@@ -83,7 +83,7 @@
   world.startNode('node-0');
   await world.sim.run(crashAt + world.workerLeaseMs * 1.5);
   for (const name of deaf) assert.ok(called.has(`${name}:9000`), `${name} was not called`);
-  assert.deepEqual(world.breaches, []);
+  assert.deepEqual(world.violations, []);
 });
 
 for (const odd of ['type', 'zone'] as const) {
@@ -99,6 +99,6 @@
     await world.sim.run(60_000);
     const field = odd === 'type' ? 'breed' : 'yard';
     assert.deepEqual(lines, [{ field, machine: 'm-900000', message: "odd machine in the cloud's list" }]);
-    assert.deepEqual(world.breaches, []);
+    assert.deepEqual(world.violations, []);
   });
 }
--- a/packages/testkit/test/large-job.test.ts
+++ b/packages/testkit/test/large-job.test.ts
@@ -19,7 +19,7 @@
   };
   void world.users.live(spec, null);
   await world.sim.run(90_000);
-  assert.deepEqual(world.breaches, []);
+  assert.deepEqual(world.violations, []);
   assert.ok(world.startsSeen > 100, `${world.startsSeen} starts`);
   assert.ok(world.state.largestValue <= 8 * 1024, `value of ${world.state.largestValue} characters`);
   assert.ok(world.state.largestTxn <= 12, `transaction of ${world.state.largestTxn} changes`);
--- a/packages/testkit/test/mutants.test.ts
+++ b/packages/testkit/test/mutants.test.ts
@@ -15,7 +15,7 @@
 import { Controller, LeaderBorrowing, OwnerReclaims, PartitionOwner } from '@gingerlock/daemon';
 import { MAX_FRAME_BYTES } from '@gingerlock/peer';
 import { encodeJobState, decodeSubmission, PRIORITIES } from '@gingerlock/wire';
-import { type Fault, playDay, type Rule, World } from '../src/index';
+import { type Fault, runScenario, type Invariant, World } from '../src/index';
 import { GROUP_MUTANTS } from './group-mutants';
 import { type Mutant, patch } from './mutant';
 
@@ -87,7 +87,7 @@
 
 const BROKEN_JOBS: Fault = { kind: 'broken jobs', count: 3, tasks: 40, everyMs: 3000, cancelAfterMs: 60_000 };
 
-const mutants: Record<Rule, Mutant> = {
+const mutants: Record<Invariant, Mutant> = {
   ...GROUP_MUTANTS,
   below_guarantee: {
     ...BORROWING,
@@ -465,7 +465,7 @@
 
 for (const [rule, { broken, apply, faults: own = [], options, forMs = 90_000 }] of Object.entries(mutants)) {
   test(`the check of ${rule} fails when ${broken}`, async () => {
-    const seen = new Set<Rule>();
+    const seen = new Set<Invariant>();
     // What a mutant breaks takes its moment: it shows on one of a few days.
     for (const seed of [11, 12, 13, 14]) {
       let world: World | null = null;
@@ -487,12 +487,12 @@
           fault: { kind: 'mute machines' as const, machine, count: 1, how: 'lose' as const, forMs: 4500 },
         }));
         const faults = [...mute, ...own.map((fault) => ({ at: 12_000, fault }))];
-        await playDay(world, { seed, forMs, faults });
-        for (const b of world.breaches) seen.add(b.rule);
+        await runScenario(world, { seed, forMs, faults });
+        for (const b of world.violations) seen.add(b.rule);
       } finally {
         restore();
       }
-      if (seen.has(rule as Rule)) return;
+      if (seen.has(rule as Invariant)) return;
     }
     assert.fail(`seen: ${[...seen].join()}`);
   });
@@ -507,10 +507,10 @@
       { at: 15_000, fault: { kind: 'cancel now' as const, count: 8, hangMs: world.workerLeaseMs * 0.9 } },
       { at: 15_000 + world.cancellationBoundMs - 2000, fault: hang },
     ];
-    await playDay(world, { seed: 12, forMs: 50_000, faults });
+    await runScenario(world, { seed: 12, forMs: 50_000, faults });
     assert.ok(
-      world.breaches.some((b) => b.rule === 'ran_cancelled' && b.detail.endsWith('which hangs')),
-      `seen: ${world.breaches.map((b) => b.detail).join()}`,
+      world.violations.some((b) => b.rule === 'ran_cancelled' && b.detail.endsWith('which hangs')),
+      `seen: ${world.violations.map((b) => b.detail).join()}`,
     );
   } finally {
     restore();
@@ -527,11 +527,15 @@
       },
   );
   try {
-    const rules = new Set<Rule>();
+    const rules = new Set<Invariant>();
     for (const seed of [1, 2, 3]) {
       const world = new World({ seed, controllers: 5 });
-      await playDay(world, { seed, forMs: 60_000, faults: [{ at: 0, fault: { kind: 'close looks', forMs: 60_000 } }] });
-      for (const b of world.breaches) rules.add(b.rule);
+      await runScenario(world, {
+        seed,
+        forMs: 60_000,
+        faults: [{ at: 0, fault: { kind: 'close looks', forMs: 60_000 } }],
+      });
+      for (const b of world.violations) rules.add(b.rule);
     }
     // A job that was accepted is not known yet, one that was called cancelled or done still runs.
     assert.deepEqual([...rules].sort(), ['forgotten', 'went_back']);
--- a/packages/testkit/test/one-owner.test.ts
+++ b/packages/testkit/test/one-owner.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import type { HttpResponse } from '@gingerlock/clients';
 import { CLOUD_PATHS, type JobSpec, KEYS, ownerRecord, parseStateRequest } from '@gingerlock/wire';
-import { type Fault, type Handler, playDay, World, type WorldOptions, ZONES } from '../src/index';
+import { type Fault, type Handler, runScenario, World, type WorldOptions, ZONES } from '../src/index';
 
 /** The partition that the tests are about, at home on the first controller, and that controller's zone. */
 const RESOURCE = '0';
@@ -111,13 +111,13 @@
 test('an owner whose resumption stays unanswered gives way to the owner that its reads show', async () => {
   const world = await busyWorld({ seed: 5 });
   await resumeUnanswered(world);
-  assert.deepEqual(world.breaches, []);
+  assert.deepEqual(world.violations, []);
 });
 
 test('nor does a job that is bound to one zone start in another while the former owner’s workers run it', async () => {
   const world = await busyWorld({ seed: 7, jobs: { ...SERVICE, oneZone: true } });
   await resumeUnanswered(world);
-  assert.deepEqual(world.breaches, []);
+  assert.deepEqual(world.violations, []);
 });
 
 // The same without anything put between: on the code before, these two of the first forty seeds broke `ran_twice`.
@@ -137,8 +137,8 @@
       { at: 30_000, fault: { kind: 'state refuses one', node: 0, how: 'refuse', forMs: 25_000 } },
       { at: 15_000, fault: { kind: 'cloud outage', forMs: 45_000 } },
     ];
-    await playDay(world, { seed, forMs: 110_000, faults });
-    assert.deepEqual(world.breaches, [], `seed ${seed}`);
+    await runScenario(world, { seed, forMs: 110_000, faults });
+    assert.deepEqual(world.violations, [], `seed ${seed}`);
   }
 });
 
@@ -177,5 +177,5 @@
   await world.sim.run(world.sim.now + 3 * world.cancellationBoundMs);
   assert.notEqual(ownerOf(world), OWNER);
   assert.ok(isCutOff, 'the read did not come in after the next takeover');
-  assert.deepEqual(world.breaches, []);
+  assert.deepEqual(world.violations, []);
 });
--- a/packages/testkit/test/operations.test.ts
+++ b/packages/testkit/test/operations.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { KEYS, ownerRecord } from '@gingerlock/wire';
-import { type Fault, playDay, World, type WorldOptions } from '../src/index';
+import { type Fault, runScenario, World, type WorldOptions } from '../src/index';
 
 interface TimedFault {
   readonly at: number;
@@ -17,8 +17,8 @@
 
 async function play(seed: number, faults: readonly TimedFault[], options: Partial<WorldOptions> = {}): Promise<World> {
   const world = new World({ seed, controllers: 5, machines: 9, ...options });
-  await playDay(world, { seed, forMs: 150_000, faults });
-  assert.deepEqual(world.breaches, []);
+  await runScenario(world, { seed, forMs: 150_000, faults });
+  assert.deepEqual(world.violations, []);
   assert.deepEqual(world.users.open(), []);
   return world;
 }
@@ -62,9 +62,9 @@
   const spec = { ...world.randomJob(), kind: 'array' as const, tasks: 3, zone: null, spread: false, oneZone: false };
   void world.users.live(spec, null);
   const started = world.sim.now;
-  while (world.users.told.get(spec.id)?.final !== 'done') await world.sim.run(world.sim.now + REPORT);
+  while (world.users.observedByJob.get(spec.id)?.final !== 'done') await world.sim.run(world.sim.now + REPORT);
   assert.ok(world.sim.now - started < 2 * CANCEL, `${world.sim.now - started} ms`);
-  assert.deepEqual(world.breaches, []);
+  assert.deepEqual(world.violations, []);
 });
 
 for (const wakes of ['input first', 'timers first'] as const) {
@@ -96,8 +96,8 @@
 }
 
 test('machines come late, never or at once while the list is old and leaders change: none is forgotten', async () => {
-  const trouble = (never: number, factor: number): Fault => ({ kind: 'boot trouble', never, factor, forMs: 30_000 });
-  for (const [seed, fault] of [trouble(0.5, 1), trouble(0, 4), trouble(0, 0.05)].entries()) {
+  const faultOf = (never: number, factor: number): Fault => ({ kind: 'boot trouble', never, factor, forMs: 30_000 });
+  for (const [seed, fault] of [faultOf(0.5, 1), faultOf(0, 4), faultOf(0, 0.05)].entries()) {
     await play(
       40 + seed,
       [
@@ -138,8 +138,8 @@
     world.sim.after(100, watch);
   };
   watch();
-  await playDay(world, { seed: 61, forMs: 150_000, faults: [cut] });
-  assert.deepEqual(world.breaches, []);
+  await runScenario(world, { seed: 61, forMs: 150_000, faults: [cut] });
+  assert.deepEqual(world.violations, []);
   assert.deepEqual(world.users.open(), []);
   assert.equal(owners.length, 3, owners.join());
   assert.deepEqual([owners[0], owners[2]], ['node-1', 'node-1']);
--- a/packages/testkit/test/rendezvous.test.ts
+++ b/packages/testkit/test/rendezvous.test.ts
@@ -14,7 +14,7 @@
   taskName,
 } from '@gingerlock/wire';
 import fc from 'fast-check';
-import { type Fault, GROUP_CLASS, playDay, World, type WorldOptions } from '../src/index';
+import { type Fault, GROUP_CLASS, runScenario, World, type WorldOptions } from '../src/index';
 
 const FEATURES = { replica_groups: { enabled: true, classes: [GROUP_CLASS], backoff_reports: 1 } };
 const GROUPS: Fault = { kind: 'groups', count: 2, members: 3, gpus: 2, everyMs: 1000, place: 'any' };
@@ -40,7 +40,7 @@
 
 async function servingWorld(): Promise<{ world: World; job: string; attempts: number[] }> {
   const world = worldOf();
-  await playDay(world, { seed: 3, forMs: 30_000, faults: [{ at: 4000, fault: GROUPS }] });
+  await runScenario(world, { seed: 3, forMs: 30_000, faults: [{ at: 4000, fault: GROUPS }] });
   const [job, { record }] = [...world.groups.seen][0]!;
   assert.equal(record.state, 'serving');
   return { world, job, attempts: record.members.map(({ attempt }) => attempt!) };
@@ -215,8 +215,8 @@
     world.sim.after(150, askAll);
   };
   askAll();
-  await playDay(world, { seed, forMs: 110_000, faults: [{ at: 4000, fault: GROUPS }, ...faults] });
-  assert.deepEqual(world.breaches, []);
+  await runScenario(world, { seed, forMs: 110_000, faults: [{ at: 4000, fault: GROUPS }, ...faults] });
+  assert.deepEqual(world.violations, []);
   return { given: leases.length, outlived };
 }
 
--- a/packages/testkit/test/replica-groups-loopback.test.ts
+++ b/packages/testkit/test/replica-groups-loopback.test.ts
@@ -60,7 +60,7 @@
 
 function checkAnswers(world: GroupDeployment): void {
   assert.deepEqual(world.wrongAnswers, []);
-  assert.deepEqual(world.breaches, []);
+  assert.deepEqual(world.violations, []);
 }
 
 async function wholeLife(): Promise<void> {
--- a/packages/testkit/test/replica-groups-measure.test.ts
+++ b/packages/testkit/test/replica-groups-measure.test.ts
@@ -2,7 +2,7 @@
 // `npm run measure-replica-groups` plays more (GINGERLOCK_GROUPS: how many, GINGERLOCK_SEEDS: on how many days each).
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
-import { type Fault, GROUP_CLASS, playDay, World } from '../src/index';
+import { type Fault, GROUP_CLASS, runScenario, World } from '../src/index';
 
 const SIZES = (process.env.GINGERLOCK_GROUPS ?? '6').split(',').map(Number);
 const SEEDS = Number(process.env.GINGERLOCK_SEEDS ?? 1);
@@ -59,7 +59,7 @@
 function watch(world: World, figures: Figures): void {
   const samples = new Map<string, Sample>();
   const look = (): void => {
-    for (const { spec, since } of world.users.told.values()) {
+    for (const { spec, since } of world.users.observedByJob.values()) {
       if (spec.jobClass !== GROUP_CLASS) continue;
       const sample = samples.get(spec.id) ?? { brokenSince: since, hasServed: false };
       samples.set(spec.id, sample);
@@ -128,8 +128,8 @@
     place: 'any',
   };
   const faults = [{ at: 5000, fault: submitted }, ...(hasTroubles ? troubles(machines) : [])];
-  await playDay(world, { seed, forMs: DAY_MS, faults });
-  assert.deepEqual(world.breaches, []);
+  await runScenario(world, { seed, forMs: DAY_MS, faults });
+  assert.deepEqual(world.violations, []);
   figures.withdrawn += world.groups.moves.get('ending') ?? 0;
   figures.changes += world.state.changes;
   figures.messages += world.peerMessages;
--- a/packages/testkit/test/replica-groups-off.test.ts
+++ b/packages/testkit/test/replica-groups-off.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { holdRecord, KEYS, LEADERSHIP } from '@gingerlock/wire';
-import { type Fault, GROUP_CLASS, playDay, World } from '../src/index';
+import { type Fault, GROUP_CLASS, runScenario, World } from '../src/index';
 
 const FAULTS: readonly { readonly at: number; readonly fault: Fault }[] = [
   { at: 5000, fault: { kind: 'groups', count: 4, members: 3, gpus: 1, everyMs: 2000, place: 'spread' } },
@@ -29,7 +29,7 @@
     },
   });
   world.network.onSent = (from, addr, path, body) => trace.push(`${from} ${addr} ${path} ${body.toString('hex')}`);
-  await playDay(world, { seed: 73, forMs: 90_000, faults: FAULTS });
+  await runScenario(world, { seed: 73, forMs: 90_000, faults: FAULTS });
   return { trace, kinds, world };
 }
 
@@ -52,15 +52,15 @@
 test('switched off with groups on their way, their tasks go on one by one, and the records are left alone', async () => {
   const on = { replica_groups: { ...DECLARED, enabled: true } };
   const world = new World({ seed: 74, machines: 6, capacity: 6, gpusMax: 40, load: 0.1, features: on });
-  await playDay(world, { seed: 74, forMs: 30_000, faults: FAULTS.slice(0, 1) });
-  assert.deepEqual(world.breaches, []);
+  await runScenario(world, { seed: 74, forMs: 30_000, faults: FAULTS.slice(0, 1) });
+  assert.deepEqual(world.violations, []);
   const records = [...world.state.data].filter(([key]) => key.startsWith('g/g/'));
   assert.ok(records.length > 0);
   for (const name of world.controllers) world.crash(name);
   world.switchFeatures({ replica_groups: DECLARED });
   for (const name of world.controllers) world.startNode(name);
   await world.sim.run(world.sim.now + 90_000);
-  assert.deepEqual(world.breaches, []);
+  assert.deepEqual(world.violations, []);
   for (const { spec, cancelAt } of world.users.open()) {
     if (cancelAt > world.sim.now) assert.equal(world.tasksOn(spec.id), spec.tasks, spec.id);
   }
@@ -69,13 +69,13 @@
 
 test('switched on while services run as single tasks, these end and start again as groups', async () => {
   const world = new World({ seed: 75, machines: 6, capacity: 6, gpusMax: 40, load: 0.1 });
-  await playDay(world, { seed: 75, forMs: 30_000, faults: FAULTS.slice(0, 1) });
+  await runScenario(world, { seed: 75, forMs: 30_000, faults: FAULTS.slice(0, 1) });
   assert.ok(world.users.open().some(({ spec }) => spec.jobClass === GROUP_CLASS && world.tasksOn(spec.id) > 0));
   for (const name of world.controllers) world.crash(name);
   world.switchFeatures({ replica_groups: { enabled: true, classes: [GROUP_CLASS] } });
   for (const name of world.controllers) world.startNode(name);
   await world.sim.run(world.sim.now + 90_000);
-  assert.deepEqual(world.breaches, []);
+  assert.deepEqual(world.violations, []);
   const groups = world.users.open().filter(({ spec }) => world.isGroup(spec.id));
   assert.equal(groups.length, 4);
   for (const { spec } of groups) assert.ok(world.groups.serves(spec.id), spec.id);
--- a/packages/testkit/test/replica-groups.test.ts
+++ b/packages/testkit/test/replica-groups.test.ts
@@ -3,7 +3,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { type Fault, GROUP_CLASS, playDay, World, type WorldOptions } from '../src/index';
+import { type Fault, GROUP_CLASS, runScenario, World, type WorldOptions } from '../src/index';
 import { groupCombination, groupsOfDay } from './group-day-generator';
 
 /** Services of the class of their own, or all services of a day, are replica groups. */
@@ -32,7 +32,7 @@
   const seed = options.seed ?? 1;
   const usual = { controllers: 3, machines: 6, capacity: 8, gpusMax: 40, load: FEW, features: FEATURES };
   const world = new World({ seed, ...usual, ...options });
-  await playDay(world, { seed, forMs, faults });
+  await runScenario(world, { seed, forMs, faults });
   return world;
 }
 
@@ -41,16 +41,19 @@
   return world.users
     .open()
     .filter(
-      (told) => world.isGroup(told.spec.id) && !world.users.isUnwanted(told) && !world.groups.serves(told.spec.id),
+      (observed) =>
+        world.isGroup(observed.spec.id) && !world.users.isUnwanted(observed) && !world.groups.serves(observed.spec.id),
     )
     .map(({ spec }) => `${spec.id} ${world.groups.seen.get(spec.id)?.record.state ?? 'not placed'}`);
 }
 
 /** All that was accepted, but for groups, is over, and all groups serve that are wanted. */
 function checkEnd(world: World): void {
-  assert.deepEqual(world.breaches, []);
+  assert.deepEqual(world.violations, []);
   assert.deepEqual(unserved(world), []);
-  const open = world.users.open().filter((told) => !world.isGroup(told.spec.id) || world.users.isUnwanted(told));
+  const open = world.users
+    .open()
+    .filter((observed) => !world.isGroup(observed.spec.id) || world.users.isUnwanted(observed));
   assert.deepEqual(
     open.map(({ spec }) => spec.id),
     [],
@@ -97,7 +100,7 @@
 for (const state of ['reserved', 'admitted', 'serving', 'ending'] as const) {
   for (const what of ['die', 'hang', 'mute', 'notice'] as const) {
     test(`machines of members ${what} as groups are ${state}, twice in a row and two at once`, async () => {
-      const trouble = (machines: number, afterMs: number): Fault => ({
+      const faultOf = (machines: number, afterMs: number): Fault => ({
         kind: 'members trouble',
         state,
         what,
@@ -118,10 +121,10 @@
       };
       const world = await play({ seed: 4 }, [
         { at: 8000, fault: groups() },
-        { at: 8000, fault: trouble(1, 0) },
+        { at: 8000, fault: faultOf(1, 0) },
         { at: 40_000, fault: first },
-        { at: 40_000, fault: trouble(2, 150) },
-        { at: 52_000, fault: trouble(2, 0) },
+        { at: 40_000, fault: faultOf(2, 150) },
+        { at: 52_000, fault: faultOf(2, 0) },
       ]);
       checkEnd(world);
       assert.ok((world.happened.get(`members ${what} while ${state}`) ?? 0) > 0);
@@ -197,7 +200,7 @@
     assert.equal(world.runningTasks().size, 0);
     world.cloud.capacity = 6;
   });
-  await playDay(world, { seed: 9, forMs: 120_000, faults });
+  await runScenario(world, { seed: 9, forMs: 120_000, faults });
   checkEnd(world);
   assert.equal(world.groups.moves.get('serving'), 1);
 });
@@ -217,7 +220,7 @@
   const world = await play({ seed: 13, gpusMax: 6, load: 0.01 }, [
     { at: 4000, fault: groups({ count: 2, members: 3, everyMs: 10 }) },
   ]);
-  assert.deepEqual(world.breaches, []);
+  assert.deepEqual(world.violations, []);
   assert.equal(world.peakGpus, 6);
   // Each of the two teams has room for one group.
   const perTeam = new Map<string, number>();
--- a/packages/testkit/test/state-limits.test.ts
+++ b/packages/testkit/test/state-limits.test.ts
@@ -11,7 +11,7 @@
   STATE_PATHS,
   txnMap,
 } from '@gingerlock/wire';
-import { playDay, World } from '../src/index';
+import { runScenario, World } from '../src/index';
 
 const NEXT = { valueKb: 2, txnOps: 4, writesPerS: 70 };
 
@@ -65,12 +65,12 @@
   world.state.limits = NEXT;
   void world.users.cancel(id);
   await world.sim.run(world.sim.now + world.cancellationBoundMs);
-  assert.equal(world.users.told.get(id)!.final, 'cancelled');
+  assert.equal(world.users.observedByJob.get(id)!.final, 'cancelled');
   assert.ok(![...world.runningTasks().keys()].some((task) => task.startsWith(`${id}/`)));
   await world.sim.run(world.sim.now + world.cancellationBoundMs);
   assert.deepEqual(world.state.data.get(KEYS.job(id))?.value, jobRecord.write({ final: 'cancelled' }));
   assert.deepEqual(
-    world.breaches.map((b) => b.rule),
+    world.violations.map((b) => b.rule),
     ['refused'],
   );
 });
@@ -81,8 +81,8 @@
   world.state.limits = NEXT;
   void world.users.follow(id);
   await world.sim.run(world.sim.now + 120_000);
-  assert.equal(world.users.told.get(id)!.final, 'done');
-  assert.deepEqual(world.breaches, []);
+  assert.equal(world.users.observedByJob.get(id)!.final, 'done');
+  assert.deepEqual(world.violations, []);
 });
 
 test('under lowered limits nothing is refused for good, and all work of a busy day gets done', async () => {
@@ -92,8 +92,8 @@
     { at: 20_000, fault: { kind: 'state limits' as const } },
     { at: 30_000, fault: { kind: 'rolling restarts' as const, everyMs: 3000, backMs: 1000 } },
   ];
-  await playDay(world, { seed: 23, forMs: 200_000, faults });
-  assert.deepEqual(world.breaches, []);
+  await runScenario(world, { seed: 23, forMs: 200_000, faults });
+  assert.deepEqual(world.violations, []);
   assert.deepEqual(world.users.open(), []);
   assert.ok(world.state.largestTxn <= NEXT.txnOps, `transaction of ${world.state.largestTxn} changes`);
   assert.ok(world.state.largestValue <= NEXT.valueKb * 1024, `value of ${world.state.largestValue} characters`);
--- a/packages/testkit/test/takeover.test.ts
+++ b/packages/testkit/test/takeover.test.ts
@@ -3,7 +3,7 @@
 import { settingsOf } from '@gingerlock/daemon';
 import { stateLeaseMs } from '@gingerlock/core';
 import { parseStateRequest, STATE_PATHS } from '@gingerlock/wire';
-import { playDay, World } from '../src/index';
+import { runScenario, World } from '../src/index';
 
 /** Which controllers own each part now. */
 function owners(world: World): Map<number, string[]> {
@@ -71,7 +71,7 @@
 // Parts stayed with whoever took them over: after rolling restarts one controller owned most of the fleet.
 test('parts go back to their homes once those are well, and no worker loses its lease over it', async () => {
   const world = new World({ seed: 3, controllers: 5, machines: 15, load: 1 });
-  const day = playDay(world, { seed: 3, forMs: 120_000, faults: [] });
+  const day = runScenario(world, { seed: 3, forMs: 120_000, faults: [] });
   for (const name of ['node-1', 'node-3']) {
     world.sim.after(15_000, () => world.crash(name));
     world.sim.after(20_000, () => world.startNode(name));
@@ -89,7 +89,7 @@
   assert.deepEqual([...owners(world).values()].flat().sort(), world.controllers);
   for (const [name, w] of world.workers) if (sessions.has(name)) assert.equal(w.agentEpoch, sessions.get(name), name);
   assert.ok(sessions.size > 0);
-  assert.deepEqual(world.breaches, []);
+  assert.deepEqual(world.violations, []);
 });
 
 // Its lease had ended and it had a new one, but it had not read since: it went on starting tasks of a part that another
