--- a/packages/borrowing/test/planner.test.ts
+++ b/packages/borrowing/test/planner.test.ts
@@ -282,8 +282,8 @@
       [surge],
     );
     let looked = 0;
-    const rank = batch.effectivePriority;
-    Object.defineProperty(batch, 'rank', { get: () => (looked++, rank) });
+    const priority = batch.effectivePriority;
+    Object.defineProperty(batch, 'effectivePriority', { get: () => (looked++, priority) });
     assert.ok(planReclaims(autoscaler.input).decisions.length > 0);
     return looked;
   };
--- a/packages/core/test/dependencies.test.ts
+++ b/packages/core/test/dependencies.test.ts
@@ -199,7 +199,7 @@
 
 test('in one urgency the pipeline with the least time left goes first, and other jobs as they came', () => {
   const job = (id: string, acceptedAt: number, startBy: number): Job =>
-    ({ id, rank: 1, acceptedAt, startBy }) as unknown as Job;
+    ({ id, effectivePriority: 1, acceptedAt, startBy }) as unknown as Job;
   const jobs = [job('j-1', 5, Infinity), job('j-2', 1, 30), job('j-3', 2, 20), job('j-4', 25, Infinity)];
   assert.deepEqual(
     jobs.sort(jobOrder).map((j) => j.id),
--- a/packages/testkit/test/mutants.test.ts
+++ b/packages/testkit/test/mutants.test.ts
@@ -145,7 +145,7 @@
     apply: () =>
       readJobsAs((job) => {
         const upsideDown = PRIORITIES.length - 1 - PRIORITIES.indexOf(job.spec.priority);
-        Object.defineProperty(job, 'ownRank', { configurable: true, get: () => upsideDown });
+        Object.defineProperty(job, 'ownPriority', { configurable: true, get: () => upsideDown });
         job.effectivePriority = job.ownPriority;
       }),
   },
