--- a/packages/core/src/assignment.ts
+++ b/packages/core/src/assignment.ts
@@ -1,18 +1,9 @@
 // The leader's assignment of waiting tasks among the parts by free room, with the arithmetic of team limits and zones.
 import { type MachineType, PRIORITIES, type AssignedRange } from '@gingerlock/wire';
-import {
-  type Resources,
-  type ClusterConfig,
-  fitsIn,
-  countWithinGuarantee,
-  countWithinLimit,
-  NO_RESOURCES,
-  addResources,
-  type Team,
-  countFitting,
-  allowsMachine,
-  subtractResources,
-} from './facts';
+import { type Resources, fitsIn, NO_RESOURCES, addResources, countFitting, subtractResources } from './resources';
+import { type ClusterConfig, type Team } from './cluster-config';
+import { countWithinGuarantee, countWithinLimit } from './quota';
+import { allowsMachine } from './placement-constraints';
 import type { GroupCandidate, GroupChoice, GroupPlanner } from './group-planner';
 import { type Job, jobOrder } from './jobs';
 import { assignedUnfinished, spreadCap, teamUse, unfinishedIn } from './job-use';
--- a/packages/core/src/autoscaler.ts
+++ b/packages/core/src/autoscaler.ts
@@ -6,16 +6,12 @@
 import { BATCH_PRIORITY, isSuspect, ConsolidationPlan } from './consolidation';
 import { type MachineOption, unitPrice } from './scale-out-choice';
 import { type PlannedScaleOut, machineOptionKey, ScaleOutPlan } from './scale-out-plan';
-import {
-  bootMsOf,
-  type ClusterConfig,
-  fitsIn,
-  hasNoGuarantee,
-  type Partitioner,
-  SUSPECT_INTERVALS,
-  allowsMachine,
-  workerLeaseBoundMs,
-} from './facts';
+import { bootMsOf } from './machine-boot-time';
+import { type ClusterConfig, SUSPECT_INTERVALS, workerLeaseBoundMs } from './cluster-config';
+import { fitsIn } from './resources';
+import { hasNoGuarantee } from './quota';
+import { type Partitioner } from './partitioner';
+import { allowsMachine } from './placement-constraints';
 
 /** What the operators have set. */
 export interface AutoscalerLimits {
--- a/packages/core/src/claim-queries.ts
+++ b/packages/core/src/claim-queries.ts
@@ -1,15 +1,10 @@
 // What follows from a claim table for others, without changing it: which tasks can be given back to the leader, which are to be
 // written as finished, what is missing and what runs.
 import type { ClaimView } from './claim-view';
-import {
-  type Resources,
-  bootMsOf,
-  type ClusterConfig,
-  countWithinLimit,
-  NO_RESOURCES,
-  addResources,
-  SUSPECT_INTERVALS,
-} from './facts';
+import { type Resources, NO_RESOURCES, addResources } from './resources';
+import { bootMsOf } from './machine-boot-time';
+import { type ClusterConfig, SUSPECT_INTERVALS } from './cluster-config';
+import { countWithinLimit } from './quota';
 import { PRIORITIES } from '@gingerlock/wire';
 import { type Job, jobOrder } from './jobs';
 import type { Machine, TaskEntry } from './task-entry';
--- a/packages/core/src/claim-view.ts
+++ b/packages/core/src/claim-view.ts
@@ -1,6 +1,7 @@
 // What placement, packing and the queries read of a claim table. They know this interface alone, and the table calls them.
 import type { MachineType } from '@gingerlock/wire';
-import type { Resources, ClusterConfig } from './facts';
+import type { Resources } from './resources';
+import type { ClusterConfig } from './cluster-config';
 import type { Job } from './jobs';
 import type { MemberPolicy } from './members';
 import type { Reservations } from './reservations';
--- a/packages/core/src/claims.ts
+++ b/packages/core/src/claims.ts
@@ -4,14 +4,8 @@
 // Nothing here is ever guessed. A claim ends only when the worker's own later report, a later session, its lease run out
 // under this very owner, or the cloud's word proves that the task is off the machine.
 import { type MachineType, parseTaskName, type WorkerCommand, type Heartbeat } from '@gingerlock/wire';
-import {
-  type Resources,
-  type ClusterConfig,
-  NO_RESOURCES,
-  SUSPECT_INTERVALS,
-  workerLeaseBoundMs,
-  subtractResources,
-} from './facts';
+import { type Resources, NO_RESOURCES, subtractResources } from './resources';
+import { type ClusterConfig, SUSPECT_INTERVALS, workerLeaseBoundMs } from './cluster-config';
 import type { ClaimView } from './claim-view';
 import { missingServices, returnableTasks, runningTasks, tasksToFinish } from './claim-queries';
 import { type JobEvidence, FailureAttribution } from './failure-attribution';
--- a/packages/core/src/consolidation.ts
+++ b/packages/core/src/consolidation.ts
@@ -3,7 +3,9 @@
 import type { MachineStatus } from './assignment';
 import { machineUse } from './machine-use';
 import { unitPrice } from './scale-out-choice';
-import { bootMsOf, type ClusterConfig, type Partitioner, SUSPECT_INTERVALS } from './facts';
+import { bootMsOf } from './machine-boot-time';
+import { type ClusterConfig, SUSPECT_INTERVALS } from './cluster-config';
+import { type Partitioner } from './partitioner';
 
 /** Work of this rank and below makes way for services. */
 export const BATCH_PRIORITY = PRIORITIES.indexOf('normal');
--- a/packages/core/src/granting.ts
+++ b/packages/core/src/granting.ts
@@ -1,7 +1,7 @@
 // Which waiting tasks the machine that reports now may take, in the order of their jobs.
 import type { ClaimView } from './claim-view';
 import { waitsForCachedImage } from './claim-queries';
-import { allowsMachine } from './facts';
+import { allowsMachine } from './placement-constraints';
 import type { GrantCapacity } from './grant-capacity';
 import type { Job } from './jobs';
 import { betterElsewhere } from './placement';
--- a/packages/core/src/immovable-demand.ts
+++ b/packages/core/src/immovable-demand.ts
@@ -1,7 +1,9 @@
 // Tasks that are assigned to a partition which has no machine for them, and that their owner can't give back.
 import type { MachineType } from '@gingerlock/wire';
 import type { MachineStatus, PartitionStatus, UnschedulableDemand } from './assignment';
-import { fitsIn, type Partitioner, allowsMachine } from './facts';
+import { fitsIn } from './resources';
+import { type Partitioner } from './partitioner';
+import { allowsMachine } from './placement-constraints';
 import { unfinishedIn } from './job-use';
 import type { Job } from './jobs';
 
--- a/packages/core/src/placement-planner.ts
+++ b/packages/core/src/placement-planner.ts
@@ -1,7 +1,8 @@
 // What the owner of a part expects of the coming reports: which machine would take which waiting task, what is stopped for
 // it, which machines are called for it, and which replicas leave machines that are to go.
 import type { ClaimView } from './claim-view';
-import { type Resources, fitsIn, NO_RESOURCES, addResources, allowsMachine, subtractResources } from './facts';
+import { type Resources, fitsIn, NO_RESOURCES, addResources, subtractResources } from './resources';
+import { allowsMachine } from './placement-constraints';
 import { bestPlacement, leastVictims } from './placement';
 import type { Machine, PlannedPlacement, SpareCapacity, TaskEntry } from './task-entry';
 
--- a/packages/core/src/placement.ts
+++ b/packages/core/src/placement.ts
@@ -5,7 +5,8 @@
 // the part would run it sooner than this one could.
 import type { MachineType } from '@gingerlock/wire';
 import type { ClaimView } from './claim-view';
-import { type Resources, fitsIn, addResources, allowsMachine } from './facts';
+import { type Resources, fitsIn, addResources } from './resources';
+import { allowsMachine } from './placement-constraints';
 import type { Machine, PlannedPlacement, TaskEntry } from './task-entry';
 import { fetchMs, SERVICE_VICTIM_MS, STOP_MS } from './start-time';
 
--- a/packages/core/src/scale-out-choice.ts
+++ b/packages/core/src/scale-out-choice.ts
@@ -1,6 +1,8 @@
 // Which machine to rent: the one objective for waiting tasks, for spare room and for what runs on suspect machines.
 import { isRentable, type MachineType } from '@gingerlock/wire';
-import { type Resources, bootMsOf, type ClusterConfig, countFitting, subtractResources } from './facts';
+import { type Resources, countFitting, subtractResources } from './resources';
+import { bootMsOf } from './machine-boot-time';
+import { type ClusterConfig } from './cluster-config';
 import { fetchMs } from './start-time';
 
 /** A kind of machine in one zone that could be rented. */
--- a/packages/core/src/scale-out-plan.ts
+++ b/packages/core/src/scale-out-plan.ts
@@ -1,16 +1,9 @@
 // What one review of the fleet rents: for what runs on suspect machines, for waiting tasks, and for spare room.
 import { isRentable, type JobSpec, type MachineType, type RentRequest } from '@gingerlock/wire';
 import type { MachineStatus, UnschedulableDemand } from './assignment';
-import {
-  type Resources,
-  type ClusterConfig,
-  fitsIn,
-  NO_RESOURCES,
-  addResources,
-  countFitting,
-  allowsMachine,
-  subtractResources,
-} from './facts';
+import { type Resources, fitsIn, NO_RESOURCES, addResources, countFitting, subtractResources } from './resources';
+import { type ClusterConfig } from './cluster-config';
+import { allowsMachine } from './placement-constraints';
 import {
   capacityOf,
   chooseMachineOption,
--- a/packages/core/src/task-entry.ts
+++ b/packages/core/src/task-entry.ts
@@ -1,6 +1,6 @@
 // What a claim table keeps of tasks and machines.
 import type { ReportedTask, Heartbeat } from '@gingerlock/wire';
-import type { Resources } from './facts';
+import type { Resources } from './resources';
 import type { ImageCache } from './image-cache';
 import type { Job } from './jobs';
 
