--- a/packages/core/src/claims.ts
+++ b/packages/core/src/claims.ts
@@ -350,7 +350,7 @@
       return 'older copy of a report';
     }
     if (heartbeat.type === known.type && heartbeat.zone === known.zone && heartbeat.spot === known.spot) return null;
-    this.alarm('a report contradicts earlier ones of its machine', { machine: heartbeat.machine });
+    this.alarm('heartbeat contradicts earlier ones of its machine', { machine: heartbeat.machine });
     return 'contradicts earlier reports';
   }
 
@@ -427,7 +427,7 @@
     });
     task.isRelocating = false;
     task.startedIn = this.members.generationOf(task.job);
-    this.log('task bound', { task: task.name, machine: m.name, attempt, cached, waitedMs });
+    this.log('task granted', { task: task.name, machine: m.name, attempt, cached, waitedMs });
     this.#reconciler.useImage(m, task.job);
     return { op: 'start', task: task.name, attempt };
   }
@@ -441,7 +441,7 @@
       for (const task of tasksByIndex.values())
         if (task.state === 'uncertain') this.#tasks.transition(task, 'waiting', now);
     }
-    this.log('part cleared', { partitionId: this.partitionId, term: this.term });
+    this.log('fencing period over', { partitionId: this.partitionId, term: this.term });
   }
 
   /** Ends what time alone ends; returns the machines whose lease has run out, or that surely hold nothing since the fencing period. */
--- a/packages/core/src/heartbeat-reconciler.ts
+++ b/packages/core/src/heartbeat-reconciler.ts
@@ -77,7 +77,8 @@
 
   /** A task that the machine has held since an earlier owner's time. */
   #adopt(m: Machine, task: TaskEntry, reported: ReportedTask, state: HeldState, now: number): void {
-    if (task.state !== 'uncertain') this.alarm('a task that was free to start runs', { task: task.name, on: m.name });
+    if (task.state !== 'uncertain')
+      this.alarm('task that was free to start is running', { task: task.name, on: m.name });
     this.tasks.transition(task, 'claimed', now, {
       machine: m,
       attempt: reported.attempt,
@@ -111,7 +112,7 @@
   #attributeFailure(m: Machine, task: TaskEntry, cause: ExitCause, now: number): void {
     // It says neither that the task failed nor why: the task is tried again, and nobody is at fault for it.
     if (cause === 'unrecognised')
-      this.alarm('unknown cause of an exit', { field: 'cause', task: task.name, machine: m.name });
+      this.alarm('unknown exit cause', { field: 'cause', task: task.name, machine: m.name });
     // A member may fail for another one: its group ends, and is tried again in its own time.
     if (task.job.isGroup && cause !== 'no_room') return;
     if (cause === 'error' || cause === 'unknown' || cause === 'unrecognised') {
--- a/packages/core/src/placement-planner.ts
+++ b/packages/core/src/placement-planner.ts
@@ -157,7 +157,7 @@
     for (const task of replicas) {
       task.claim!.stopGraceS = 0;
       task.isRelocating = true;
-      claimTable.log('replica moved', { task: task.name, machine: m.name });
+      claimTable.log('replica relocated', { task: task.name, machine: m.name });
     }
     return replicas;
   }
--- a/packages/core/test/claims.test.ts
+++ b/packages/core/test/claims.test.ts
@@ -414,7 +414,7 @@
     2000,
     true,
   );
-  assert.deepEqual(alarms, ['unknown cause of an exit']);
+  assert.deepEqual(alarms, ['unknown exit cause']);
   assert.ok(outcome.kind === 'answer' && outcome.commands.filter((c) => c.op === 'forget').length === 2);
   assert.equal(claimTable.failures.verdictOn(spec.id), null);
   assert.ok(claimTable.tasksByJob.get(spec.id)!.get(0)!.claim!.attempt > attempt);
--- a/packages/daemon/src/autoscaling-loop.ts
+++ b/packages/daemon/src/autoscaling-loop.ts
@@ -109,7 +109,7 @@
         }
         if (this.#mayManage()) await this.#manage();
       } catch (error) {
-        context.log.info({ error: String(error) }, 'cloud trouble');
+        context.log.info({ error: String(error) }, 'cloud request failed');
       }
       for (const [name, at] of this.#gone)
         if (clock.now() - at > clusterConfig.workerLeaseMs * 2) this.#gone.delete(name);
@@ -163,7 +163,7 @@
     this.#drain = plan.drain;
     if (now - this.#loggedAt > clusterConfig.cloudListLagMs) {
       this.#loggedAt = now;
-      log.debug(this.#autoscaler.figures(current, clusterState.types), 'fleet');
+      log.debug(this.#autoscaler.figures(current, clusterState.types), 'fleet figures');
     }
     if (plan.scaleIn.length > 0) await this.#scaleIn(plan.scaleIn.slice(0, RETURN_MOST));
     // The lead may have been lost, or this controller have stood still, while the cloud was asked: the next leader rents too.
@@ -175,7 +175,7 @@
     if (!(await this.#cloud.scaleIn(names))) return;
     this.#autoscaler.recordScaleIn(names, clock.now());
     for (const name of names) this.#gone.set(name, clock.now());
-    log.info({ machines: names }, 'machines returned');
+    log.info({ machines: names }, 'machines scaled in');
   }
 
   async #scaleOut(r: RentRequest): Promise<void> {
@@ -185,15 +185,15 @@
       const result = await this.#cloud.rent(r);
       if (result.kind === 'rented') {
         this.#autoscaler.recordScaleOut(result.names, r, clock.now());
-        log.info({ ...r, machines: result.names }, 'machines rented');
+        log.info({ ...r, machines: result.names }, 'machines scaled out');
         return;
       }
       if (result.kind === 'no capacity') {
         this.#autoscaler.capacityRefused(r, clock.now());
-        log.info({ ...r }, 'no capacity');
+        log.info({ ...r }, 'scale-out refused: no capacity');
         return;
       }
-      log.info({ ...r, why: result.why }, 'rental not answered');
+      log.info({ ...r, why: result.why }, 'scale-out unanswered');
       await sleep(clock, clusterConfig.heartbeatIntervalMs / 2);
     }
     this.#autoscaler.capacityRefused(r, clock.now());
--- a/packages/daemon/src/controller-context.ts
+++ b/packages/daemon/src/controller-context.ts
@@ -128,10 +128,13 @@
         return 0;
       }
       if (result.kind === 'invalid') {
-        this.log.error({ keys: changes.map((c) => ('put' in c ? c.put : c.remove)) }, 'transaction refused for good');
+        this.log.error(
+          { keys: changes.map((c) => ('put' in c ? c.put : c.remove)) },
+          'transaction rejected permanently',
+        );
         return 0;
       }
-      this.log.debug({ kind: result.kind, why: result.why }, 'transaction not settled');
+      this.log.debug({ kind: result.kind, why: result.why }, 'transaction will be retried');
       await sleep(this.clock, pause);
       if (!isStillWanted()) return 0;
     }
--- a/packages/daemon/src/controller.ts
+++ b/packages/daemon/src/controller.ts
@@ -123,7 +123,7 @@
         }
       },
       onSync: () => this.#ownership.synced(this.#lease),
-      onError: (error) => this.log.info({ error: String(error) }, 'state service can not be read'),
+      onError: (error) => this.log.info({ error: String(error) }, 'store read failed'),
     });
     this.context = new ControllerContext(
       this.settings,
@@ -190,7 +190,7 @@
       try {
         this.#fromPeer(from, message);
       } catch (error) {
-        this.log.error({ from, kind: message.kind, error: String(error) }, 'message from peer failed');
+        this.log.error({ from, kind: message.kind, error: String(error) }, 'peer message failed');
       }
     };
   }
@@ -233,7 +233,7 @@
     const stalledMs = now - this.#tickedAt;
     this.#tickedAt = now;
     if (stalledMs <= this.settings.clusterConfig.heartbeatIntervalMs) return;
-    this.log.info({ stalledMs: Math.round(stalledMs) }, 'stood still');
+    this.log.info({ stalledMs: Math.round(stalledMs) }, 'event loop stalled');
     for (const { claimTable } of this.#owners.values()) claimTable.resumedAfterStall(now);
     this.#leader?.resumedAfterStall(now);
     this.#peerFailureDetector.resumedAfterStall();
@@ -265,7 +265,7 @@
           this.#lease = await this.keyValueStore.grantLease(ttl);
           this.context.leaseSince = this.clock.now();
         } else if (!(await this.keyValueStore.renewLease(this.#lease))) {
-          this.log.info({ lease: this.#lease }, 'state lease ended');
+          this.log.info({ lease: this.#lease }, 'store lease expired');
           this.#lease = null;
           this.context.leaseUntil = -Infinity;
           continue;
@@ -273,7 +273,7 @@
         // Counted from the sending: the service may have started counting then.
         this.context.leaseUntil = sent + ttl * (1 - MAX_CLOCK_DRIFT) - timerMarginMs(clusterConfig) / 2;
       } catch (error) {
-        this.log.info({ error: String(error) }, 'state lease not renewed');
+        this.log.info({ error: String(error) }, 'store lease renewal failed');
       }
       await sleep(this.clock, Math.max(0, sent + ttl / 4 - this.clock.now()) + 1);
     }
@@ -350,10 +350,13 @@
       case 'answer':
         return { status: 200, body: encodeHeartbeatAnswer(outcome.fencingToken, outcome.commands) };
       case 'refuse':
-        this.log.debug({ machine: heartbeat.machine, why: outcome.why }, 'report refused');
+        this.log.debug({ machine: heartbeat.machine, why: outcome.why }, 'heartbeat refused');
         return refusal(503, outcome.why);
       case 'superseded':
-        this.log.info({ partitionId, machine: heartbeat.machine, fencingToken: heartbeat.fencingToken }, 'superseded');
+        this.log.info(
+          { partitionId, machine: heartbeat.machine, fencingToken: heartbeat.fencingToken },
+          'fencing token superseded',
+        );
         this.#ownership.superseded(owner.ownershipTerm);
         return { status: 421, body: encodeRedirect(null) };
     }
--- a/packages/daemon/src/job-api.ts
+++ b/packages/daemon/src/job-api.ts
@@ -170,7 +170,7 @@
   }
 
   async #undecided(id: string, result: CompareAndSwapResult): Promise<Reply> {
-    this.context.log.info({ job: id, result }, 'outcome not known');
+    this.context.log.info({ job: id, result }, 'commit outcome unknown');
     if (result.kind === 'refused' || result.kind === 'invalid') return this.#unavailable();
     // Read back before answering: it may have been carried out.
     const reply = await this.poll(id);
--- a/packages/daemon/src/leader-borrowing.ts
+++ b/packages/daemon/src/leader-borrowing.ts
@@ -191,7 +191,7 @@
     const guaranteed = guaranteedGpus(clusterConfig);
     if (this.#hasLoggedExcess || largest === 0 || guaranteed <= most) return;
     this.#hasLoggedExcess = true;
-    log.error({ field: 'facts.teams.gpus', guaranteed, most }, 'more is guaranteed than there can be');
+    log.error({ field: 'facts.teams.gpus', guaranteed, most }, 'guarantees exceed the largest possible fleet');
   }
 }
 
--- a/packages/daemon/src/leader-groups.ts
+++ b/packages/daemon/src/leader-groups.ts
@@ -234,7 +234,7 @@
     );
     const record = recordWith(job, false, assignedRanges);
     if (!this.context.fitsValue(record) || !this.context.fitsValue(value)) {
-      this.context.log.error({ job: job.id, members: members.length }, 'group too large, not placed');
+      this.context.log.error({ job: job.id, members: members.length }, 'group record too large, not placed');
       return false;
     }
     for (const partitionId of new Set(members.map((member) => member.partitionId))) {
@@ -275,6 +275,6 @@
   #logUnplaced({ job, count, zones }: UnschedulableDemand, waitedMs: number): void {
     const { team, tasks, cpus, gpus, memoryGb } = job.spec;
     const detail = { job: job.id, team, members: tasks, missing: count, each: { cpus, gpus, memoryGb }, zones };
-    this.context.log.info({ ...detail, waitedMs: Math.round(waitedMs) }, 'group can not be placed');
+    this.context.log.info({ ...detail, waitedMs: Math.round(waitedMs) }, 'group unschedulable');
   }
 }
--- a/packages/daemon/src/leader.ts
+++ b/packages/daemon/src/leader.ts
@@ -119,7 +119,7 @@
         if (!(await this.#assignOnce())) break;
       }
     } catch (error) {
-      context.log.error({ error: String(error) }, 'assigning failed');
+      context.log.error({ error: String(error) }, 'assignment failed');
     } finally {
       this.#assigning = false;
     }
@@ -179,7 +179,7 @@
     for (const m of pendingAssignments) this.#pendingAssignments.push({ ...m, revision });
     for (const { decision, key } of reclaims) this.borrowing!.decided(decision, key);
     this.#recordProbes(assignments, batch, now);
-    context.log.debug({ jobs: [...batch.jobs] }, 'assigned and closed');
+    context.log.debug({ jobs: [...batch.jobs] }, 'assignments committed');
     return true;
   }
 
--- a/packages/daemon/src/machine-type-catalog.ts
+++ b/packages/daemon/src/machine-type-catalog.ts
@@ -27,7 +27,7 @@
     isUsed: (type: string) => boolean,
   ): MachineType[] {
     for (const { type, field, why } of invalid)
-      this.#logOnce(`${type} ${field}`, { type, field, why }, 'odd machine type');
+      this.#logOnce(`${type} ${field}`, { type, field, why }, 'invalid machine type');
     const offered = types.map((type) => this.#inKnownZones(type));
     const names = new Set(offered.map(({ name }) => name));
     const kept = [...before].filter(({ name }) => !names.has(name) && isUsed(name));
@@ -39,7 +39,7 @@
   #inKnownZones(type: MachineType): MachineType {
     const unknown = type.zones.filter((zone) => !this.zones.includes(zone));
     if (unknown.length === 0) return type;
-    this.#logOnce(`${type.name} zones`, { type: type.name, field: 'yards', unknown }, 'odd machine type');
+    this.#logOnce(`${type.name} zones`, { type: type.name, field: 'yards', unknown }, 'invalid machine type');
     return { ...type, zones: type.zones.filter((zone) => this.zones.includes(zone)) };
   }
 
@@ -48,7 +48,7 @@
     return listed.filter((machine) => {
       const field = this.#unknownField(machine);
       if (field === null || isKnown(machine.name)) return true;
-      this.#logOnce(`machine ${machine.name}`, { field, machine: machine.name }, "odd machine in the cloud's list");
+      this.#logOnce(`machine ${machine.name}`, { field, machine: machine.name }, 'unknown machine in the cloud list');
       return false;
     });
   }
--- a/packages/daemon/src/ownership-manager.ts
+++ b/packages/daemon/src/ownership-manager.ts
@@ -193,8 +193,8 @@
     }
     const ownershipTerm = ownership.acquired(attempt, revision, doneAt, this.#clock.now(), this.#clock.wall());
     if (ownershipTerm === null) return;
-    const clearInMs = Math.round(ownershipTerm.fencedUntil - this.#clock.now());
-    context.log.info({ slot: ownershipTerm.resource, term: ownershipTerm.term, clearInMs }, 'taken');
+    const fencedForMs = Math.round(ownershipTerm.fencedUntil - this.#clock.now());
+    context.log.info({ resource: ownershipTerm.resource, term: ownershipTerm.term, fencedForMs }, 'partition acquired');
     this.listener.opened(ownershipTerm);
     this.#confirmAcquisition(ownershipTerm);
   }
@@ -233,12 +233,12 @@
     if (revision === 0) {
       if (ownership.failed(attempt)) this.#ended(ownershipTerm);
     } else if (ownership.resumed(attempt)) {
-      this.context.log.info({ slot: ownershipTerm.resource, term: ownershipTerm.term }, 'resumed');
+      this.context.log.info({ resource: ownershipTerm.resource, term: ownershipTerm.term }, 'ownership resumed');
     }
   }
 
   #ended(ownershipTerm: OwnershipTerm): void {
-    this.context.log.info({ slot: ownershipTerm.resource, term: ownershipTerm.term }, 'released');
+    this.context.log.info({ resource: ownershipTerm.resource, term: ownershipTerm.term }, 'ownership ended');
     this.listener.ended(ownershipTerm);
   }
 
@@ -296,7 +296,7 @@
       const ownership = this.#ownerships.get(ownershipTerm.resource)!;
       const attempt = ownership.release(this.context.clusterState.view(ownershipTerm.resource));
       if (attempt === null) continue;
-      this.context.log.info({ partitionId, term: ownershipTerm.term }, 'term used up');
+      this.context.log.info({ partitionId, term: ownershipTerm.term }, 'attempt numbers exhausted');
       this.#ended(ownershipTerm);
       void this.#release(ownership, attempt);
     }
@@ -331,6 +331,6 @@
     const revision = await this.context.commitWithRetry(URGENCY.renew, conditions, changes, () => !this.#stopped);
     ownership.released(attempt);
     const { resource, term } = attempt.ownershipTerm;
-    this.context.log.info({ slot: resource, term, done: revision > 0 }, 'given back');
+    this.context.log.info({ resource, term, done: revision > 0 }, 'partition released');
   }
 }
--- a/packages/daemon/src/worker-command-sender.ts
+++ b/packages/daemon/src/worker-command-sender.ts
@@ -24,7 +24,7 @@
     const { http, clusterConfig, log } = this.context;
     http(machine.addr, 'POST', '/commands', body, clusterConfig.heartbeatIntervalMs * 2).catch((error: unknown) => {
       // The answer to its next report says the same.
-      log.debug({ machine: machine.name, error: String(error) }, 'direct stop not answered');
+      log.debug({ machine: machine.name, error: String(error) }, 'direct stop unanswered');
     });
   }
 
@@ -37,7 +37,7 @@
     const { http, clusterConfig, log } = this.context;
     http(machine.addr, 'POST', '/commands', body, clusterConfig.heartbeatIntervalMs).catch((error: unknown) => {
       // Then it reports in its own time.
-      log.debug({ machine: machine.name, error: String(error) }, 'call not answered');
+      log.debug({ machine: machine.name, error: String(error) }, 'heartbeat request unanswered');
     });
   }
 
@@ -61,7 +61,7 @@
         clusterConfig.heartbeatIntervalMs,
       );
     } catch (error) {
-      log.debug({ machine: name, error: String(error) }, 'machine of the membership not reached');
+      log.debug({ machine: name, error: String(error) }, 'member machine unreachable');
     }
   }
 }
--- a/packages/testkit/test/large-fleet.test.ts
+++ b/packages/testkit/test/large-fleet.test.ts
@@ -98,7 +98,7 @@
     world.sim.after(5000, () => world.cloud.addOdd('m-900000', odd));
     await world.sim.run(60_000);
     const field = odd === 'type' ? 'breed' : 'yard';
-    assert.deepEqual(lines, [{ field, machine: 'm-900000', message: "odd machine in the cloud's list" }]);
+    assert.deepEqual(lines, [{ field, machine: 'm-900000', message: 'unknown machine in the cloud list' }]);
     assert.deepEqual(world.violations, []);
   });
 }
