--- a/packages/core/src/autoscaler.ts
+++ b/packages/core/src/autoscaling/autoscaler.ts
@@ -1,17 +1,17 @@
 // What the leader rents, drains and returns. It only plans; the controller talks to the cloud and to the owners.
 import { type CloudMachine, isRentable, type JobSpec, type MachineType, type RentRequest } from '@gingerlock/wire';
-import type { MachineStatus, PartitionStatus, UnschedulableDemand } from './assignment';
+import type { MachineStatus, PartitionStatus, UnschedulableDemand } from '../scheduling/assignment';
 import { MachineInventory, type KnownMachine } from './machine-inventory';
 import { machineUse } from './machine-use';
 import { BATCH_PRIORITY, isSuspect, ConsolidationPlan } from './consolidation';
 import { type MachineOption, unitPrice } from './scale-out-choice';
 import { type PlannedScaleOut, machineOptionKey, ScaleOutPlan } from './scale-out-plan';
-import { bootMsOf } from './machine-boot-time';
-import { type ClusterConfig, SUSPECT_INTERVALS, workerLeaseBoundMs } from './cluster-config';
-import { fitsIn } from './resources';
-import { hasNoGuarantee } from './quota';
-import { type Partitioner } from './partitioner';
-import { allowsMachine } from './placement-constraints';
+import { bootMsOf } from '../cluster/machine-boot-time';
+import { type ClusterConfig, SUSPECT_INTERVALS, workerLeaseBoundMs } from '../cluster/cluster-config';
+import { fitsIn } from '../cluster/resources';
+import { hasNoGuarantee } from '../cluster/quota';
+import { type Partitioner } from '../cluster/partitioner';
+import { allowsMachine } from '../cluster/placement-constraints';
 
 /** What the operators have set. */
 export interface AutoscalerLimits {
--- a/packages/core/src/consolidation.ts
+++ b/packages/core/src/autoscaling/consolidation.ts
@@ -1,11 +1,11 @@
 // Which machines are emptied because their room can be spared.
 import { type MachineType, PRIORITIES } from '@gingerlock/wire';
-import type { MachineStatus } from './assignment';
+import type { MachineStatus } from '../scheduling/assignment';
 import { machineUse } from './machine-use';
 import { unitPrice } from './scale-out-choice';
-import { bootMsOf } from './machine-boot-time';
-import { type ClusterConfig, SUSPECT_INTERVALS } from './cluster-config';
-import { type Partitioner } from './partitioner';
+import { bootMsOf } from '../cluster/machine-boot-time';
+import { type ClusterConfig, SUSPECT_INTERVALS } from '../cluster/cluster-config';
+import { type Partitioner } from '../cluster/partitioner';
 
 /** Work of this rank and below makes way for services. */
 export const BATCH_PRIORITY = PRIORITIES.indexOf('normal');
--- a/packages/core/src/machine-inventory.ts
+++ b/packages/core/src/autoscaling/machine-inventory.ts
@@ -1,7 +1,7 @@
 // The machines that the leader knows of: from what it rented, from the cloud's lists and from what owners tell.
 import type { CloudMachine, RentRequest } from '@gingerlock/wire';
-import type { MachineStatus, PartitionStatus } from './assignment';
-import type { ClusterConfig } from './cluster-config';
+import type { MachineStatus, PartitionStatus } from '../scheduling/assignment';
+import type { ClusterConfig } from '../cluster/cluster-config';
 
 /** What is known of one machine. */
 export interface KnownMachine {
--- a/packages/core/src/scale-out-choice.ts
+++ b/packages/core/src/autoscaling/scale-out-choice.ts
@@ -1,9 +1,9 @@
 // Which machine to rent: the one objective for waiting tasks, for spare room and for what runs on suspect machines.
 import { isRentable, type MachineType } from '@gingerlock/wire';
-import { type Resources, countFitting, subtractResources } from './resources';
-import { bootMsOf } from './machine-boot-time';
-import { type ClusterConfig } from './cluster-config';
-import { fetchMs } from './start-time';
+import { type Resources, countFitting, subtractResources } from '../cluster/resources';
+import { bootMsOf } from '../cluster/machine-boot-time';
+import { type ClusterConfig } from '../cluster/cluster-config';
+import { fetchMs } from '../scheduling/start-time';
 
 /** A kind of machine in one zone that could be rented. */
 export interface MachineOption {
--- a/packages/core/src/scale-out-plan.ts
+++ b/packages/core/src/autoscaling/scale-out-plan.ts
@@ -1,9 +1,16 @@
 // What one review of the fleet rents: for what runs on suspect machines, for waiting tasks, and for spare room.
 import { isRentable, type JobSpec, type MachineType, type RentRequest } from '@gingerlock/wire';
-import type { MachineStatus, UnschedulableDemand } from './assignment';
-import { type Resources, fitsIn, NO_RESOURCES, addResources, countFitting, subtractResources } from './resources';
-import { type ClusterConfig } from './cluster-config';
-import { allowsMachine } from './placement-constraints';
+import type { MachineStatus, UnschedulableDemand } from '../scheduling/assignment';
+import {
+  type Resources,
+  fitsIn,
+  NO_RESOURCES,
+  addResources,
+  countFitting,
+  subtractResources,
+} from '../cluster/resources';
+import { type ClusterConfig } from '../cluster/cluster-config';
+import { allowsMachine } from '../cluster/placement-constraints';
 import {
   capacityOf,
   chooseMachineOption,
--- a/packages/core/src/claim-queries.ts
+++ b/packages/core/src/claims/claim-queries.ts
@@ -1,12 +1,12 @@
 // What follows from a claim table for others, without changing it: which tasks can be given back to the leader, which are to be
 // written as finished, what is missing and what runs.
 import type { ClaimView } from './claim-view';
-import { type Resources, NO_RESOURCES, addResources } from './resources';
-import { bootMsOf } from './machine-boot-time';
-import { type ClusterConfig, SUSPECT_INTERVALS } from './cluster-config';
-import { countWithinLimit } from './quota';
+import { type Resources, NO_RESOURCES, addResources } from '../cluster/resources';
+import { bootMsOf } from '../cluster/machine-boot-time';
+import { type ClusterConfig, SUSPECT_INTERVALS } from '../cluster/cluster-config';
+import { countWithinLimit } from '../cluster/quota';
 import { PRIORITIES } from '@gingerlock/wire';
-import { type Job, jobOrder } from './jobs';
+import { type Job, jobOrder } from '../jobs/jobs';
 import type { Machine, TaskEntry } from './task-entry';
 
 /** A partition of which most machines have not been heard for so many report intervals after its takeover is cut off. */
--- a/packages/core/src/claims.ts
+++ b/packages/core/src/claims/claim-table.ts
@@ -4,8 +4,8 @@
 // Nothing here is ever guessed. A claim ends only when the worker's own later report, a later session, its lease run out
 // under this very owner, or the cloud's word proves that the task is off the machine.
 import { type MachineType, parseTaskName, type WorkerCommand, type Heartbeat } from '@gingerlock/wire';
-import { type Resources, NO_RESOURCES, subtractResources } from './resources';
-import { type ClusterConfig, SUSPECT_INTERVALS, workerLeaseBoundMs } from './cluster-config';
+import { type Resources, NO_RESOURCES, subtractResources } from '../cluster/resources';
+import { type ClusterConfig, SUSPECT_INTERVALS, workerLeaseBoundMs } from '../cluster/cluster-config';
 import type { ClaimView } from './claim-view';
 import { missingServices, returnableTasks, runningTasks, tasksToFinish } from './claim-queries';
 import { type JobEvidence, FailureAttribution } from './failure-attribution';
@@ -14,9 +14,9 @@
 import { GrantCapacity } from './grant-capacity';
 import { bindable } from './granting';
 import { ImageCache } from './image-cache';
-import { assignedUnfinished } from './job-use';
-import type { Job, JobTable } from './jobs';
-import { type MemberPolicy, NO_MEMBERS } from './members';
+import { assignedUnfinished } from '../jobs/assigned-usage';
+import type { Job, JobTable } from '../jobs/jobs';
+import { type MemberPolicy, NO_MEMBERS } from './member-policy';
 import { NO_RESERVATIONS, type Reservations } from './reservations';
 import { HeartbeatReconciler } from './heartbeat-reconciler';
 import { TaskTable } from './task-table';
--- a/packages/core/src/claim-view.ts
+++ b/packages/core/src/claims/claim-view.ts
@@ -1,9 +1,9 @@
 // What placement, packing and the queries read of a claim table. They know this interface alone, and the table calls them.
 import type { MachineType } from '@gingerlock/wire';
-import type { Resources } from './resources';
-import type { ClusterConfig } from './cluster-config';
-import type { Job } from './jobs';
-import type { MemberPolicy } from './members';
+import type { Resources } from '../cluster/resources';
+import type { ClusterConfig } from '../cluster/cluster-config';
+import type { Job } from '../jobs/jobs';
+import type { MemberPolicy } from './member-policy';
 import type { Reservations } from './reservations';
 import type { Machine, TaskEntry } from './task-entry';
 
--- a/packages/core/src/failure-attribution.ts
+++ b/packages/core/src/claims/failure-attribution.ts
@@ -1,7 +1,7 @@
 // Whose fault a failed task is: its machine's or its job's. A job that was submitted with a mistake fails on every machine, and a
 // machine at fault fails every job, so a failure alone says neither. A job that runs elsewhere convicts the machine on which it
 // failed; machines on which nothing but unproven jobs failed are left alone. Pure: the time is an argument.
-import type { ClusterConfig } from './cluster-config';
+import type { ClusterConfig } from '../cluster/cluster-config';
 
 /** What is known of a job from outside its failures here. */
 export interface JobEvidence {
--- a/packages/core/src/fencing-period.ts
+++ b/packages/core/src/claims/fencing-period.ts
@@ -1,5 +1,5 @@
 // What a new owner of a partition waits for: machines of the membership that may run tasks of an earlier owner.
-import { type ClusterConfig, workerLeaseBoundMs } from './cluster-config';
+import { type ClusterConfig, workerLeaseBoundMs } from '../cluster/cluster-config';
 
 export class FencingPeriod {
   /** Machines that are not heard yet, by name, with their addresses. */
--- a/packages/core/src/fencing-tokens.ts
+++ b/packages/core/src/claims/fencing-tokens.ts
@@ -1,5 +1,5 @@
 // The tokens that workers are shown, and when raising one has a worker report at once.
-import type { ClusterConfig } from './cluster-config';
+import type { ClusterConfig } from '../cluster/cluster-config';
 import type { Machine } from './task-entry';
 
 /** A token is its owner's term times this, plus how often the owner has called the machine. */
--- a/packages/core/src/grant-capacity.ts
+++ b/packages/core/src/claims/grant-capacity.ts
@@ -1,5 +1,5 @@
 // The room of a machine that reports, while tasks are bound to it.
-import { type Resources, fitsIn, NO_RESOURCES, subtractResources } from './resources';
+import { type Resources, fitsIn, NO_RESOURCES, subtractResources } from '../cluster/resources';
 import type { Reservations } from './reservations';
 import type { TaskEntry } from './task-entry';
 
--- a/packages/core/src/granting.ts
+++ b/packages/core/src/claims/granting.ts
@@ -1,10 +1,10 @@
 // Which waiting tasks the machine that reports now may take, in the order of their jobs.
 import type { ClaimView } from './claim-view';
 import { waitsForCachedImage } from './claim-queries';
-import { allowsMachine } from './placement-constraints';
+import { allowsMachine } from '../cluster/placement-constraints';
 import type { GrantCapacity } from './grant-capacity';
-import type { Job } from './jobs';
-import { betterElsewhere } from './placement';
+import type { Job } from '../jobs/jobs';
+import { betterElsewhere } from '../scheduling/placement';
 import type { Machine, TaskEntry } from './task-entry';
 
 /** The tasks to be bound to the machine, one by one: the room is asked anew for each, after the one before has been taken out of it. */
--- a/packages/core/src/heartbeat-reconciler.ts
+++ b/packages/core/src/claims/heartbeat-reconciler.ts
@@ -1,8 +1,8 @@
 // What a worker's report says of its tasks, and what it has to stop and forget for it.
 import type { ExitCause, MachineType, ReportedTask, TaskState, WorkerCommand, Heartbeat } from '@gingerlock/wire';
-import type { ClusterConfig } from './cluster-config';
+import type { ClusterConfig } from '../cluster/cluster-config';
 import type { FailureAttribution } from './failure-attribution';
-import type { Job } from './jobs';
+import type { Job } from '../jobs/jobs';
 import type { TaskTable } from './task-table';
 import type { Machine, TaskEntry } from './task-entry';
 
--- a/packages/core/src/members.ts
+++ b/packages/core/src/claims/member-policy.ts
@@ -1,5 +1,5 @@
 // What a claim table asks about the members of replica groups: their owner decides it by the records of the groups.
-import type { Job } from './jobs';
+import type { Job } from '../jobs/jobs';
 import type { Machine, TaskEntry } from './task-entry';
 
 export interface MemberPolicy {
--- a/packages/core/src/reservations.ts
+++ b/packages/core/src/claims/reservations.ts
@@ -1,5 +1,5 @@
 // Room that is kept on machines for certain tasks, whatever else waits.
-import { type Resources, NO_RESOURCES } from './resources';
+import { type Resources, NO_RESOURCES } from '../cluster/resources';
 
 export interface Reservations {
   /** What is kept on the machine for tasks that it does not hold yet. */
--- a/packages/core/src/task-entry.ts
+++ b/packages/core/src/claims/task-entry.ts
@@ -1,8 +1,8 @@
 // What a claim table keeps of tasks and machines.
 import type { ReportedTask, Heartbeat } from '@gingerlock/wire';
-import type { Resources } from './resources';
+import type { Resources } from '../cluster/resources';
 import type { ImageCache } from './image-cache';
-import type { Job } from './jobs';
+import type { Job } from '../jobs/jobs';
 
 /**
  * uncertain: assigned before this owner's takeover and seen nowhere yet, so an unheard machine may hold it.
--- a/packages/core/src/wake-queue.ts
+++ b/packages/core/src/claims/wake-queue.ts
@@ -1,5 +1,5 @@
 // The wakes of one partition: the jobs that have waiting tasks, one wake for each however many tasks it has.
-import { type Job, jobOrder } from './jobs';
+import { type Job, jobOrder } from '../jobs/jobs';
 
 export class WakeQueue {
   #jobs: Job[] = [];
--- a/packages/core/src/job-use.ts
+++ b/packages/core/src/jobs/assigned-usage.ts
@@ -1,6 +1,6 @@
 // What jobs use by their records: what is assigned to partitions counts against limits before it runs.
 import type { AssignedRange } from '@gingerlock/wire';
-import { type Resources, NO_RESOURCES, addResources } from './resources';
+import { type Resources, NO_RESOURCES, addResources } from '../cluster/resources';
 import type { Job } from './jobs';
 
 /** What the assigned and unfinished tasks of every team add up to. */
--- a/packages/core/src/ownership-term.ts
+++ b/packages/core/src/ownership/ownership-term.ts
@@ -2,7 +2,7 @@
 // what is known, claimed or written under one tenure can never be taken for that of another, though the controller is the same.
 import type { Condition } from '@gingerlock/wire';
 import { KEYS, termRecord } from '@gingerlock/wire';
-import { type ClusterConfig, timerMarginMs, workerLeaseBoundMs } from './cluster-config';
+import { type ClusterConfig, timerMarginMs, workerLeaseBoundMs } from '../cluster/cluster-config';
 import { acquisitionBoundMs } from './ownership-timing';
 import type { Transaction } from './transaction';
 
--- a/packages/core/src/ownership-timing.ts
+++ b/packages/core/src/ownership/ownership-timing.ts
@@ -1,5 +1,5 @@
 // How long leases in the state service, takeovers and the order of those who take over last. All are ratios to the settings.
-import type { ClusterConfig } from './cluster-config';
+import type { ClusterConfig } from '../cluster/cluster-config';
 
 /**
  * How long a state lease of a controller lasts without renewal. Its workers have to find the next owner within their own
--- a/packages/core/src/ownership.ts
+++ b/packages/core/src/ownership/ownership.ts
@@ -3,7 +3,7 @@
 // belongs to: one that comes late, after another attempt has begun, changes nothing.
 import type { HoldRecord, OwnerRecord } from '@gingerlock/wire';
 import { holdRecord, KEYS, ownerRecord, termRecord } from '@gingerlock/wire';
-import type { ClusterConfig } from './cluster-config';
+import type { ClusterConfig } from '../cluster/cluster-config';
 import { acquisitionBoundMs } from './ownership-timing';
 import { type PreviousOwner, OwnershipTerm } from './ownership-term';
 import type { Transaction } from './transaction';
--- a/packages/core/src/assignment.ts
+++ b/packages/core/src/scheduling/assignment.ts
@@ -1,13 +1,20 @@
 // The leader's assignment of waiting tasks among the parts by free room, with the arithmetic of team limits and zones.
 import { type MachineType, PRIORITIES, type AssignedRange } from '@gingerlock/wire';
-import { type Resources, fitsIn, NO_RESOURCES, addResources, countFitting, subtractResources } from './resources';
-import { type ClusterConfig, type Team } from './cluster-config';
-import { countWithinGuarantee, countWithinLimit } from './quota';
-import { allowsMachine } from './placement-constraints';
+import {
+  type Resources,
+  fitsIn,
+  NO_RESOURCES,
+  addResources,
+  countFitting,
+  subtractResources,
+} from '../cluster/resources';
+import { type ClusterConfig, type Team } from '../cluster/cluster-config';
+import { countWithinGuarantee, countWithinLimit } from '../cluster/quota';
+import { allowsMachine } from '../cluster/placement-constraints';
 import type { GroupCandidate, GroupChoice, GroupPlanner } from './group-planner';
-import { type Job, jobOrder } from './jobs';
-import { assignedUnfinished, spreadCap, teamUse, unfinishedIn } from './job-use';
-import { mergeRanges } from './assigned-ranges';
+import { type Job, jobOrder } from '../jobs/jobs';
+import { assignedUnfinished, spreadCap, teamUse, unfinishedIn } from '../jobs/assigned-usage';
+import { mergeRanges } from '../jobs/assigned-ranges';
 import { fetchMs, SERVICE_VICTIM_MS, STOP_MS } from './start-time';
 
 /** What a part's owner says of one machine. */
--- a/packages/core/src/group-planner.ts
+++ b/packages/core/src/scheduling/group-planner.ts
@@ -1,5 +1,5 @@
 // What the assignment asks about replica groups; package `replica-groups` answers it.
-import type { Job } from './jobs';
+import type { Job } from '../jobs/jobs';
 
 /** A machine on which members of a replica group could run. */
 export interface GroupCandidate {
--- a/packages/core/src/immovable-demand.ts
+++ b/packages/core/src/scheduling/immovable-demand.ts
@@ -1,11 +1,11 @@
 // Tasks that are assigned to a partition which has no machine for them, and that their owner can't give back.
 import type { MachineType } from '@gingerlock/wire';
 import type { MachineStatus, PartitionStatus, UnschedulableDemand } from './assignment';
-import { fitsIn } from './resources';
-import { type Partitioner } from './partitioner';
-import { allowsMachine } from './placement-constraints';
-import { unfinishedIn } from './job-use';
-import type { Job } from './jobs';
+import { fitsIn } from '../cluster/resources';
+import { type Partitioner } from '../cluster/partitioner';
+import { allowsMachine } from '../cluster/placement-constraints';
+import { unfinishedIn } from '../jobs/assigned-usage';
+import type { Job } from '../jobs/jobs';
 
 export interface ImmovableDemandInput {
   readonly jobs: Iterable<Job>;
--- a/packages/core/src/placement-planner.ts
+++ b/packages/core/src/scheduling/placement-planner.ts
@@ -1,10 +1,10 @@
 // What the owner of a part expects of the coming reports: which machine would take which waiting task, what is stopped for
 // it, which machines are called for it, and which replicas leave machines that are to go.
-import type { ClaimView } from './claim-view';
-import { type Resources, fitsIn, NO_RESOURCES, addResources, subtractResources } from './resources';
-import { allowsMachine } from './placement-constraints';
+import type { ClaimView } from '../claims/claim-view';
+import { type Resources, fitsIn, NO_RESOURCES, addResources, subtractResources } from '../cluster/resources';
+import { allowsMachine } from '../cluster/placement-constraints';
 import { bestPlacement, leastVictims } from './placement';
-import type { Machine, PlannedPlacement, SpareCapacity, TaskEntry } from './task-entry';
+import type { Machine, PlannedPlacement, SpareCapacity, TaskEntry } from '../claims/task-entry';
 
 /** A task that is stopped gets a little more than it says it needs for saving. */
 const SAVE_SLACK = 1.25;
--- a/packages/core/src/placement.ts
+++ b/packages/core/src/scheduling/placement.ts
@@ -4,10 +4,10 @@
 // the image, or after stopping work of lower priority. A machine that reports passes on a task only if another machine of
 // the part would run it sooner than this one could.
 import type { MachineType } from '@gingerlock/wire';
-import type { ClaimView } from './claim-view';
-import { type Resources, fitsIn, addResources } from './resources';
-import { allowsMachine } from './placement-constraints';
-import type { Machine, PlannedPlacement, TaskEntry } from './task-entry';
+import type { ClaimView } from '../claims/claim-view';
+import { type Resources, fitsIn, addResources } from '../cluster/resources';
+import { allowsMachine } from '../cluster/placement-constraints';
+import type { Machine, PlannedPlacement, TaskEntry } from '../claims/task-entry';
 import { fetchMs, SERVICE_VICTIM_MS, STOP_MS } from './start-time';
 
 /** Whether a task could be bound to the machine if it had the room. */
--- a/packages/core/src/probe-schedule.ts
+++ b/packages/core/src/scheduling/probe-schedule.ts
@@ -1,6 +1,6 @@
 // When the leader has a task of a failing job tried again. Such a job is retried as a job: one task at a time, however many it has,
 // with pauses that grow, and never given up, for a run of machines at fault looks alike at first. Pure: the time is an argument.
-import type { ClusterConfig } from './cluster-config';
+import type { ClusterConfig } from '../cluster/cluster-config';
 
 interface Probe {
   /** No task is assigned before. */
--- a/packages/daemon/src/job-api.ts
+++ b/packages/daemon/src/api/job-api.ts
@@ -15,7 +15,7 @@
   mostMembers,
 } from '@gingerlock/wire';
 import { refusal, type Reply } from './reply';
-import type { ControllerContext } from './controller-context';
+import type { ControllerContext } from '../controller/controller-context';
 
 /** Share of a value that the record of a new job leaves free for the rounds in which its tasks are assigned. */
 const RANGES_SHARE = 0.25;
--- a/packages/daemon/src/rendezvous.ts
+++ b/packages/daemon/src/api/rendezvous.ts
@@ -10,7 +10,7 @@
   type RendezvousQuestion,
 } from '@gingerlock/wire';
 import { refusal, type Reply } from './reply';
-import type { ControllerContext } from './controller-context';
+import type { ControllerContext } from '../controller/controller-context';
 
 /** Members whose controller can't answer ask again after so many seconds. */
 const RETRY_S = 1;
--- a/packages/daemon/src/server.ts
+++ b/packages/daemon/src/api/server.ts
@@ -1,7 +1,7 @@
 import { fastify, type FastifyInstance, type FastifyReply } from 'fastify';
 import { MAX_BODY_BYTES, RENDEZVOUS_PATH } from '@gingerlock/wire';
-import type { Controller } from './controller';
-import type { Log } from './log';
+import type { Controller } from '../controller/controller';
+import type { Log } from '../controller/log';
 import type { Reply } from './reply';
 
 /** Share of the sockets for users and workers: some stay free for the state service, the cloud and the peers. */
--- a/packages/daemon/src/controller-context.ts
+++ b/packages/daemon/src/controller/controller-context.ts
@@ -2,9 +2,9 @@
 import { type Clock, type Http, type WatchCache, sleep, type KeyValueStore, type Urgency } from '@gingerlock/clients';
 import type { Change, Condition } from '@gingerlock/wire';
 import type { Log } from './log';
-import type { Settings } from './settings';
-import type { ClusterState } from './cluster-state';
-import { TransactionSizeLimit } from './transaction-size-limit';
+import type { Settings } from '../settings/settings';
+import type { ClusterState } from '../state/cluster-state';
+import { TransactionSizeLimit } from '../state/transaction-size-limit';
 
 /** DESIGN's recovery scan: every 5 seconds. */
 const SCAN_MS = 5000;
--- a/packages/daemon/src/controller.ts
+++ b/packages/daemon/src/controller/controller.ts
@@ -19,29 +19,29 @@
   PREFIX,
   type Heartbeat,
 } from '@gingerlock/wire';
-import { RateSharing } from './rate-sharing';
-import { ClaimLists } from './claim-lists';
-import { GroupReports } from './group-reports';
-import { PreviousOwnerQueries } from './previous-owners';
-import { Leader } from './leader';
-import { LeaderBorrowing } from './leader-borrowing';
-import { LeaderGroups } from './leader-groups';
+import { RateSharing } from '../peers/rate-sharing';
+import { ClaimLists } from '../peers/claim-lists';
+import { GroupReports } from '../peers/group-reports';
+import { PreviousOwnerQueries } from '../ownership/previous-owners';
+import { Leader } from '../leader/leader';
+import { LeaderBorrowing } from '../leader/leader-borrowing';
+import { LeaderGroups } from '../leader/leader-groups';
 import type { Log } from './log';
-import { PartitionOwner } from './owner';
-import { OwnershipManager } from './ownership-manager';
-import { PeerChannel } from './peer-channel';
-import { PeerConfirmation } from './peer-confirmation';
-import { PeerFailureDetector } from './peer-failure-detector';
-import { Rendezvous } from './rendezvous';
-import { refusal, type Reply } from './reply';
-import { HeartbeatRelay } from './heartbeat-relay';
-import type { Settings } from './settings';
+import { PartitionOwner } from '../owner/partition-owner';
+import { OwnershipManager } from '../ownership/ownership-manager';
+import { PeerChannel } from '../peers/peer-channel';
+import { PeerConfirmation } from '../peers/peer-confirmation';
+import { PeerFailureDetector } from '../peers/peer-failure-detector';
+import { Rendezvous } from '../api/rendezvous';
+import { refusal, type Reply } from '../api/reply';
+import { HeartbeatRelay } from '../peers/heartbeat-relay';
+import type { Settings } from '../settings/settings';
 import { type ControllerLimits, ControllerContext } from './controller-context';
-import { ClusterState } from './cluster-state';
-import { PartitionStatuses } from './partition-statuses';
-import { StatusPublisher } from './status-publisher';
-import { JobApi } from './job-api';
-import { WorkerConnectivity } from './worker-connectivity';
+import { ClusterState } from '../state/cluster-state';
+import { PartitionStatuses } from '../peers/partition-statuses';
+import { StatusPublisher } from '../peers/status-publisher';
+import { JobApi } from '../api/job-api';
+import { WorkerConnectivity } from '../ownership/worker-connectivity';
 
 export interface ControllerPorts {
   readonly settings: Settings;
--- a/packages/daemon/src/autoscaling-loop.ts
+++ b/packages/daemon/src/leader/autoscaling-loop.ts
@@ -10,7 +10,7 @@
   RETURN_MOST,
 } from '@gingerlock/wire';
 import { MachineTypeCatalog } from './machine-type-catalog';
-import type { ControllerContext } from './controller-context';
+import type { ControllerContext } from '../controller/controller-context';
 
 /** What the leader knows of the work and of the machines, as of now. */
 export interface SchedulerView {
--- a/packages/daemon/src/job-batch.ts
+++ b/packages/daemon/src/leader/job-batch.ts
@@ -1,7 +1,7 @@
 // Changes of job records that the leader writes together.
 import { assignedUnfinished, type Job, mergeRanges } from '@gingerlock/core';
 import { type Change, type Condition, jobRecord, KEYS, type AssignedRange } from '@gingerlock/wire';
-import type { TransactionSizeLimit } from './transaction-size-limit';
+import type { TransactionSizeLimit } from '../state/transaction-size-limit';
 
 /** The record of a job with rounds added to it. */
 export function recordWith(job: Job, isCrashLooping: boolean, added: readonly AssignedRange[]): unknown {
--- a/packages/daemon/src/leader-borrowing.ts
+++ b/packages/daemon/src/leader/leader-borrowing.ts
@@ -24,9 +24,9 @@
   type UnschedulableDemand,
 } from '@gingerlock/core';
 import { KEYS, type ReclaimRecord, parseTaskName } from '@gingerlock/wire';
-import type { ClaimLists } from './claim-lists';
-import { guaranteedGpus } from './features';
-import type { ControllerContext } from './controller-context';
+import type { ClaimLists } from '../peers/claim-lists';
+import { guaranteedGpus } from '../settings/features';
+import type { ControllerContext } from '../controller/controller-context';
 
 /** A list of claims counts for so many report intervals. */
 const CLAIMS_INTERVALS = 2;
--- a/packages/daemon/src/leader-groups.ts
+++ b/packages/daemon/src/leader/leader-groups.ts
@@ -20,9 +20,9 @@
   reserve,
 } from '@gingerlock/replica-groups';
 import { type GroupRecord, groupRecord, type JobSpec, KEYS } from '@gingerlock/wire';
-import type { GroupReports } from './group-reports';
+import type { GroupReports } from '../peers/group-reports';
 import { type JobBatch, recordWith } from './job-batch';
-import type { ControllerContext } from './controller-context';
+import type { ControllerContext } from '../controller/controller-context';
 
 /** A reservation changes the record of its job and that of its group. */
 const CHANGES_PER_RESERVATION = 2;
--- a/packages/daemon/src/leader.ts
+++ b/packages/daemon/src/leader/leader.ts
@@ -18,8 +18,8 @@
 import { finalOf, JobBatch, recordOf, recordWith } from './job-batch';
 import { type LeaderBorrowing, unschedulableWithout } from './leader-borrowing';
 import type { LeaderGroups } from './leader-groups';
-import type { ControllerContext } from './controller-context';
-import type { ReceivedStatus } from './partition-statuses';
+import type { ControllerContext } from '../controller/controller-context';
+import type { ReceivedStatus } from '../peers/partition-statuses';
 
 interface PendingAssignment {
   readonly revision: number;
--- a/packages/daemon/src/machine-type-catalog.ts
+++ b/packages/daemon/src/leader/machine-type-catalog.ts
@@ -1,6 +1,6 @@
 // What the cloud offers, as the leader read it last, and what is odd about it.
 import type { CloudMachine, MachineType, MachineTypeList } from '@gingerlock/wire';
-import type { Log } from './log';
+import type { Log } from '../controller/log';
 
 /** Takes the cloud's lists of types and machines, and logs each odd field of them once. */
 export class MachineTypeCatalog {
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,6 +1,6 @@
 import { Command } from 'commander';
-import type { BorrowingOptions } from './borrowing-command';
-import { loadSettings, SettingsError } from './settings';
+import type { BorrowingOptions } from './cli/borrowing-command';
+import { loadSettings, SettingsError } from './settings/settings';
 import { version } from '../package.json';
 
 const program = new Command('gingerlock')
@@ -39,7 +39,7 @@
   .option('--json', 'one JSON object instead of tables')
   .addHelpText('after', '\nExample:\n  gingerlock borrowing --log controllers.log --team vision')
   .action(async (options: BorrowingOptions) => {
-    const { borrowingCommand } = await import('./borrowing-command');
+    const { borrowingCommand } = await import('./cli/borrowing-command');
     const { status, out, error } = await borrowingCommand(options, process.stdin);
     process.stdout.write(out);
     process.stderr.write(error);
--- a/packages/daemon/src/owner-groups.ts
+++ b/packages/daemon/src/owner/owner-groups.ts
@@ -1,7 +1,7 @@
 // The owner's part in replica groups: what its claim table asks of them, and what its leader is told.
 import type { ClaimTable, TaskEntry } from '@gingerlock/core';
 import { PartitionGroups, type PartitionGroupReport } from '@gingerlock/replica-groups';
-import type { ControllerContext } from './controller-context';
+import type { ControllerContext } from '../controller/controller-context';
 
 export class OwnerGroups {
   readonly members: PartitionGroups;
--- a/packages/daemon/src/owner-reclaims.ts
+++ b/packages/daemon/src/owner/owner-reclaims.ts
@@ -2,7 +2,7 @@
 import { PartitionReclaims, type Reclaim } from '@gingerlock/borrowing';
 import type { ClaimTable, TaskEntry } from '@gingerlock/core';
 import { type Change, type Condition, KEYS } from '@gingerlock/wire';
-import type { ControllerContext } from './controller-context';
+import type { ControllerContext } from '../controller/controller-context';
 
 /** The removal of one record, if it is still the one that was carried out. */
 export interface ReclaimRemoval {
--- a/packages/daemon/src/owner-writes.ts
+++ b/packages/daemon/src/owner/owner-writes.ts
@@ -12,7 +12,7 @@
 import { URGENCY } from '@gingerlock/clients';
 import { type Change, type Condition, finishedRecord, jobRecord, KEYS, membershipRecord } from '@gingerlock/wire';
 import type { OwnerReclaims } from './owner-reclaims';
-import { DISPLAY_LAG_MS, type ControllerContext } from './controller-context';
+import { DISPLAY_LAG_MS, type ControllerContext } from '../controller/controller-context';
 
 /** A change of one key with the conditions it needs, and what to do before it is sent. */
 interface Write {
--- a/packages/daemon/src/owner.ts
+++ b/packages/daemon/src/owner/partition-owner.ts
@@ -18,7 +18,7 @@
 import { OwnerReclaims } from './owner-reclaims';
 import { OwnerWrites } from './owner-writes';
 import { partitionStatusOf } from './partition-status';
-import type { ControllerContext } from './controller-context';
+import type { ControllerContext } from '../controller/controller-context';
 import { WorkerCommandSender } from './worker-command-sender';
 
 /** How many machines are shown a new owner's term at each tick at the least: all at once would hold up everything else. */
--- a/packages/daemon/src/worker-command-sender.ts
+++ b/packages/daemon/src/owner/worker-command-sender.ts
@@ -1,7 +1,7 @@
 // What an owner sends straight to the workers of its partition, beside the answers to their reports.
 import type { ClaimTable, Machine, TaskEntry } from '@gingerlock/core';
 import { decodeHeartbeat, encodeDirectCommands } from '@gingerlock/wire';
-import type { ControllerContext } from './controller-context';
+import type { ControllerContext } from '../controller/controller-context';
 
 export class WorkerCommandSender {
   constructor(
--- a/packages/daemon/src/ownership-manager.ts
+++ b/packages/daemon/src/ownership/ownership-manager.ts
@@ -11,9 +11,9 @@
   type Versioned,
 } from '@gingerlock/core';
 import { FORMAT, KEYS, LEADERSHIP, metaRecord, type OwnerRecord } from '@gingerlock/wire';
-import type { PartitionOwner } from './owner';
-import type { Settings } from './settings';
-import type { ControllerContext } from './controller-context';
+import type { PartitionOwner } from '../owner/partition-owner';
+import type { Settings } from '../settings/settings';
+import type { ControllerContext } from '../controller/controller-context';
 import type { WorkerConnectivity } from './worker-connectivity';
 
 /** What the manager needs to know of the other controllers. */
--- a/packages/daemon/src/previous-owners.ts
+++ b/packages/daemon/src/ownership/previous-owners.ts
@@ -1,8 +1,8 @@
 // Asks the controllers from which partitions of ours were taken whether they have given them up: if so, no worker has been
 // answered by them since, and the fencing period ends sooner.
 import type { PeerMessages } from '@gingerlock/peer';
-import type { PartitionOwner } from './owner';
-import type { PeerChannel } from './peer-channel';
+import type { PartitionOwner } from '../owner/partition-owner';
+import type { PeerChannel } from '../peers/peer-channel';
 
 interface OwnerQuery {
   readonly partitionId: number;
--- a/packages/daemon/src/heartbeat-relay.ts
+++ b/packages/daemon/src/peers/heartbeat-relay.ts
@@ -4,8 +4,8 @@
 import type { PeerMessage, PeerMessages } from '@gingerlock/peer';
 import { decodeHeartbeat, encodeRedirect, type Heartbeat } from '@gingerlock/wire';
 import type { PeerChannel } from './peer-channel';
-import { refusal, type Reply } from './reply';
-import type { Settings } from './settings';
+import { refusal, type Reply } from '../api/reply';
+import type { Settings } from '../settings/settings';
 
 /** A worker waits this long for an answer, says the protocol. */
 const WORKER_PATIENCE_MS = 4000;
--- a/packages/daemon/src/partition-statuses.ts
+++ b/packages/daemon/src/peers/partition-statuses.ts
@@ -2,7 +2,7 @@
 // what users are shown and for new owners; nothing that safety rests on.
 import type { SpareCapacity, PartitionStatus } from '@gingerlock/core';
 import type { PeerMessages, PeerPartitionStatus } from '@gingerlock/peer';
-import type { PartitionOwner } from './owner';
+import type { PartitionOwner } from '../owner/partition-owner';
 import type { PeerChannel } from './peer-channel';
 import { StatusReassembler, statusMessages } from './status-fragments';
 
--- a/packages/daemon/src/status-publisher.ts
+++ b/packages/daemon/src/peers/status-publisher.ts
@@ -2,9 +2,9 @@
 import { LEADERSHIP } from '@gingerlock/wire';
 import { type ClaimLists, claimListMessages, claimsOf } from './claim-lists';
 import { type GroupReports, groupReportMessages } from './group-reports';
-import type { PartitionOwner } from './owner';
+import type { PartitionOwner } from '../owner/partition-owner';
 import type { PeerChannel } from './peer-channel';
-import { DISPLAY_LAG_MS, type ControllerContext } from './controller-context';
+import { DISPLAY_LAG_MS, type ControllerContext } from '../controller/controller-context';
 import type { PartitionStatuses } from './partition-statuses';
 
 /** Nothing is told more often than so many times in a report interval, and all of it so many times at the least. */
--- a/packages/daemon/src/serve.ts
+++ b/packages/daemon/src/serve.ts
@@ -1,9 +1,9 @@
 import { nodeHttp, type Clock } from '@gingerlock/clients';
 import { TcpLink } from '@gingerlock/peer';
-import { Controller } from './controller';
-import { openLog } from './log';
-import { openServer } from './server';
-import type { Settings } from './settings';
+import { Controller } from './controller/controller';
+import { openLog } from './controller/log';
+import { openServer } from './api/server';
+import type { Settings } from './settings/settings';
 
 const realClock: Clock = {
   now: () => performance.now(),
--- a/packages/daemon/test/borrowing-command.test.ts
+++ b/packages/daemon/test/borrowing-command.test.ts
@@ -3,8 +3,8 @@
 import { Readable } from 'node:stream';
 import { test } from 'node:test';
 import { runScenario, World } from '@gingerlock/testkit';
-import { borrowingCommand, type CommandOutput } from '../src/borrowing-command';
-import type { BorrowingReport } from '../src/borrowing-report';
+import { borrowingCommand, type CommandOutput } from '../src/cli/borrowing-command';
+import type { BorrowingReport } from '../src/cli/borrowing-report';
 
 function run(lines: readonly string[], options: Parameters<typeof borrowingCommand>[0] = {}): Promise<CommandOutput> {
   return borrowingCommand(options, Readable.from(lines.map((line) => `${line}\n`)));
--- a/packages/daemon/test/cluster-state.test.ts
+++ b/packages/daemon/test/cluster-state.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { finishedRecord, jobRecord, KEYS, metaRecord } from '@gingerlock/wire';
-import { ClusterState } from '../src/cluster-state';
+import { ClusterState } from '../src/state/cluster-state';
 import { specOf } from '../../core/test/fixtures';
 
 // A list gives the keys in their order, the finished pages first: placed by a page size that was not known yet, the tasks of a
--- a/packages/daemon/test/commit-with-retry.test.ts
+++ b/packages/daemon/test/commit-with-retry.test.ts
@@ -4,9 +4,9 @@
 import { KEYS, membershipRecord, STATE_PATHS } from '@gingerlock/wire';
 import { MAX_FRAME_BYTES } from '@gingerlock/peer';
 import { Sim, SimStateService } from '@gingerlock/testkit';
-import { Controller } from '../src/controller';
-import { SILENT } from '../src/log';
-import { settingsOf } from '../src/settings';
+import { Controller } from '../src/controller/controller';
+import { SILENT } from '../src/controller/log';
+import { settingsOf } from '../src/settings/settings';
 import { platform } from './platform';
 
 // The first try is carried out and its answer lost, the second conflicts with it, and for a while nothing can be read: taken for
--- a/packages/daemon/test/daemon.test.ts
+++ b/packages/daemon/test/daemon.test.ts
@@ -2,9 +2,9 @@
 import { test } from 'node:test';
 import { encode, encodeSubmission, MAX_BODY_BYTES } from '@gingerlock/wire';
 import { World } from '@gingerlock/testkit';
-import { openServer } from '../src/server';
-import { SettingsError, settingsOf } from '../src/settings';
-import { SILENT } from '../src/log';
+import { openServer } from '../src/api/server';
+import { SettingsError, settingsOf } from '../src/settings/settings';
+import { SILENT } from '../src/controller/log';
 import { platform } from './platform';
 
 test('a setting that is missing or wrong is named with its path, and unknown ones are ignored', () => {
--- a/packages/daemon/test/features.test.ts
+++ b/packages/daemon/test/features.test.ts
@@ -3,7 +3,7 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import { parse } from 'yaml';
-import { SettingsError, settingsOf } from '../src/settings';
+import { SettingsError, settingsOf } from '../src/settings/settings';
 import { platform } from './platform';
 
 test('borrowing is off unless its file says otherwise', () => {
--- a/packages/daemon/test/machine-type-catalog.test.ts
+++ b/packages/daemon/test/machine-type-catalog.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { type CloudMachine, isRentable, readMachineTypes } from '@gingerlock/wire';
 import { SILENT } from '../src/index';
-import { MachineTypeCatalog } from '../src/machine-type-catalog';
+import { MachineTypeCatalog } from '../src/leader/machine-type-catalog';
 
 const box = (sku: string, yards: readonly string[] = ['a', 'b']): unknown => ({
   sku,
--- a/packages/daemon/test/questions.test.ts
+++ b/packages/daemon/test/questions.test.ts
@@ -3,9 +3,9 @@
 import { NoResponseError, URGENCY } from '@gingerlock/clients';
 import { MAX_FRAME_BYTES, type PeerLink, type PeerMessage } from '@gingerlock/peer';
 import { Sim } from '@gingerlock/testkit';
-import { Controller } from '../src/controller';
-import { SILENT } from '../src/log';
-import { settingsOf } from '../src/settings';
+import { Controller } from '../src/controller/controller';
+import { SILENT } from '../src/controller/log';
+import { settingsOf } from '../src/settings/settings';
 import { platform } from './platform';
 
 /** One process of a controller with a peer that keeps what it is told; the state service does not answer. */
--- a/packages/daemon/test/settings-bounds.test.ts
+++ b/packages/daemon/test/settings-bounds.test.ts
@@ -1,7 +1,7 @@
 // Settings that leave no time between the end of a worker's lease and the latest end of what was cancelled.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { SettingsError, settingsOf } from '../src/settings';
+import { SettingsError, settingsOf } from '../src/settings/settings';
 import { platform } from './platform';
 
 function withWorkers(workers: { report_s: number; lease_s: number; cancel_s: number }): unknown {
--- a/packages/daemon/test/status-fragments.test.ts
+++ b/packages/daemon/test/status-fragments.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check';
 import { type MachineStatus, NO_RESOURCES, type PartitionStatus } from '@gingerlock/core';
 import { encodePeer, type PeerMessage, type PeerPartitionStatus } from '@gingerlock/peer';
-import { StatusReassembler, statusMessages } from '../src/status-fragments';
+import { StatusReassembler, statusMessages } from '../src/peers/status-fragments';
 
 const resources = { cpus: 1, gpus: 2, memoryGb: 3 };
 
--- a/packages/daemon/test/transaction-size-limit.test.ts
+++ b/packages/daemon/test/transaction-size-limit.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { encode, MAX_BODY_BYTES, txnMap } from '@gingerlock/wire';
-import { TransactionSizeLimit } from '../src/transaction-size-limit';
+import { TransactionSizeLimit } from '../src/state/transaction-size-limit';
 
 test('what a transaction has room for fits a request, however large its values are', () => {
   const entry = fc.record({ key: fc.stringMatching(/^[a-z0-9/]{1,100}$/), length: fc.nat(16_000) });
--- a/packages/testkit/src/borrowing-audit.ts
+++ b/packages/testkit/src/audits/borrowing-audit.ts
@@ -3,10 +3,10 @@
 import { ABANDONED_BOUNDS } from '@gingerlock/borrowing';
 import type { JobSpec } from '@gingerlock/wire';
 import type { Invariant } from './invariants';
-import type { Scheduler } from './sim';
-import type { SimStateService } from './state-service';
-import type { ObservedStatus } from './users';
-import type { SimWorker } from './worker';
+import type { Scheduler } from '../simulation/sim';
+import type { SimStateService } from '../standins/state-service';
+import type { ObservedStatus } from '../standins/users';
+import type { SimWorker } from '../standins/worker';
 
 /** What is looked at: a simulated deployment, or one on loopback. */
 export interface AuditedWorld {
--- a/packages/testkit/src/group-audit.ts
+++ b/packages/testkit/src/audits/group-audit.ts
@@ -2,7 +2,7 @@
 import type { PartitionOwner } from '@gingerlock/daemon';
 import { GROUP_MOVES } from '@gingerlock/replica-groups';
 import { type GroupRecord, groupRecord, KEYS, ownerRecord, parseKey, parseTaskName, taskName } from '@gingerlock/wire';
-import type { World } from './world';
+import type { World } from '../simulation/world';
 
 /** An owner that reads the state service has taken a change in after so many report intervals. */
 const READ_INTERVALS = 3;
--- a/packages/testkit/src/liveness.ts
+++ b/packages/testkit/src/audits/liveness.ts
@@ -2,9 +2,9 @@
 // questions are answered.
 import { type Resources, fitsIn, NO_RESOURCES, countFitting, allowsMachine, subtractResources } from '@gingerlock/core';
 import { type JobSpec, jobRecord, KEYS, parseTaskName } from '@gingerlock/wire';
-import type { ObservedStatus } from './users';
-import type { SimWorker } from './worker';
-import type { World } from './world';
+import type { ObservedStatus } from '../standins/users';
+import type { SimWorker } from '../standins/worker';
+import type { World } from '../simulation/world';
 
 /** A job may wait this many times `cancel_s` though there is room: until then what may still run had to be waited for. */
 const WAIT_CANCELS = 2;
--- a/packages/testkit/src/operations-audit.ts
+++ b/packages/testkit/src/audits/operations-audit.ts
@@ -1,6 +1,6 @@
 // What must hold in the troubles that operators met beside the protocol's rules: who is at fault is told apart, what fails is not
 // retried without bound, and no rented machine is forgotten.
-import type { World } from './world';
+import type { World } from '../simulation/world';
 
 /** How often the tasks of a broken job may be started: so many times each while it is found out, and a trial in so many reports. */
 const STARTS_PER_TASK = 3;
--- a/packages/testkit/src/ownership-audit.ts
+++ b/packages/testkit/src/audits/ownership-audit.ts
@@ -2,7 +2,7 @@
 import type { PartitionOwner } from '@gingerlock/daemon';
 import { type TaskEntry, tasksAssignedTo } from '@gingerlock/core';
 import { jobRecord, type JobRecord, KEYS, parseTaskName, type AssignedRange } from '@gingerlock/wire';
-import type { World } from './world';
+import type { World } from '../simulation/world';
 
 function isIn({ from, count }: AssignedRange, taskIndex: number): boolean {
   return taskIndex >= from && taskIndex < from + count;
--- a/packages/testkit/src/borrowing-faults.ts
+++ b/packages/testkit/src/faults/borrowing-faults.ts
@@ -1,6 +1,6 @@
 // What borrowing has to live through: surges that come, grow and end, lenders that want their GPUs back, and controllers that end between
 // two steps of a reclaim.
-import type { World } from './world';
+import type { World } from '../simulation/world';
 
 export type BorrowingFault =
   /** A team submits services of one replica after the other, and cancels them all at the end. */
--- a/packages/testkit/src/fault-targets.ts
+++ b/packages/testkit/src/faults/fault-targets.ts
@@ -1,6 +1,6 @@
 // Whom a fault strikes, by the numbers that a generator draws, and for how long.
-import type { Cut } from './network';
-import type { World } from './world';
+import type { Cut } from '../simulation/network';
+import type { World } from '../simulation/world';
 
 export class FaultTargets {
   constructor(readonly world: World) {}
--- a/packages/testkit/src/faults.ts
+++ b/packages/testkit/src/faults/faults.ts
@@ -4,11 +4,11 @@
 import { injectOperationsFault, isOperationsFault, type OperationsFault, operationsFaultMs } from './operations-faults';
 import { type GroupFault, groupFaultMs, injectGroupFault, isGroupFault } from './group-faults';
 import { FaultTargets } from './fault-targets';
-import type { Cut } from './network';
+import type { Cut } from '../simulation/network';
 import { injectStateFault, isStateFault, type StateFault } from './state-faults';
-import { observeDirect } from './traffic';
+import { observeDirect } from '../simulation/traffic';
 import { injectUserFault, isUserFault, type UserFault } from './user-faults';
-import type { World } from './world';
+import type { World } from '../simulation/world';
 
 export type Fault =
   | StateFault
--- a/packages/testkit/src/group-faults.ts
+++ b/packages/testkit/src/faults/group-faults.ts
@@ -1,6 +1,6 @@
 // What replica groups have to live through: machines and controllers that end as a group comes to a state, and users who call it off then.
 import type { JobSpec, GroupState } from '@gingerlock/wire';
-import type { World } from './world';
+import type { World } from '../simulation/world';
 
 export type GroupFault =
   /** A team submits services of several members, one after the other. */
--- a/packages/testkit/src/operations-faults.ts
+++ b/packages/testkit/src/faults/operations-faults.ts
@@ -1,7 +1,7 @@
 // Troubles that operators met and the protocol names only in passing: jobs submitted with a mistake, controllers that say nothing or
 // stand still, machines that come late or never, a cloud list that is old, and guests who submit more than can be taken.
 import type { JobSpec } from '@gingerlock/wire';
-import type { World } from './world';
+import type { World } from '../simulation/world';
 
 export type OperationsFault =
   /** Arrays whose tasks fail wherever they run, until their users cancel them. */
--- a/packages/testkit/src/state-faults.ts
+++ b/packages/testkit/src/faults/state-faults.ts
@@ -1,6 +1,6 @@
 // Troubles of the state service.
 import type { FaultTargets } from './fault-targets';
-import type { World } from './world';
+import type { World } from '../simulation/world';
 
 export type StateFault =
   | { readonly kind: 'state outage'; readonly forMs: number }
--- a/packages/testkit/src/user-faults.ts
+++ b/packages/testkit/src/faults/user-faults.ts
@@ -1,8 +1,8 @@
 // What users do beyond submitting, asking and now and then cancelling.
 import { parseTaskName } from '@gingerlock/wire';
 import type { FaultTargets } from './fault-targets';
-import { PipelineUser } from './pipelines';
-import type { World } from './world';
+import { PipelineUser } from '../standins/pipelines';
+import type { World } from '../simulation/world';
 
 export type UserFault =
   /** Users call running jobs off, all within a fifth of a second; some of their machines then hang. */
--- a/packages/testkit/src/loopback.ts
+++ b/packages/testkit/src/loopback/loopback.ts
@@ -7,14 +7,14 @@
 import { Controller, openServer, type Log, settingsOf, SILENT } from '@gingerlock/daemon';
 import { TcpLink } from '@gingerlock/peer';
 import { encodeSubmission, type JobSpec, type MachineType } from '@gingerlock/wire';
-import { BorrowingAudit } from './borrowing-audit';
-import { SimCloud } from './cloud';
-import type { Handler } from './network';
-import type { Invariant } from './invariants';
-import { type Scheduler, seeded } from './sim';
-import { SimStateService } from './state-service';
-import type { ObservedStatus } from './users';
-import { SimWorker, type WorkerNetwork, type WorkerWorld } from './worker';
+import { BorrowingAudit } from '../audits/borrowing-audit';
+import { SimCloud } from '../standins/cloud';
+import type { Handler } from '../simulation/network';
+import type { Invariant } from '../audits/invariants';
+import { type Scheduler, seeded } from '../simulation/sim';
+import { SimStateService } from '../standins/state-service';
+import type { ObservedStatus } from '../standins/users';
+import { SimWorker, type WorkerNetwork, type WorkerWorld } from '../standins/worker';
 
 /** How often the audit looks. */
 const AUDIT_MS = 50;
--- a/packages/testkit/src/sim-link.ts
+++ b/packages/testkit/src/simulation/sim-link.ts
@@ -1,7 +1,7 @@
 // The link between simulated controllers.
 import { decodePeer, encodePeer, MAX_FRAME_BYTES, type PeerLink, type PeerMessage } from '@gingerlock/peer';
 import type { Network } from './network';
-import type { Invariant } from './invariants';
+import type { Invariant } from '../audits/invariants';
 import type { Sim } from './sim';
 
 /** What a link needs of the world that it is in. */
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/simulation/world.ts
@@ -28,21 +28,21 @@
   type ReplicaGroupSettings,
   startBoundMs,
 } from '@gingerlock/replica-groups';
-import { BorrowingAudit, RECLAIM_PREFIX } from './borrowing-audit';
-import { SimCloud } from './cloud';
-import type { RentedMachine } from './cloud-records';
+import { BorrowingAudit, RECLAIM_PREFIX } from '../audits/borrowing-audit';
+import { SimCloud } from '../standins/cloud';
+import type { RentedMachine } from '../standins/cloud-records';
 import { type Deployment, ONE_TYPE } from './deployment';
-import { GroupAudit } from './group-audit';
-import { Liveness } from './liveness';
+import { GroupAudit } from '../audits/group-audit';
+import { Liveness } from '../audits/liveness';
 import { Network } from './network';
-import { OperationsAudit } from './operations-audit';
-import { OwnershipAudit } from './ownership-audit';
-import type { Violation, Invariant } from './invariants';
+import { OperationsAudit } from '../audits/operations-audit';
+import { OwnershipAudit } from '../audits/ownership-audit';
+import type { Violation, Invariant } from '../audits/invariants';
 import { Sim } from './sim';
 import { SimLink } from './sim-link';
-import { SimStateService, type StateLimits } from './state-service';
-import { SimUsers } from './users';
-import { SimWorker, type WorkerWorld } from './worker';
+import { SimStateService, type StateLimits } from '../standins/state-service';
+import { SimUsers } from '../standins/users';
+import { SimWorker, type WorkerWorld } from '../standins/worker';
 
 export interface WorldOptions {
   readonly seed: number;
--- a/packages/testkit/src/cloud.ts
+++ b/packages/testkit/src/standins/cloud.ts
@@ -14,7 +14,7 @@
   returnedNamesOf,
 } from '@gingerlock/wire';
 import { CloudRecords, type RentedMachine } from './cloud-records';
-import type { Scheduler } from './sim';
+import type { Scheduler } from '../simulation/sim';
 
 export interface CloudOptions {
   readonly sim: Scheduler;
--- a/packages/testkit/src/pipelines.ts
+++ b/packages/testkit/src/standins/pipelines.ts
@@ -1,7 +1,7 @@
 // Stand-ins of users who submit pipelines: jobs that await each other, and some that were accepted long before.
 import type { JobSpec } from '@gingerlock/wire';
-import type { Sim } from './sim';
-import { seeded } from './sim';
+import type { Sim } from '../simulation/sim';
+import { seeded } from '../simulation/sim';
 import type { SimUsers } from './users';
 
 export interface PipelineWorld {
--- a/packages/testkit/src/state-service.ts
+++ b/packages/testkit/src/standins/state-service.ts
@@ -14,7 +14,7 @@
   type StateEvent,
   txnRequestOf,
 } from '@gingerlock/wire';
-import type { Scheduler } from './sim';
+import type { Scheduler } from '../simulation/sim';
 
 function answer(status: number, map: unknown): HttpResponse {
   return { status, body: encode(map) };
--- a/packages/testkit/src/users.ts
+++ b/packages/testkit/src/standins/users.ts
@@ -9,9 +9,9 @@
   type JobStatus,
   submissionMap,
 } from '@gingerlock/wire';
-import type { Invariant } from './invariants';
-import type { Sim } from './sim';
-import { observeDirect, type TrafficObserver } from './traffic';
+import type { Invariant } from '../audits/invariants';
+import type { Sim } from '../simulation/sim';
+import { observeDirect, type TrafficObserver } from '../simulation/traffic';
 
 export interface UsersWorld {
   readonly sim: Sim;
--- a/packages/testkit/src/worker.ts
+++ b/packages/testkit/src/standins/worker.ts
@@ -9,8 +9,8 @@
   type TaskState,
   type WorkerCommand,
 } from '@gingerlock/wire';
-import type { Handler, HostEventKind } from './network';
-import type { Scheduler } from './sim';
+import type { Handler, HostEventKind } from '../simulation/network';
+import type { Scheduler } from '../simulation/sim';
 
 interface RunningTask {
   readonly task: string;
