--- a/packages/core/src/claims/job-evidence.ts
+++ b/packages/core/src/claims/job-evidence.ts
@@ -1,6 +1,6 @@
 // What is known of a job from outside its failures in one partition: whether it is seen to run, or has.
 import type { JobEvidence } from './failure-attribution';
-import type { JobTable } from '../jobs/jobs';
+import type { JobTable } from '../jobs/job-table';
 import type { TaskEntry } from './task-entry';
 
 /** `slots`: the tasks that are assigned to the partition, by job and number. */
--- a/packages/core/src/claims/task-table.ts
+++ b/packages/core/src/claims/task-table.ts
@@ -1,6 +1,7 @@
 // The tasks of one partition and their states: which are assigned to it, which wait, and which machine holds which.
 import { parseTaskName, taskName } from '@gingerlock/wire';
-import type { Job, JobTable } from '../jobs/jobs';
+import type { Job } from '../jobs/jobs';
+import type { JobTable } from '../jobs/job-table';
 import { type AssignedTask, tasksAssignedTo } from '../jobs/assigned-usage';
 import { type Claim, type TaskEntry, TASK_TRANSITIONS, type TaskEntryState } from './task-entry';
 import { WakeQueue } from './wake-queue';
--- /dev/null
+++ b/packages/core/src/jobs/job-table.ts
@@ -0,0 +1,123 @@
+/** The jobs in this controller's watch cache: what their records say, and what follows from them. */
+import { finishedRecord, jobRecord, type JobRecord, type JobSpec, KEYS, type ParsedKey } from '@gingerlock/wire';
+import { BitSet } from './bit-set';
+import { DependencyGraph, type Outcome } from './dependencies';
+import type { FinishedPage } from './finished-pages';
+import { Job } from './jobs';
+
+/** The record of a job that is not over. */
+type LiveJobRecord = Extract<JobRecord, { readonly final: null }>;
+
+/** Key of a stored page of finished tasks: of the regular pages, or of one that begins at any task. */
+type FinishedKey = Extract<ParsedKey, { kind: 'finished' | 'finishedFrom' }>;
+
+/** The jobs in this controller's watch cache, kept up to date by each change of a key. */
+export class JobTable {
+  /** By id: jobs that are not over. */
+  readonly live = new Map<string, Job>();
+  /** By id: how the jobs that are over have ended. */
+  readonly finals = new Map<string, Outcome>();
+  readonly dependencies: DependencyGraph;
+  /** Is called with each job for which something has changed because of another job. */
+  onDerived: (id: string) => void = () => undefined;
+  /** By job: finished pages that were read before its record. */
+  readonly #earlyPagesByJob = new Map<string, FinishedPage[]>();
+
+  constructor(
+    /** How many tasks a regular page of finished tasks has, as the deployment has stored it. */
+    readonly pageTasks: () => number,
+    /** Whether the tasks of a job are the members of a replica group. */
+    readonly isGroup: (spec: JobSpec) => boolean = () => false,
+  ) {
+    this.dependencies = new DependencyGraph(this, (id) => this.onDerived(id));
+  }
+
+  isKnown(id: string): boolean {
+    return this.live.has(id) || this.finals.has(id);
+  }
+
+  /**
+   * Applies one change of a job's key; `value` undefined: the key was removed. Returns the record, or null if there is none any more.
+   * Throws if the value is not a job record.
+   */
+  applyJob(id: string, value: unknown, version: number): JobRecord | null {
+    if (value === undefined) {
+      this.#drop(id, null);
+      this.finals.delete(id);
+      return null;
+    }
+    const record = jobRecord.read(value);
+    if (record.final !== null) {
+      this.#earlyPagesByJob.delete(id);
+      this.finals.set(id, record.final);
+      this.#drop(id, record.final);
+      return record;
+    }
+    this.#applyLive(id, record, version);
+    return record;
+  }
+
+  #applyLive(id: string, record: LiveJobRecord, version: number): void {
+    let job = this.live.get(id);
+    if (job === undefined) {
+      job = new Job(id);
+      this.live.set(id, job);
+    }
+    job.spec = record.spec;
+    job.isGroup = this.isGroup(record.spec);
+    job.acceptedAt = record.acceptedAt;
+    job.cancelled = record.cancelled || job.cancelledElsewhere;
+    job.isMarkedCrashLooping = record.isCrashLooping;
+    job.assignedRanges = record.assignedRanges;
+    job.version = version;
+    this.dependencies.update(job);
+    for (const page of this.#earlyPagesByJob.get(id) ?? []) job.setPage(page);
+    this.#earlyPagesByJob.delete(id);
+  }
+
+  #drop(id: string, outcome: Outcome | null): void {
+    const job = this.live.get(id);
+    this.live.delete(id);
+    if (job !== undefined) this.dependencies.remove(job, outcome);
+    else if (outcome !== null) this.dependencies.ended(id, outcome);
+  }
+
+  /** A peer that has confirmed the cancellation to a user reports it; our watch cache may not show it yet. */
+  markCancelled(id: string): void {
+    const job = this.live.get(id);
+    if (job === undefined) return;
+    job.cancelledElsewhere = true;
+    job.cancelled = true;
+    this.dependencies.update(job);
+  }
+
+  /** Applies one change of a page of finished tasks; `value` undefined: the key was removed. Throws if it is not such a page. */
+  applyFinished(key: FinishedKey, value: unknown, version: number): void {
+    // A page is removed only together with its whole job, whose own change says the rest.
+    if (value === undefined) {
+      this.#earlyPagesByJob.delete(key.id);
+      return;
+    }
+    const page = this.#readPage(key, value, version);
+    const job = this.live.get(key.id);
+    if (job !== undefined) {
+      job.setPage(page);
+    } else if (!this.finals.has(key.id)) {
+      const pages = this.#earlyPagesByJob.get(key.id) ?? [];
+      pages.push(page);
+      this.#earlyPagesByJob.set(key.id, pages);
+    }
+  }
+
+  #readPage(key: FinishedKey, value: unknown, version: number): FinishedPage {
+    return {
+      key:
+        key.kind === 'finished'
+          ? KEYS.finished(key.id, key.partitionId, key.page)
+          : KEYS.finishedFrom(key.id, key.partitionId, key.first),
+      first: key.kind === 'finished' ? key.page * this.pageTasks() : key.first,
+      bits: new BitSet(finishedRecord.read(value)),
+      version,
+    };
+  }
+}
