--- a/packages/core/src/claims/failure-attribution.ts
+++ b/packages/core/src/claims/failure-attribution.ts
@@ -1,6 +1,9 @@
-// Whose fault a failed task is: its machine's or its job's. A job that was submitted with a mistake fails on every machine, and a
-// machine at fault fails every job, so a failure alone says neither. A job that runs elsewhere convicts the machine on which it
-// failed; machines on which nothing but unproven jobs failed are left alone. Pure: the time is an argument.
+/**
+ * Whether a failed task is the fault of its machine or of its job. A job that was submitted with a mistake fails on
+ * every machine, and a faulty machine fails every job, so a failure alone says neither. If a job runs elsewhere, the
+ * machine on which it failed is held responsible; machines on which only unproven jobs failed are not. Pure: the time
+ * is an argument (steady milliseconds).
+ */
 import type { ClusterConfig } from '../cluster/cluster-config';
 
 /** What is known of a job from outside its failures here. */
@@ -17,30 +20,41 @@
   readonly longestRunMs: number;
 }
 
-/** unproven: failed, and not seen to run; failing: failed on more machines than it runs on; proven: it can run. */
+/**
+ * unproven:      failed, and not seen to run.
+ * crash-looping: failed on several machines, and on more than it runs on.
+ * proven:        it can run.
+ */
 export type JobVerdict = 'unproven' | 'crash-looping' | 'proven';
 
+/** A job that has failed on some machine. */
 interface FailedJob {
   verdict: JobVerdict;
   /** By machine: when a task of the job failed there last. */
   readonly failedAt: Map<string, number>;
-  /** How long a task of it ran at most before it failed. */
+  /** How long a task of it ran at most before it failed; milliseconds. */
   longestFailedRunMs: number;
 }
 
-/** A job that failed on so many machines and runs on fewer is the one at fault, until it is seen to run. */
+/**
+ * A job that failed on so many machines and runs on fewer than it failed on is itself at fault, until it is seen to
+ * run.
+ */
 const CRASH_LOOP_MACHINES = 2;
 
 /** A machine on which so many jobs failed that run elsewhere is at fault. */
 const QUARANTINE_JOBS = 2;
 
-/** A task that runs for this many times as long as others of its job took to fail, and some report intervals, proves its job. */
+/** A task proves its job once it has run for this many times as long as the longest failed run of the job ... */
 const PROVEN_RUNS = 2;
+
+/** ... and this many heartbeat intervals on top. */
 const PROVEN_INTERVALS = 3;
 
+/** The failures in one partition and the verdicts on jobs and machines that follow from them. */
 export class FailureAttribution {
-  /** Jobs that failed on a machine and were not forgotten since. */
-  readonly #jobs = new Map<string, FailedJob>();
+  /** By id: jobs that failed on a machine and were not forgotten since. */
+  readonly #failedJobs = new Map<string, FailedJob>();
   /** By machine: the jobs that run elsewhere and failed there, since a task last completed there. */
   readonly #failedJobsByMachine = new Map<string, Set<string>>();
   /** By machine: when a task last completed there. */
@@ -50,30 +64,34 @@
 
   /** A task of the job ended with an error on the machine, after it had been seen running for `ranMs`. */
   failed(job: string, machine: string, ranMs: number, now: number): void {
-    const known = this.#jobs.get(job) ?? { verdict: 'unproven' as const, failedAt: new Map(), longestFailedRunMs: 0 };
+    const known = this.#failedJobs.get(job) ?? {
+      verdict: 'unproven' as const,
+      failedAt: new Map(),
+      longestFailedRunMs: 0,
+    };
     known.failedAt.set(machine, now);
     known.longestFailedRunMs = Math.max(known.longestFailedRunMs, ranMs);
-    this.#jobs.set(job, known);
+    this.#failedJobs.set(job, known);
     if (known.verdict === 'proven') this.#holdMachineResponsible(machine, job, now);
   }
 
   /**
-   * A task of the job completed on the machine: neither is at fault for what came before. That other jobs failed there is held against
-   * them all the same: forgotten with the machine's fault, it let a broken array be tried over and over where others completed.
+   * A task of the job completed on the machine: neither is at fault for what came before. That other jobs failed there
+   * still counts against those jobs: otherwise a broken array would be started over and over where others complete.
    */
   completed(job: string, machine: string, now: number): void {
     this.#failedJobsByMachine.delete(machine);
     this.#completedAt.set(machine, now);
-    const own = this.#jobs.get(job);
-    if (own !== undefined) this.#decide(job, own, 'proven');
+    const failures = this.#failedJobs.get(job);
+    if (failures !== undefined) this.#decide(job, failures, 'proven');
   }
 
-  /** Looks at each failed job anew. */
+  /** Decides on each failed job anew by the evidence of now, and forgets those that are over. */
   review(evidenceOn: (job: string) => JobEvidence): void {
-    for (const [job, failures] of this.#jobs) {
+    for (const [job, failures] of this.#failedJobs) {
       const evidence = evidenceOn(job);
       this.#decide(job, failures, this.#verdictOn(failures, evidence));
-      if (evidence.isOver || failures.failedAt.size === 0) this.#jobs.delete(job);
+      if (evidence.isOver || failures.failedAt.size === 0) this.#failedJobs.delete(job);
     }
   }
 
@@ -86,7 +104,7 @@
     return 'unproven';
   }
 
-  /** The one function that changes a verdict. */
+  /** Changes the verdict on a job; once it is proven, the machines on which it failed are held responsible. */
   #decide(job: string, failures: FailedJob, verdict: JobVerdict): void {
     if (verdict === 'proven' && failures.verdict !== 'proven') {
       for (const [machine, at] of failures.failedAt) this.#holdMachineResponsible(machine, job, at);
@@ -94,11 +112,12 @@
     failures.verdict = verdict;
   }
 
-  /** Whether a failure on the machine is no fault of it, for a task has completed there since. */
+  /** Whether the machine is not at fault for a failure at that time, because a task has completed there since. */
   #isExonerated(machine: string, failedAt: number): boolean {
     return failedAt <= (this.#completedAt.get(machine) ?? -Infinity);
   }
 
+  /** Counts a failure of a proven job against the machine. */
   #holdMachineResponsible(machine: string, job: string, failedAt: number): void {
     if (this.#isExonerated(machine, failedAt)) return;
     const jobs = this.#failedJobsByMachine.get(machine);
@@ -106,45 +125,46 @@
     else jobs.add(job);
   }
 
-  /** The machine is gone, or has begun anew. */
+  /** Forgets all that happened on a machine that is gone. */
   forgetMachine(machine: string): void {
     this.#failedJobsByMachine.delete(machine);
     this.#completedAt.delete(machine);
-    for (const failures of this.#jobs.values()) failures.failedAt.delete(machine);
+    for (const failures of this.#failedJobs.values()) failures.failedAt.delete(machine);
   }
 
+  /** The verdict on the job; null: it has not failed here, or is forgotten. */
   verdictOn(job: string): JobVerdict | null {
-    return this.#jobs.get(job)?.verdict ?? null;
+    return this.#failedJobs.get(job)?.verdict ?? null;
   }
 
-  /** Whether the job failed on the machine lately enough to be started elsewhere first. */
+  /** Whether the job failed on the machine within the last worker lease, and so is to be started elsewhere first. */
   isExcluded(job: string, machine: string, now: number): boolean {
-    const at = this.#jobs.get(job)?.failedAt.get(machine);
-    return at !== undefined && now - at < this.clusterConfig.workerLeaseMs;
+    const failedAt = this.#failedJobs.get(job)?.failedAt.get(machine);
+    return failedAt !== undefined && now - failedAt < this.clusterConfig.workerLeaseMs;
   }
 
-  /** How many jobs failed on the machine since a task last completed there, whoever is at fault. */
+  /** How many jobs failed on the machine since a task last completed there, whatever is at fault. */
   jobsFailedOn(machine: string): number {
     let jobs = 0;
-    for (const { failedAt } of this.#jobs.values()) {
+    for (const { failedAt } of this.#failedJobs.values()) {
       const at = failedAt.get(machine);
       if (at !== undefined && !this.#isExonerated(machine, at)) jobs++;
     }
     return jobs;
   }
 
-  /** Whether the machine is at fault for good: several jobs failed there that run elsewhere. */
+  /** Whether the machine is at fault until a task completes there: several jobs failed there that run elsewhere. */
   isQuarantined(machine: string): boolean {
     return (this.#failedJobsByMachine.get(machine)?.size ?? 0) >= QUARANTINE_JOBS;
   }
 
   /**
-   * Whether the machine gets no new work for a while, for it may be at fault: several jobs failed there lately of which none is
-   * known to be at fault itself. Whether it is shows as soon as these jobs have been started elsewhere.
+   * Whether the machine gets no new work for a while, for it may be at fault: several jobs failed there within the last
+   * worker lease of which none is known to be at fault itself. Starting these jobs elsewhere shows which it is.
    */
   isOnProbation(machine: string, now: number): boolean {
     let jobs = 0;
-    for (const { verdict, failedAt } of this.#jobs.values()) {
+    for (const { verdict, failedAt } of this.#failedJobs.values()) {
       const at = failedAt.get(machine);
       if (verdict === 'crash-looping' || at === undefined || this.#isExonerated(machine, at)) continue;
       if (now - at < this.clusterConfig.workerLeaseMs) jobs++;
--- a/packages/core/src/claims/fencing-period.ts
+++ b/packages/core/src/claims/fencing-period.ts
@@ -1,22 +1,31 @@
-// What a new owner of a partition waits for: machines of the membership that may run tasks of an earlier owner.
+/**
+ * The time in which a new owner of a partition can not tell which tasks still run, and which machines keep it from
+ * ending.
+ */
 import { type ClusterConfig, workerLeaseBoundMs } from '../cluster/cluster-config';
 
+/**
+ * A new owner's wait for machines that may run tasks of an earlier one. Until it is over, tasks that were assigned
+ * earlier and are reported by no machine are not granted again. Pure: moments are arguments, in steady milliseconds.
+ */
 export class FencingPeriod {
-  /** Machines that are not heard yet, by name, with their addresses. */
+  /** By name, with their addresses: machines that have not confirmed this owner's token yet. */
   readonly #unconfirmedMachines: Map<string, string>;
   #isOver = false;
-  /** Machines that were not heard until the fencing period ended. */
+  /** Machines that had not confirmed it when the fencing period ended. */
   readonly #expiredMachines: string[] = [];
 
   constructor(
     readonly clusterConfig: ClusterConfig,
+    /** Names and addresses of the machines that an earlier owner has stored. */
     membership: Iterable<readonly [string, string]>,
-    /** When the fencing period ends, in steady milliseconds; a former owner's answer may bring it forward. */
+    /** When the fencing period ends at the latest; the previous owner's answer may bring it forward. */
     public until: number,
   ) {
     this.#unconfirmedMachines = new Map(membership);
   }
 
+  /** By name, with their addresses: machines that may run tasks of an earlier owner. */
   get unconfirmedMachines(): ReadonlyMap<string, string> {
     return this.#unconfirmedMachines;
   }
@@ -26,21 +35,22 @@
     return this.#isOver;
   }
 
-  /** The machine has reported under this owner, or is gone. */
+  /** The machine has sent a heartbeat with this owner's token, or is gone. */
   confirm(name: string): void {
     this.#unconfirmedMachines.delete(name);
   }
 
   /**
-   * Whether the partition is cleared from now on: no machine is left that may hold anything. `answeredAt`: when this owner last answered
-   * the machine; null: it has not, or that lease has run out.
+   * Ends the fencing period if no machine is left that may hold tasks of an earlier owner; true: it has ended just now.
+   * `answeredAt`: when this owner last answered the machine; null: it has not, or that lease has expired.
    */
   tryEnd(now: number, answeredAt: (name: string) => number | null): boolean {
     if (this.#isOver || !this.#canEnd(now, answeredAt)) return false;
     this.#isOver = true;
     // They hold nothing any more: left in the membership, each later owner would wait for them once more.
-    for (const name of this.#unconfirmedMachines.keys())
+    for (const name of this.#unconfirmedMachines.keys()) {
       if (answeredAt(name) === null) this.#expiredMachines.push(name);
+    }
     this.#unconfirmedMachines.clear();
     return true;
   }
@@ -48,14 +58,14 @@
   #canEnd(now: number, answeredAt: (name: string) => number | null): boolean {
     if (this.#unconfirmedMachines.size === 0) return true;
     if (now < this.until) return false;
-    // We ourselves may have kept a machine's lease alive without its ever taking our token.
+    // This owner may itself have renewed a machine's lease though the machine never accepted its token.
     return [...this.#unconfirmedMachines.keys()].every((name) => {
-      const answered = answeredAt(name);
-      return answered === null || now > answered + workerLeaseBoundMs(this.clusterConfig);
+      const lastAnsweredAt = answeredAt(name);
+      return lastAnsweredAt === null || now > lastAnsweredAt + workerLeaseBoundMs(this.clusterConfig);
     });
   }
 
-  /** The machines, each once, that surely hold nothing since the fencing period. */
+  /** Removes and returns the machines that were silent until the fencing period ended: each is returned once. */
   takeExpiredMachines(): string[] {
     return this.#expiredMachines.splice(0);
   }
--- a/packages/core/src/claims/granting.ts
+++ b/packages/core/src/claims/granting.ts
@@ -1,13 +1,17 @@
-// Which waiting tasks the machine that reports now may take, in the order of their jobs.
+/** Which waiting tasks are granted to the machine whose heartbeat is being answered, in the order of their jobs. */
 import type { ClaimView } from './claim-view';
 import { waitsForCachedImage } from './claim-queries';
 import { allowsMachine } from '../cluster/placement-constraints';
 import type { GrantCapacity } from './grant-capacity';
 import type { Job } from '../jobs/jobs';
 import { betterElsewhere } from '../scheduling/placement';
-import type { Machine, TaskEntry } from './task-entry';
+import type { Machine } from './machine-entry';
+import type { TaskEntry } from './task-entry';
 
-/** The tasks to be bound to the machine, one by one: the room is asked anew for each, after the one before has been taken out of it. */
+/**
+ * The tasks to be bound to the machine, one by one. The caller takes each out of `capacity` before it asks for the
+ * next, which is checked against what is left.
+ */
 export function* bindable(
   view: ClaimView,
   machine: Machine,
@@ -21,6 +25,7 @@
   }
 }
 
+/** The tasks of one job that are to be bound to the machine. */
 function* bindableOf(
   view: ClaimView,
   job: Job,
@@ -30,7 +35,7 @@
 ): Generator<TaskEntry> {
   for (const task of view.waitingTasks(job)) {
     if (!capacity.fits(task)) {
-      // Its tasks are all alike: where room is kept for none of them, none fits.
+      // The tasks of a job are all alike: where nothing is reserved for any task, no other of them fits either.
       if (capacity.hasReservations) continue;
       return;
     }
@@ -38,6 +43,7 @@
   }
 }
 
+/** Whether a task that fits may be started on the machine now. */
 function mayBind(view: ClaimView, task: TaskEntry, machine: Machine, now: number): boolean {
   if (task.notBefore > now || (task.zone !== null && task.zone !== machine.zone)) return false;
   if (task.job.isGroup) return view.members.mayStart(task, machine);
--- a/packages/core/src/claims/heartbeat-reconciler.ts
+++ b/packages/core/src/claims/heartbeat-reconciler.ts
@@ -1,21 +1,37 @@
-// What a worker's report says of its tasks, and what it has to stop and forget for it.
+/**
+ * Reconciliation of a worker's heartbeat with the task table: which claims it confirms or ends, what is to be stopped
+ * or forgotten.
+ */
 import type { ExitCause, MachineType, ReportedTask, TaskState, WorkerCommand, Heartbeat } from '@gingerlock/wire';
 import type { ClusterConfig } from '../cluster/cluster-config';
 import type { FailureAttribution } from './failure-attribution';
 import type { Job } from '../jobs/jobs';
 import type { TaskTable } from './task-table';
-import type { Machine, TaskEntry } from './task-entry';
+import type { Machine } from './machine-entry';
+import type { TaskEntry } from './task-entry';
 
 /**
- * A machine that did not get so many answers in a row that had starts in them gets no more for a lease. The starts of one lost answer
- * were once counted one by one: a machine that missed a single answer with two starts was left idle for a whole lease.
+ * A machine that did not receive so many answers with starts in a row gets no more starts for a lease. Answers are
+ * counted, not starts: a machine that missed a single answer with two starts is not to stay idle for a whole lease.
  */
 const UNREACHABLE_AFTER_ANSWERS = 2;
 
-/** States of a task that the machine has not done with. */
+/** A task that failed this often waits before its next start. */
+const FAILURES_BEFORE_BACKOFF = 2;
+
+/** The wait doubles with each further failure, at most this often. */
+const MAX_BACKOFF_DOUBLINGS = 4;
+
+/** A machine that found no free resources for a task gets no starts for so many heartbeat intervals. */
+const NO_ROOM_INTERVALS = 2;
+
+/** States of a task that the machine still holds. */
 type HeldState = Exclude<TaskState, 'exited'>;
 
-/** Takes the reports of machines that are synchronised with the owner. */
+/** What the worker is to do with a task that has exited. */
+type ExitHandling = 'keep' | 'forget';
+
+/** Applies the heartbeats of machines that have the owner's current token. */
 export class HeartbeatReconciler {
   constructor(
     readonly clusterConfig: ClusterConfig,
@@ -25,109 +41,126 @@
     readonly alarm: (message: string, detail: Record<string, unknown>) => void,
   ) {}
 
-  /** Takes what a synchronised worker says of its tasks; returns what it has to stop and forget. */
-  reconcile(m: Machine, heartbeat: Heartbeat, now: number): WorkerCommand[] {
-    this.#endUnlisted(m, heartbeat, now);
+  /** Applies what a heartbeat says of tasks; returns the commands to forget and to stop some of them, in this order. */
+  reconcile(machine: Machine, heartbeat: Heartbeat, now: number): WorkerCommand[] {
+    this.#endUnlisted(machine, heartbeat, now);
     const forget: WorkerCommand[] = [];
     for (const reported of heartbeat.tasks) {
-      if (reported.state !== 'exited' || this.#exited(m, reported, now)) continue;
+      if (reported.state !== 'exited' || this.#reconcileExited(machine, reported, now) === 'keep') continue;
       forget.push({ op: 'forget', task: reported.task, attempt: reported.attempt });
     }
     const stop: WorkerCommand[] = [];
     for (const reported of heartbeat.tasks) {
-      const graceS = reported.state === 'exited' ? null : this.#reconcileHeld(m, reported, reported.state, now);
+      const graceS = reported.state === 'exited' ? null : this.#reconcileHeld(machine, reported, reported.state, now);
       if (graceS !== null) stop.push({ op: 'stop', task: reported.task, attempt: reported.attempt, graceS });
     }
     return [...forget, ...stop];
   }
 
   /**
-   * Ends the claims that the report lacks. One report is in flight at a time, and an answer is dropped after its time: what the last answer
-   * started and this later report lacks has not started and will not.
+   * Ends the claims that the heartbeat does not list. A worker has one heartbeat in flight at a time and drops an
+   * answer that comes too late: what the last answer started and this later heartbeat lacks has not started and will
+   * not.
    */
-  #endUnlisted(m: Machine, heartbeat: Heartbeat, now: number): void {
+  #endUnlisted(machine: Machine, heartbeat: Heartbeat, now: number): void {
     const listed = new Set(heartbeat.tasks.map((reported) => `${reported.task} ${reported.attempt}`));
     let hasLostStarts = false;
-    for (const task of [...m.claims.values()]) {
+    for (const task of [...machine.claims.values()]) {
       if (listed.has(`${task.name} ${task.claim!.attempt}`)) continue;
-      const lost = task.claim!.stage === 'granted';
-      hasLostStarts ||= lost;
-      this.tasks.claimEnded(task, lost ? 'start was lost' : 'not reported any more', now);
+      const isLostStart = task.claim!.stage === 'granted';
+      hasLostStarts ||= isLostStart;
+      this.tasks.claimEnded(task, isLostStart ? 'start was lost' : 'not reported any more', now);
+    }
+    if (hasLostStarts && ++machine.unacknowledgedAnswers >= UNREACHABLE_AFTER_ANSWERS) {
+      machine.unreachableUntil = now + this.clusterConfig.workerLeaseMs;
     }
-    if (hasLostStarts && ++m.unacknowledgedAnswers >= UNREACHABLE_AFTER_ANSWERS)
-      m.unreachableUntil = now + this.clusterConfig.workerLeaseMs;
   }
 
-  /** Takes a task that the machine holds; returns the time that it gets for saving if it is to be stopped, null if it goes on. */
-  #reconcileHeld(m: Machine, reported: ReportedTask, state: HeldState, now: number): number | null {
+  /**
+   * Applies the report of a task that the machine holds; returns the seconds that it gets for its checkpoint if it is
+   * to be stopped, null if it goes on.
+   */
+  #reconcileHeld(machine: Machine, reported: ReportedTask, state: HeldState, now: number): number | null {
     const task = this.tasks.findTask(reported.task);
     if (task !== undefined && task.claim === null && task.state !== 'finishing')
-      this.#adopt(m, task, reported, state, now);
-    if (task?.claim?.machine !== m || task.claim.attempt !== reported.attempt) return 0;
+      this.#adopt(machine, task, reported, state, now);
+    if (task?.claim?.machine !== machine || task.claim.attempt !== reported.attempt) return 0;
     const { claim } = task;
-    if (claim.stage === 'granted') m.unacknowledgedAnswers = 0;
+    if (claim.stage === 'granted') machine.unacknowledgedAnswers = 0;
     if (claim.stage !== state) {
       claim.stage = state;
       if (state === 'running') claim.runningSince ??= now;
-      this.useImage(m, task.job);
+      this.useImage(machine, task.job);
     }
     const isSaving = state === 'saving' && claim.stopGraceS !== 0;
     return isSaving ? null : claim.stopGraceS;
   }
 
-  /** A task that the machine has held since an earlier owner's time. */
-  #adopt(m: Machine, task: TaskEntry, reported: ReportedTask, state: HeldState, now: number): void {
+  /** Claims for the machine a task that was started there under an earlier owner. */
+  #adopt(machine: Machine, task: TaskEntry, reported: ReportedTask, state: HeldState, now: number): void {
     if (task.state !== 'uncertain')
-      this.alarm('task that was free to start is running', { task: task.name, on: m.name });
+      this.alarm('task that was free to start is running', { task: task.name, on: machine.name });
     this.tasks.transition(task, 'claimed', now, {
-      machine: m,
+      machine,
       attempt: reported.attempt,
-      agentEpoch: m.agentEpoch,
+      agentEpoch: machine.agentEpoch,
       grantedAt: now,
       stage: state,
       runningSince: state === 'running' ? now : null,
       stopGraceS: task.job.cancelled ? 0 : null,
     });
-    this.useImage(m, task.job);
+    this.useImage(machine, task.job);
   }
 
-  /** Takes an exited task; true if it must not be forgotten yet. */
-  #exited(m: Machine, reported: ReportedTask, now: number): boolean {
+  /**
+   * Applies the report of an exited task. `keep`: the worker must not forget it yet, because its completion is still to
+   * be written to the key-value store.
+   */
+  #reconcileExited(machine: Machine, reported: ReportedTask, now: number): ExitHandling {
     const task = this.tasks.findTask(reported.task);
-    if (task === undefined) return false;
-    const ours = task.claim?.machine === m && task.claim.attempt === reported.attempt;
+    if (task === undefined) return 'forget';
+    const isOwnAttempt = task.claim?.machine === machine && task.claim.attempt === reported.attempt;
     if (reported.cause === 'done' && task.job.spec.kind === 'array') {
-      if (task.state === 'finishing') return true;
-      if (task.claim !== null && !ours) return false;
-      this.failures.completed(task.job.id, m.name, now);
+      if (task.state === 'finishing') return 'keep';
+      if (task.claim !== null && !isOwnAttempt) return 'forget';
+      this.failures.completed(task.job.id, machine.name, now);
       this.tasks.transition(task, 'finishing', now);
-      return true;
+      return 'keep';
     }
-    if (!ours) return false;
-    this.#attributeFailure(m, task, reported.cause ?? 'unrecognised', now);
+    if (!isOwnAttempt) return 'forget';
+    this.#attributeFailure(machine, task, reported.cause ?? 'unrecognised', now);
     this.tasks.claimEnded(task, `exited: ${reported.cause}`, now);
-    return false;
+    return 'forget';
   }
 
-  #attributeFailure(m: Machine, task: TaskEntry, cause: ExitCause, now: number): void {
-    // It says neither that the task failed nor why: the task is tried again, and nobody is at fault for it.
+  /** Draws from a failed exit what it says of the task, its job and the machine. */
+  #attributeFailure(machine: Machine, task: TaskEntry, cause: ExitCause, now: number): void {
+    // It says neither that the task failed nor why: the task is started again, and no machine or job is held
+    // responsible.
     if (cause === 'unrecognised')
-      this.alarm('unknown exit cause', { field: 'cause', task: task.name, machine: m.name });
-    // A member may fail for another one: its group ends, and is tried again in its own time.
+      this.alarm('unknown exit cause', { field: 'cause', task: task.name, machine: machine.name });
+    // A member may fail because another one did: its group ends as a whole, and is started again on a schedule of its
+    // own.
     if (task.job.isGroup && cause !== 'no_room') return;
     if (cause === 'error' || cause === 'unknown' || cause === 'unrecognised') {
       const runningSince = task.claim?.runningSince ?? now;
-      if (cause === 'error') this.failures.failed(task.job.id, m.name, now - runningSince, now);
+      if (cause === 'error') this.failures.failed(task.job.id, machine.name, now - runningSince, now);
       task.failures++;
-      const backoff = this.clusterConfig.heartbeatIntervalMs * 2 ** Math.min(task.failures - 2, 4);
-      task.notBefore = task.failures < 2 ? now : now + backoff;
+      task.notBefore = now + this.#backoffMs(task.failures);
     } else if (cause === 'no_room') {
-      m.unreachableUntil = now + this.clusterConfig.heartbeatIntervalMs * 2;
+      machine.unreachableUntil = now + this.clusterConfig.heartbeatIntervalMs * NO_ROOM_INTERVALS;
     }
   }
 
-  /** Notes that the machine fetches or has the image of the job. */
-  useImage(m: Machine, { spec }: Job): void {
-    m.cache.use(spec.image, spec.imageGb, this.typeOf(m)?.cacheGb ?? 0);
+  /** How long a task that failed so often waits for its next start. */
+  #backoffMs(failures: number): number {
+    if (failures < FAILURES_BEFORE_BACKOFF) return 0;
+    const doublings = Math.min(failures - FAILURES_BEFORE_BACKOFF, MAX_BACKOFF_DOUBLINGS);
+    return this.clusterConfig.heartbeatIntervalMs * 2 ** doublings;
+  }
+
+  /** Notes that the machine fetches or already has the image of the job. */
+  useImage(machine: Machine, { spec }: Job): void {
+    machine.cache.use(spec.image, spec.imageGb, this.typeOf(machine)?.cacheGb ?? 0);
   }
 }
--- a/packages/core/src/claims/image-cache.ts
+++ b/packages/core/src/claims/image-cache.ts
@@ -1,5 +1,7 @@
-// A guess at which images a machine has cached: workers do not report it. The most recently used stands last.
+/** An estimate of which images a machine has cached: workers do not report it. */
+import type { Job } from '../jobs/jobs';
 
+/** The images that one machine is believed to have; the most recently used stands last. */
 export class ImageCache {
   readonly #sizesGb: Map<string, number>;
 
@@ -12,21 +14,34 @@
     return this.#sizesGb.has(image);
   }
 
+  /** The names of the images, the most recently used last. */
   images(): string[] {
     return [...this.#sizesGb.keys()];
   }
 
-  /** The image is being used: others make way for it, the least recently used first. */
-  use(image: string, gb: number, limitGb: number): void {
+  /** Notes that the image is being used; beyond `limitGb` others are evicted for it, the least recently used first. */
+  use(image: string, sizeGb: number, limitGb: number): void {
     this.#sizesGb.delete(image);
-    this.#sizesGb.set(image, gb);
+    this.#sizesGb.set(image, sizeGb);
     let totalGb = 0;
-    for (const size of this.#sizesGb.values()) totalGb += size;
-    for (const [name, size] of this.#sizesGb) {
+    for (const gb of this.#sizesGb.values()) totalGb += gb;
+    for (const [name, gb] of this.#sizesGb) {
       if (totalGb <= limitGb) break;
       if (name === image) continue;
       this.#sizesGb.delete(name);
-      totalGb -= size;
+      totalGb -= gb;
     }
   }
 }
+
+/**
+ * The cache of a machine as an earlier owner knew it, of images that some job still uses. As much an estimate as our
+ * own: a wrong one costs a fetch.
+ */
+export function cacheOfKnownImages(images: readonly string[], jobs: Iterable<Job>): ImageCache {
+  const sizesGb = new Map<string, number>();
+  for (const { spec } of jobs) sizesGb.set(spec.image, spec.imageGb);
+  return new ImageCache(
+    images.filter((image) => sizesGb.has(image)).map((image) => [image, sizesGb.get(image)!] as const),
+  );
+}
--- a/packages/core/src/claims/member-policy.ts
+++ b/packages/core/src/claims/member-policy.ts
@@ -1,16 +1,21 @@
-// What a claim table asks about the members of replica groups: their owner decides it by the records of the groups.
+/**
+ * What a claim table asks about the members of replica groups: the partition's owner decides it by the groups' records.
+ */
 import type { Job } from '../jobs/jobs';
-import type { Machine, TaskEntry } from './task-entry';
+import type { Machine } from './machine-entry';
+import type { TaskEntry } from './task-entry';
 
+/** Decides on the members of replica groups. */
 export interface MemberPolicy {
   /** The generation of the job's group as its record has it; 0: there is none. */
   generationOf(job: Job): number;
   /** Whether the member may be started on the machine now. */
   mayStart(task: TaskEntry, machine: Machine): boolean;
-  /** Whether the member is to be given back now. */
+  /** Whether the member is to be returned to the leader now. */
   mustReturn(task: TaskEntry): boolean;
 }
 
+/** For a table without replica groups: no member is started or returned. */
 export const NO_MEMBERS: MemberPolicy = {
   generationOf: () => 0,
   mayStart: () => false,
--- a/packages/core/src/claims/task-entry.ts
+++ b/packages/core/src/claims/task-entry.ts
@@ -1,19 +1,22 @@
-// What a claim table keeps of tasks and machines.
-import type { ReportedTask, Heartbeat } from '@gingerlock/wire';
-import type { Resources } from '../cluster/resources';
-import type { ImageCache } from './image-cache';
+/** What a claim table keeps of one task that is assigned to its partition. */
 import type { Job } from '../jobs/jobs';
+import type { Machine } from './machine-entry';
+
+// The planner in `scheduling` imports these from here.
+export type { Machine } from './machine-entry';
+export type { SpareCapacity } from './spare-capacity';
 
 /**
- * uncertain: assigned before this owner's takeover and seen nowhere yet, so an unheard machine may hold it.
- * waiting:   no machine holds it; it is posted in a wake.
+ * uncertain: assigned before this owner acquired the partition and reported by no machine yet, so an unconfirmed one
+ * may hold it.
+ * waiting:   no machine holds it; its job has a wake.
  * claimed:   a machine holds it, or may.
- * finishing: completed; the state service has yet to be told.
- * leaving:   a change of the job's record that gives it back is on its way.
+ * finishing: completed; that is yet to be written to the key-value store. returning: the write that returns it to the
+ * leader is under way.
  */
 export type TaskEntryState = 'uncertain' | 'waiting' | 'claimed' | 'finishing' | 'returning';
 
-/** To which state a slot may go from each. */
+/** To which states a task may go from each. */
 export const TASK_TRANSITIONS: Record<TaskEntryState, readonly TaskEntryState[]> = {
   uncertain: ['waiting', 'claimed', 'finishing'],
   waiting: ['claimed', 'returning', 'finishing'],
@@ -22,121 +25,62 @@
   returning: ['waiting', 'claimed', 'finishing'],
 };
 
+/** A machine's hold on a task, from the grant or from the first heartbeat that lists it. */
 export interface Claim {
   readonly machine: Machine;
+  /** Number of this attempt to run the task; see `AttemptNumbers`. */
   readonly attempt: number;
+  /** Incarnation of the worker that holds it. */
   readonly agentEpoch: number;
+  /** When it was granted, or adopted from an earlier owner; steady milliseconds. */
   readonly grantedAt: number;
-  /** What the worker said last; `granted` until it has said anything. */
+  /** What the worker reported last; `granted` until it has listed the task. */
   stage: 'granted' | 'fetching' | 'running' | 'saving';
   /** When it was first reported running; null: it has not been. */
   runningSince: number | null;
-  /** Set when the task is to be stopped, with the time it gets for saving. */
+  /** Set when the task is to be stopped, with the time that it gets for its checkpoint; null: it is to go on. */
   stopGraceS: number | null;
 }
 
 /** Where a waiting task would run soonest. */
 export interface PlannedPlacement {
   readonly machine: Machine;
-  /** How soon it would run there, about. */
+  /** How soon it would run there, about; milliseconds. */
   readonly ms: number;
-  /** What has to be stopped there first. */
+  /** What has to be preempted there first. */
   readonly victims: readonly TaskEntry[];
 }
 
-/** Room on a machine to which a replica might move. */
-export interface SpareCapacity {
-  readonly type: string;
-  readonly zone: string;
-  readonly spot: boolean;
-  readonly free: Resources;
-  readonly images: readonly string[];
-}
-
+/** One task as the owner of its partition knows it. All moments are steady milliseconds. */
 export interface TaskEntry {
   readonly job: Job;
   readonly index: number;
+  /** Its name on the wire: of its job and its index. */
   readonly name: string;
   /** Where it is to run, by the newest record; null: anywhere. */
   zone: string | null;
   /** Term of the partition's owner at its assignment, by the newest record. */
   term: number;
   state: TaskEntryState;
+  /** Set if and only if the state is `claimed`. */
   claim: Claim | null;
   /** Since when it is in this state. */
   since: number;
   /** Not granted before: a task that failed waits a while. */
   notBefore: number;
+  /** How often it has failed under this owner. */
   failures: number;
-  /** Where it would run soonest, by the last packing. */
+  /** Where it would run soonest, by the last planning; null: nowhere, or it was not planned. */
   plan: PlannedPlacement | null;
-  /** Stopped so that its machine can go: it waits only for a machine that has its image, or goes back to the leader. */
+  /**
+   * Evicted so that its machine can be returned: it waits only for a machine that has its image, or goes back to the
+   * leader.
+   */
   isRelocating: boolean;
-  /** Version of the job's record on which the change that gives this task back is conditional. */
+  /** Version of the job's record on which the write that returns this task to the leader is conditional. */
   returningVersion: number;
   /** Of a member of a replica group: the generation in which it was started here; 0: it was not. */
   startedIn: number;
   /** Not assigned here any more by the newest record, and kept only until its claim ends. */
   withdrawn: boolean;
 }
-
-export interface Machine {
-  readonly name: string;
-  addr: string;
-  type: string;
-  zone: string;
-  spot: boolean;
-  agentEpoch: number;
-  sequenceNumber: number;
-  /** A report that carries this owner's term has come: no older command can run there any more. */
-  hasCurrentToken: boolean;
-  /** Answers given in a row to reports that did not carry our term. */
-  staleTokenAnswers: number;
-  /** When the last report that was answered was received; null: none was, or its lease has run out since. */
-  answeredAt: number | null;
-  /** How often it was called under this term, and when last: see `call`. */
-  heartbeatRequests: number;
-  heartbeatRequestedAt: number;
-  evictionNotice: boolean;
-  /** Its name is in the state service's membership, so that a new owner knows to ask for it. */
-  isMember: boolean;
-  draining: boolean;
-  reportedTasks: readonly ReportedTask[];
-  readonly claims: Map<string, TaskEntry>;
-  readonly cache: ImageCache;
-  emptySince: number;
-  /** Answers with starts in a row of which the next report showed none. */
-  unacknowledgedAnswers: number;
-  unreachableUntil: number;
-}
-
-/** A machine whose first report under this owner has come. */
-export function newMachine(
-  heartbeat: Heartbeat,
-  known: { readonly isMember: boolean; readonly cache: ImageCache },
-  now: number,
-): Machine {
-  return {
-    name: heartbeat.machine,
-    addr: heartbeat.addr,
-    type: heartbeat.type,
-    zone: heartbeat.zone,
-    spot: heartbeat.spot,
-    agentEpoch: heartbeat.agentEpoch,
-    sequenceNumber: heartbeat.sequenceNumber,
-    hasCurrentToken: false,
-    staleTokenAnswers: 0,
-    answeredAt: null,
-    heartbeatRequests: 0,
-    heartbeatRequestedAt: -Infinity,
-    evictionNotice: false,
-    isMember: known.isMember,
-    draining: false,
-    reportedTasks: [],
-    claims: new Map(),
-    cache: known.cache,
-    emptySince: now,
-    unacknowledgedAnswers: 0,
-    unreachableUntil: 0,
-  };
-}
--- a/packages/core/src/claims/task-table.ts
+++ b/packages/core/src/claims/task-table.ts
@@ -1,30 +1,36 @@
-// The tasks of one partition and their states: which are assigned to it, which wait, and which machine holds which.
+/** The tasks of one partition and their states: which are assigned to it, which wait, and which machine holds which. */
 import { parseTaskName, taskName } from '@gingerlock/wire';
 import type { Job } from '../jobs/jobs';
 import type { JobTable } from '../jobs/job-table';
 import { type AssignedTask, tasksAssignedTo } from '../jobs/assigned-usage';
+import type { Machine } from './machine-entry';
 import { type Claim, type TaskEntry, TASK_TRANSITIONS, type TaskEntryState } from './task-entry';
 import { WakeQueue } from './wake-queue';
 
+/** What a task table is built from. */
 export interface TaskTableOptions {
   readonly partitionId: number;
+  /** Number of the owner's term. */
   readonly term: number;
   readonly jobs: JobTable;
   /** Whether no machine can hold a task of an earlier owner any more. */
   readonly isFencingOver: () => boolean;
   readonly log: (message: string, detail: Record<string, unknown>) => void;
+  /** Is given what contradicts the safety argument, and so is never expected. */
   readonly alarm: (message: string, detail: Record<string, unknown>) => void;
 }
 
+/** The task entries of one partition. `transition` alone changes their states and claims. */
 export class TaskTable {
+  /** By job and task index. */
   readonly tasksByJob = new Map<string, Map<number, TaskEntry>>();
-  /** Goes up with every change that alters rooms or waiting tasks. */
+  /** Goes up with every change that alters free resources or waiting tasks. */
   changes = 0;
   readonly #wakes = new WakeQueue();
 
   constructor(readonly options: TaskTableOptions) {}
 
-  /** The one function that changes a slot's state. */
+  /** Changes the state of a task, and its claim with it. Throws if `TASK_TRANSITIONS` has no such change. */
   transition(task: TaskEntry, next: TaskEntryState, now: number, claim: Claim | null = null): void {
     if (task.state !== next && !TASK_TRANSITIONS[task.state].includes(next)) {
       throw new Error(`task ${task.name}: no move from ${task.state} to ${next}`);
@@ -43,33 +49,38 @@
     return this.#wakes.jobs();
   }
 
+  /** The waiting tasks of the job; none of a cancelled one. */
   *waitingTasks(job: Job): Generator<TaskEntry> {
     if (job.cancelled) return;
     for (const task of this.tasksByJob.get(job.id)?.values() ?? []) if (task.state === 'waiting') yield task;
   }
 
-  /** The recovery scan: posts every job that has a waiting task and no wake, drops wakes that have none. */
+  /** The recovery scan: from now on the jobs that have a waiting task have a wake, and no others. */
   scan(): void {
     this.#wakes.clear();
     for (const tasksByIndex of this.tasksByJob.values()) {
       for (const task of tasksByIndex.values()) {
-        if (task.state === 'waiting') {
-          this.#wakes.post(task.job);
-          break;
-        }
+        if (task.state !== 'waiting') continue;
+        this.#wakes.post(task.job);
+        break;
       }
     }
   }
 
-  /** Brings the slots of a job in line with its record. Returns the claims that are to be stopped from now on. */
+  /** The fencing period is over: uncertain tasks are held by nobody and may be granted. */
+  releaseUncertain(now: number): void {
+    for (const tasksByIndex of this.tasksByJob.values()) {
+      for (const task of tasksByIndex.values()) {
+        if (task.state === 'uncertain') this.transition(task, 'waiting', now);
+      }
+    }
+  }
+
+  /** Brings the tasks of a job in line with its record. Returns those whose claims are to be stopped from now on. */
   sync(id: string, now: number): readonly TaskEntry[] {
     const job = this.options.jobs.live.get(id);
     const tasksByIndex = this.tasksByJob.get(id) ?? new Map<number, TaskEntry>();
-    // Assigned to an owner after this one: while all is read anew that may show before the owner's own record does.
-    const assigned =
-      job === undefined
-        ? new Map<number, AssignedTask>()
-        : tasksAssignedTo(job, this.options.partitionId, this.options.term);
+    const assigned = this.#assignedTasksOf(job);
     const stopped: TaskEntry[] = [];
     for (const task of [...tasksByIndex.values()]) {
       if (assigned.has(task.index) && task.job === job) continue;
@@ -83,13 +94,22 @@
     }
     if (tasksByIndex.size === 0) this.tasksByJob.delete(id);
     else this.tasksByJob.set(id, tasksByIndex);
-    // Its urgency may be another one now: that of a job that needs it.
+    // Its urgency may have changed, with that of a job that needs it.
     this.#wakes.reorder();
     this.changes++;
     if (job?.cancelled === true) stopped.push(...this.#cancel(job));
     return stopped;
   }
 
+  /**
+   * The unfinished tasks that the record assigns here, by index. Not those that it assigns under a later term: while
+   * the watch cache is read anew, assignments to the next owner may show before that owner's own record does.
+   */
+  #assignedTasksOf(job: Job | undefined): Map<number, AssignedTask> {
+    if (job === undefined) return new Map();
+    return tasksAssignedTo(job, this.options.partitionId, this.options.term);
+  }
+
   #add(job: Job, index: number, { zone, term }: AssignedTask, tasksByIndex: Map<number, TaskEntry>, now: number): void {
     const task: TaskEntry = {
       job,
@@ -114,21 +134,24 @@
   }
 
   #remove(task: TaskEntry, tasksByIndex: Map<number, TaskEntry>): void {
-    // Not in the table any more: if a machine runs it still, it is a stray there and is told to stop.
+    // If a machine still runs it, it is an orphaned task there from now on, and the machine is sent a stop.
     if (task.claim !== null) task.claim.machine.claims.delete(task.name);
     tasksByIndex.delete(task.index);
     this.changes++;
   }
 
   /**
-   * Whether a task that is not assigned here any more has to stay: a machine may hold it, and it is neither finished nor is its
-   * job over. Entries were once dropped with their claims, and such a task could be started again while it ran.
+   * Whether a task that is not assigned here any more has to stay: a machine may hold it, and it is neither finished
+   * nor is its job over. Without the entry and its claim, the task could be started again while it runs.
    */
   #mustKeep(task: TaskEntry, job: Job | undefined): boolean {
     return task.claim !== null && task.job === job && !job.isFinished(task.index);
   }
 
-  /** Has a claimed task stopped that the record no longer names, which is never expected; true: it was not before. */
+  /**
+   * Has a claimed task stopped that the record no longer names, which is never expected; false: it is being stopped
+   * already.
+   */
   #withdraw(task: TaskEntry): boolean {
     if (!task.withdrawn) this.options.alarm('claimed task is not assigned here any more', { task: task.name });
     task.withdrawn = true;
@@ -136,21 +159,21 @@
   }
 
   /**
-   * Brings a known slot in line with the newest assignment of its task. It may have been given back and assigned anew, to
-   * another zone, without the record in between having been seen: the zone of the first assignment was once kept.
+   * Brings a known task in line with its newest assignment; true: its claim is to be stopped. The task may have been
+   * returned and assigned anew, to another zone, without the record in between having been seen here.
    */
   #reassign(task: TaskEntry, { zone, term }: AssignedTask, now: number): boolean {
     task.withdrawn = false;
     task.term = term;
     task.zone = zone;
-    // Only a newer record proves that the change under way can not happen any more.
+    // Only a newer record proves that the write under way can not be carried out any more.
     if (task.state === 'returning' && task.job.version !== task.returningVersion) this.transition(task, 'waiting', now);
     if (task.claim === null || zone === null || task.claim.machine.zone === zone) return false;
     this.options.alarm('claimed task is assigned to another zone', { task: task.name, zone });
     return this.#stop(task);
   }
 
-  /** Has a claimed task stopped at once; false: it is being stopped already. */
+  /** Has a claimed task stopped at once; false: no machine holds it, or it is being stopped already. */
   #stop(task: TaskEntry): boolean {
     if (task.claim === null || task.claim.stopGraceS === 0) return false;
     task.claim.stopGraceS = 0;
@@ -167,10 +190,37 @@
     if (tasksByIndex.size === 0) this.tasksByJob.delete(task.job.id);
   }
 
+  /** Ends all claims of a machine, by proof that none of its tasks runs any more. */
+  endClaims(machine: Machine, now: number, why: string): void {
+    for (const task of [...machine.claims.values()]) this.claimEnded(task, why, now);
+  }
+
+  /**
+   * Marks waiting tasks as being returned to the leader, by a write that is conditional on the present version of their
+   * job.
+   */
+  beginReturn(tasks: readonly TaskEntry[], now: number): void {
+    for (const task of tasks) {
+      if (task.state !== 'waiting') continue;
+      this.transition(task, 'returning', now);
+      task.returningVersion = task.job.version;
+    }
+  }
+
+  /** Has tasks wait again whose return did not happen and never will. */
+  cancelReturn(tasks: readonly TaskEntry[], now: number): void {
+    for (const task of tasks) {
+      if (task.state !== 'returning' || this.findTask(task.name) !== task) continue;
+      this.transition(task, 'waiting', now);
+    }
+  }
+
+  /** Has all claimed tasks of the job stopped; returns those that were not being stopped already. */
   #cancel(job: Job): TaskEntry[] {
     return [...(this.tasksByJob.get(job.id)?.values() ?? [])].filter((task) => this.#stop(task));
   }
 
+  /** The task of this name; undefined: the name is malformed, or the task is not in the table. */
   findTask(taskName: string): TaskEntry | undefined {
     const parsed = parseTaskName(taskName);
     return parsed === null ? undefined : this.tasksByJob.get(parsed.job)?.get(parsed.index);
--- a/packages/core/src/claims/wake-queue.ts
+++ b/packages/core/src/claims/wake-queue.ts
@@ -1,6 +1,7 @@
-// The wakes of one partition: the jobs that have waiting tasks, one wake for each however many tasks it has.
+/** The wakes of one partition: the jobs that have waiting tasks, one wake for each however many tasks it has. */
 import { type Job, jobOrder } from '../jobs/jobs';
 
+/** Jobs in their order; sorted when they are read and something has changed. */
 export class WakeQueue {
   #jobs: Job[] = [];
   readonly #posted = new Set<string>();
@@ -14,18 +15,19 @@
     this.#isSorted = false;
   }
 
-  /** The order of the jobs may have changed. */
+  /** Notes that the order of the jobs may have changed. */
   reorder(): void {
     this.#isSorted = false;
   }
 
+  /** Drops all wakes. */
   clear(): void {
     this.#jobs = [];
     this.#posted.clear();
     this.#isSorted = true;
   }
 
-  /** The most urgent first, then the oldest. */
+  /** The jobs that have a wake, in the order of `jobOrder`. */
   jobs(): readonly Job[] {
     if (!this.#isSorted) {
       this.#jobs.sort(jobOrder);
--- a/packages/core/src/jobs/finished-pages.ts
+++ b/packages/core/src/jobs/finished-pages.ts
@@ -28,9 +28,10 @@
 }
 
 /**
- * The page into which a finished task is written, with the bits that it has now. Pages are as long as the first controller of the
- * deployment fixed them in `meta`, maybe by a larger limit on values than there is now. Tasks of a page that lie beyond what fits now,
- * and all further tasks of a page that was stored larger, go into pages that begin at any task.
+ * The page into which a finished task is written, with the bits that it has now. Pages are as long as the first
+ * controller of the deployment fixed them in `meta`, maybe by a larger limit on values than there is now. Tasks of a
+ * page that lie beyond what fits now, and all further tasks of a page that was stored larger, go into pages that begin
+ * at any task.
  */
 export function finishedPageFor(
   job: { readonly id: string; readonly pages: ReadonlyMap<string, FinishedPage> },
--- a/packages/core/src/jobs/job-table.ts
+++ b/packages/core/src/jobs/job-table.ts
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Applies one change of a job's key; `value` undefined: the key was removed. Returns the record, or null if there is none any more.
-   * Throws if the value is not a job record.
+   * Applies one change of a job's key; `value` undefined: the key was removed. Returns the record, or null if there is
+   * none any more. Throws if the value is not a job record.
    */
   applyJob(id: string, value: unknown, version: number): JobRecord | null {
     if (value === undefined) {
@@ -91,7 +91,10 @@
     this.dependencies.update(job);
   }
 
-  /** Applies one change of a page of finished tasks; `value` undefined: the key was removed. Throws if it is not such a page. */
+  /**
+   * Applies one change of a page of finished tasks; `value` undefined: the key was removed. Throws if it is not such a
+   * page.
+   */
   applyFinished(key: FinishedKey, value: unknown, version: number): void {
     // A page is removed only together with its whole job, whose own change says the rest.
     if (value === undefined) {
--- a/packages/core/src/jobs/jobs.ts
+++ b/packages/core/src/jobs/jobs.ts
@@ -4,8 +4,9 @@
 import type { FinishedPage } from './finished-pages';
 
 /**
- * A job that is neither done nor wholly cancelled, as the key-value store has it. `JobTable` keeps its fields up to date; of these
- * `ready`, `cancelled`, `effectivePriority` and `startBy` depend on other jobs, too, and are derived by `DependencyGraph`.
+ * A job that is neither done nor wholly cancelled, as the key-value store has it. `JobTable` keeps its fields up to
+ * date; of these `ready`, `cancelled`, `effectivePriority` and `startBy` depend on other jobs, too, and are derived by
+ * `DependencyGraph`.
  */
 export class Job {
   /** What the user submitted. */
@@ -73,7 +74,10 @@
   }
 }
 
-/** Order for sorting: the most urgent first; of these pipelines by the time that is left to them, all others as they came. */
+/**
+ * Order for sorting: the most urgent first; of these pipelines by the time that is left to them, all others as they
+ * came.
+ */
 export function jobOrder(a: Job, b: Job): number {
   return a.effectivePriority - b.effectivePriority || orderTime(a) - orderTime(b) || (a.id < b.id ? -1 : 1);
 }
