--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -29,6 +29,7 @@
 export * from './autoscaling/scale-out-choice';
 export * from './autoscaling/scale-out-plan';
 export * from './ownership/ownership';
+export * from './ownership/ownership-attempts';
 export * from './ownership/ownership-timing';
 export * from './ownership/ownership-term';
 export * from './ownership/transaction';
--- a/packages/core/src/ownership/ownership-term.ts
+++ b/packages/core/src/ownership/ownership-term.ts
@@ -1,5 +1,8 @@
-// One ownership of a resource, a partition or the lead, from a takeover that was carried out to its end. An object for each:
-// what is known, claimed or written under one tenure can never be taken for that of another, though the controller is the same.
+/**
+ * One term of ownership of a resource, a partition or the leadership, from its acquisition to its end. An object for
+ * each: what is known, claimed or written under one term can never be taken for that of another, though the controller
+ * is the same.
+ */
 import type { Condition } from '@gingerlock/wire';
 import { KEYS, termRecord } from '@gingerlock/wire';
 import { type ClusterConfig, timerMarginMs, workerLeaseBoundMs } from '../cluster/cluster-config';
@@ -8,12 +11,13 @@
 
 /**
  * held:     ours.
- * resuming: ours; our state lease had lapsed, and the hold is being put back under the same term.
+ * resuming: ours; our state lease had lapsed, and the hold is being written again under the same term.
  * ended:    ours no more, for ever.
  */
 export type OwnershipTermState = 'held' | 'resuming' | 'ended';
 
-const MOVES: Record<OwnershipTermState, readonly OwnershipTermState[]> = {
+/** To which states a term may go from each. */
+const TRANSITIONS: Record<OwnershipTermState, readonly OwnershipTermState[]> = {
   held: ['resuming', 'ended'],
   resuming: ['held', 'ended'],
   ended: [],
@@ -22,26 +26,33 @@
 /** The controller that owned the resource before, and may go on for a while. */
 export interface PreviousOwner {
   readonly node: string;
-  /** Time of day (ms) of its own takeover from another controller; 0: there was none. */
+  /** Time of day (ms) of the last failover up to and including its own acquisition; 0: there was none. */
   readonly failoverAt: number;
 }
 
+/** What is known of a term of ownership when the resource has been acquired. */
 export interface OwnershipTermOptions {
   readonly clusterConfig: ClusterConfig;
+  /** Name of the resource in its keys. */
   readonly resource: string;
+  /** Number of the term: each acquisition of the resource has a higher one. */
   readonly term: number;
-  /** Version of the owner record that the takeover wrote. */
+  /** Version of the owner record that the acquisition wrote. */
   readonly version: number;
+  /** When this controller went on as the owner, in steady milliseconds; the acquisition was carried out before. */
   readonly acquiredAt: number;
-  /** Time of day written with the takeover; 0: no earlier owner may go on. */
+  /** Time of day (ms) written with the acquisition; 0: no earlier owner may go on. */
   readonly failoverAt: number;
   readonly hadOwner: boolean;
-  /** The controller that gave the resource up for others before this tenure; null: none did. */
+  /** The controller that released the resource for others before this term; null: none did. */
   readonly releasedBy: string | null;
+  /** Whom to ask whether it has ended; null: nobody. */
   readonly previousOwner: PreviousOwner | null;
+  /** Time of day (ms) at `acquiredAt`. */
   readonly wallNow: number;
 }
 
+/** One term of ownership, and up to when tasks that were started before it may still run. */
 export class OwnershipTerm {
   readonly clusterConfig: ClusterConfig;
   readonly resource: string;
@@ -49,6 +60,7 @@
   readonly version: number;
   readonly acquiredAt: number;
   readonly releasedBy: string | null;
+  /** Time of day (ms) written with the acquisition; 0: none was. */
   readonly #failoverAt: number;
   #state: OwnershipTermState = 'held';
   #fencedUntil: number;
@@ -64,11 +76,12 @@
     this.#failoverAt = options.failoverAt;
     this.#previousOwner = options.previousOwner;
     const { acquiredAt, failoverAt, wallNow } = options;
-    // DESIGN: tasks of an earlier owner are granted again only once the old workers' leases have surely run out.
-    const ownLeases = options.hadOwner ? acquiredAt + workerLeaseBoundMs(this.clusterConfig) : acquiredAt;
-    this.#fencedUntil = Math.max(ownLeases, this.#failoverFencedUntil(failoverAt, acquiredAt, wallNow));
+    // DESIGN: tasks of an earlier owner are granted again only once the old workers' leases have surely expired.
+    const leasesExpiredAt = options.hadOwner ? acquiredAt + workerLeaseBoundMs(this.clusterConfig) : acquiredAt;
+    this.#fencedUntil = Math.max(leasesExpiredAt, this.#endOfEarlierOwners(failoverAt, acquiredAt, wallNow));
   }
 
+  /** The present state. */
   get state(): OwnershipTermState {
     return this.#state;
   }
@@ -78,53 +91,65 @@
     return this.#state !== 'ended';
   }
 
-  /** Up to when tasks of earlier owners that are not heard of may still run. */
+  /** Up to when tasks of earlier owners that no machine has reported may still run; steady milliseconds. */
   get fencedUntil(): number {
     return this.#fencedUntil;
   }
 
-  /** Whom to ask whether it has given the resource up, so that the fencing period ends sooner; null: nobody. */
+  /** Whom to ask whether its ownership has ended, so that the fencing period ends sooner; null: nobody. */
   get previousOwner(): PreviousOwner | null {
     return this.#previousOwner;
   }
 
-  /** Every write as the owner rests on this: the owner record is still the one that this tenure wrote. */
+  /**
+   * Every write as the owner is conditional on this: the owner record is still the one that this term's acquisition
+   * wrote.
+   */
   get condition(): Condition {
     return { key: KEYS.owner(this.resource), version: this.version };
   }
 
-  /** The one function that changes the state; only `Ownership` calls it. */
-  move(next: OwnershipTermState): void {
-    if (!MOVES[this.#state].includes(next)) {
+  /** Changes the state; only `Ownership` calls it. Throws if `TRANSITIONS` has no such change. */
+  transition(next: OwnershipTermState): void {
+    if (!TRANSITIONS[this.#state].includes(next)) {
       throw new Error(`${this.resource}, term ${this.term}: no move from ${this.#state} to ${next}`);
     }
     this.#state = next;
   }
 
-  /** States that the time written with the takeover bounds when it happened; null: no time was written. */
+  /**
+   * The write that confirms the time written with the acquisition as a bound on when it was carried out, so that later
+   * owners may count from it; null: no time was written, or the resource is not surely held now.
+   */
   confirmAcquisition(): Transaction | null {
     if (this.#state !== 'held' || this.#failoverAt === 0) return null;
-    const confirmed = { put: KEYS.confirmedTerm(this.resource), value: termRecord.write(this.term) };
-    return { conditions: [this.condition], changes: [confirmed] };
+    const confirmation = { put: KEYS.confirmedTerm(this.resource), value: termRecord.write(this.term) };
+    return { conditions: [this.condition], changes: [confirmation] };
   }
 
   /**
-   * Asked after our takeover, the former owner said that it owns the resource no more and never will under an earlier term: it
-   * answers nobody, and what it has answered ends within a worker lease. Owners before it are bound by its own takeover.
+   * Asked after our acquisition, the previous owner said that it does not own the resource and never will under an
+   * earlier term: it answers no worker, and the leases that it granted expire within a worker lease from `now`. For
+   * owners before it the time of its own failover counts. Brings `fencedUntil` forward, never back.
    */
   previousOwnerEnded(node: string, now: number, wallNow: number): void {
     if (this.#state !== 'held' || this.#previousOwner?.node !== node) return;
-    const ownLeases = now + workerLeaseBoundMs(this.clusterConfig);
-    const earlier = this.#failoverFencedUntil(this.#previousOwner.failoverAt, now, wallNow);
-    this.#fencedUntil = Math.min(this.#fencedUntil, Math.max(ownLeases, earlier));
+    const leasesExpiredAt = now + workerLeaseBoundMs(this.clusterConfig);
+    const earlierOwnersEndedAt = this.#endOfEarlierOwners(this.#previousOwner.failoverAt, now, wallNow);
+    this.#fencedUntil = Math.min(this.#fencedUntil, Math.max(leasesExpiredAt, earlierOwnersEndedAt));
     this.#previousOwner = null;
   }
 
-  /** When all is over that ran before a takeover of that time of day, up to `takeoverBoundMs` before it was carried out. */
-  #failoverFencedUntil(failoverAt: number, now: number, wallNow: number): number {
+  /**
+   * Steady time at which nothing runs any more that was started by owners before a failover. `failoverAt`: the time of
+   * day written with that failover, at most `acquisitionBoundMs` before it was carried out; 0: there was none. An owner
+   * stops answering workers so long after its last contact with the key-value store that its tasks end within
+   * `cancellationBoundMs` of that; the rest allows for the skew of two clocks and for timers that fire late.
+   */
+  #endOfEarlierOwners(failoverAt: number, now: number, wallNow: number): number {
     if (failoverAt === 0) return now;
     const { cancellationBoundMs, maxClockSkewMs } = this.clusterConfig;
-    const slack = acquisitionBoundMs(this.clusterConfig) + 2 * timerMarginMs(this.clusterConfig);
-    return now + (failoverAt - wallNow) + cancellationBoundMs + 2 * maxClockSkewMs + slack;
+    const slackMs = acquisitionBoundMs(this.clusterConfig) + 2 * timerMarginMs(this.clusterConfig);
+    return now + (failoverAt - wallNow) + cancellationBoundMs + 2 * maxClockSkewMs + slackMs;
   }
 }
