--- a/packages/core/src/jobs/assigned-usage.ts
+++ b/packages/core/src/jobs/assigned-usage.ts
@@ -1,44 +1,49 @@
-// What jobs use by their records: what is assigned to partitions counts against limits before it runs.
+/** What jobs use by their records: tasks that are assigned to partitions count against limits before they run. */
 import type { AssignedRange } from '@gingerlock/wire';
 import { type Resources, NO_RESOURCES, addResources } from '../cluster/resources';
 import type { Job } from './jobs';
 
-/** What the assigned and unfinished tasks of every team add up to. */
+/** By team: the resources of all tasks that are assigned and not finished. Teams without any are left out. */
 export function teamUse(jobs: Iterable<Job>): Map<string, Resources> {
-  const use = new Map<string, Resources>();
+  const useByTeam = new Map<string, Resources>();
   for (const job of jobs) {
-    const n = assignedUnfinished(job);
-    if (n > 0) use.set(job.spec.team, addResources(use.get(job.spec.team) ?? NO_RESOURCES, job.spec, n));
+    const taskCount = assignedUnfinished(job);
+    if (taskCount === 0) continue;
+    const { team } = job.spec;
+    useByTeam.set(team, addResources(useByTeam.get(team) ?? NO_RESOURCES, job.spec, taskCount));
   }
-  return use;
+  return useByTeam;
 }
 
 /** How many unfinished tasks of the job are assigned to partitions. */
 export function assignedUnfinished(job: Job): number {
-  return job.assignedRanges.reduce((n, range) => n + unfinishedIn(job, range), 0);
+  return job.assignedRanges.reduce((sum, range) => sum + unfinishedIn(job, range), 0);
 }
 
 /** How many tasks of a range are not finished. */
 export function unfinishedIn(job: Job, { from, count }: Pick<AssignedRange, 'from' | 'count'>): number {
   if (job.finishedCount === 0) return count;
-  let n = 0;
-  for (let i = from; i < from + count; i++) if (!job.isFinished(i)) n++;
-  return n;
+  let unfinishedCount = 0;
+  for (let taskIndex = from; taskIndex < from + count; taskIndex++) {
+    if (!job.isFinished(taskIndex)) unfinishedCount++;
+  }
+  return unfinishedCount;
 }
 
-/** At most this many tasks of a spread job in one zone. */
+/** How many tasks of a job with `spread` may be assigned to one zone. */
 export function spreadCap(job: Job): number {
   return Math.ceil(job.spec.tasks / 2);
 }
 
 /** What the record says of one unfinished task that is assigned to a partition. */
 export interface AssignedTask {
+  /** Where it is to run; null: anywhere. */
   readonly zone: string | null;
   /** Term of the partition's owner at the assignment. */
   readonly term: number;
 }
 
-/** The job's unfinished tasks that are assigned to the partition under this term or an earlier one, by their numbers. */
+/** The job's unfinished tasks that are assigned to the partition under this term or an earlier one, by task index. */
 export function tasksAssignedTo(job: Job, partitionId: number, term: number): Map<number, AssignedTask> {
   const assigned = new Map<number, AssignedTask>();
   for (const range of job.assignedRanges) {
--- a/packages/core/src/jobs/dependencies.ts
+++ b/packages/core/src/jobs/dependencies.ts
@@ -1,34 +1,45 @@
-// Which jobs wait for which others, what follows from the end or the cancellation of one for those after it, and what the
-// deadline at the end of a pipeline means for those before it. Pure: kept up by each job that comes, changes or ends.
+/**
+ * Which jobs depend on which others: what the end or the cancellation of one means for those after it, and what the
+ * deadline at the end of a pipeline means for those before it. Pure: kept up to date by each job that comes, changes or
+ * ends.
+ */
 import type { Job } from './jobs';
 
-export type Outcome = 'done' | 'cancelled';
+/** How a job has ended, by its final record. */
+export type JobOutcome = 'done' | 'cancelled';
 
-/** What the graph reads of the jobs. */
+/** The jobs that the graph reads; `JobTable` keeps them. */
 export interface JobIndex {
-  /** Jobs that are not over. */
+  /** By id: jobs that are not over. */
   readonly live: ReadonlyMap<string, Job>;
-  /** Jobs that are over. */
-  readonly finals: ReadonlyMap<string, Outcome>;
+  /** By id: how the jobs that are over have ended. */
+  readonly finals: ReadonlyMap<string, JobOutcome>;
 }
 
 const NO_DEPENDENTS: ReadonlySet<string> = new Set();
 
+/**
+ * The dependencies between live jobs, as a DAG. Derives `ready`, `cancelled`, `effectivePriority` and `startBy` of each
+ * job from those it depends on or is needed by.
+ */
 export class DependencyGraph {
   /** By job: the live jobs that name it as a dependency. */
   readonly #dependents = new Map<string, Set<string>>();
 
-  /** `onDerived` hears of each job whose readiness, cancellation or urgency has changed because of another job. */
+  /**
+   * `onDerived` is called with each job whose readiness, cancellation or urgency has changed because of another job.
+   */
   constructor(
     readonly jobs: JobIndex,
     readonly onDerived: (id: string) => void,
   ) {}
 
+  /** The live jobs that name the job as a dependency. */
   dependentsOf(id: string): ReadonlySet<string> {
     return this.#dependents.get(id) ?? NO_DEPENDENTS;
   }
 
-  /** A job is new, or its record has changed. */
+  /** Takes in a job that is new, or of which the record has changed. */
   update(job: Job): void {
     for (const dependency of job.spec.awaits) {
       const dependents = this.#dependents.get(dependency);
@@ -42,8 +53,8 @@
     this.#passUrgencyOn(job.spec.awaits);
   }
 
-  /** A job is over, or its record is gone. */
-  remove(job: Job, outcome: Outcome | null): void {
+  /** Takes out a job that is over; `outcome` null: its record was removed without one. */
+  remove(job: Job, outcome: JobOutcome | null): void {
     for (const dependency of job.spec.awaits) {
       const dependents = this.#dependents.get(dependency);
       dependents?.delete(job.id);
@@ -53,71 +64,77 @@
     if (outcome !== null) this.ended(job.id, outcome);
   }
 
-  /** The final record of a job has been read. */
-  ended(id: string, outcome: Outcome): void {
+  /** Passes the end of a job on to its dependents. */
+  ended(id: string, outcome: JobOutcome): void {
     if (outcome === 'cancelled') {
       this.cancelDependents(id);
       return;
     }
-    for (const dependent of this.dependentsOf(id)) {
-      const job = this.jobs.live.get(dependent);
+    for (const dependentId of this.dependentsOf(id)) {
+      const job = this.jobs.live.get(dependentId);
       if (job === undefined || job.ready || !this.#isReady(job)) continue;
       job.ready = true;
-      this.onDerived(dependent);
+      this.onDerived(dependentId);
     }
   }
 
-  /** Cancels every job that needs this one, directly or through others. */
+  /** Cancels every job that needs this one, directly or through others. Iterative, for chains of jobs can be long. */
   cancelDependents(id: string): void {
-    const cancelled = [id];
-    for (let next = cancelled.pop(); next !== undefined; next = cancelled.pop()) {
-      for (const dependent of this.dependentsOf(next)) {
-        const job = this.jobs.live.get(dependent);
+    const cancelledIds = [id];
+    for (let nextId = cancelledIds.pop(); nextId !== undefined; nextId = cancelledIds.pop()) {
+      for (const dependentId of this.dependentsOf(nextId)) {
+        const job = this.jobs.live.get(dependentId);
         if (job === undefined || job.cancelled) continue;
         job.cancelled = true;
-        cancelled.push(dependent);
+        cancelledIds.push(dependentId);
         this.#passUrgencyOn(job.spec.awaits);
-        this.onDerived(dependent);
+        this.onDerived(dependentId);
       }
     }
   }
 
-  /** Only a final record shows that a job is done: counts of finished tasks may be ahead of a cancellation. */
+  /**
+   * Whether all dependencies are done. Only a final record shows that: counts of finished tasks may be ahead of a
+   * cancellation.
+   */
   #isReady(job: Job): boolean {
     return job.spec.awaits.every((id) => this.jobs.finals.get(id) === 'done');
   }
 
+  /** Whether the job is cancelled, be it over or not. */
   #isCancelled(id: string): boolean {
     return this.jobs.finals.get(id) === 'cancelled' || this.jobs.live.get(id)?.cancelled === true;
   }
 
-  /** Urgency of the dependencies may have changed, and so that of what they need. */
-  #passUrgencyOn(dependencies: readonly string[]): void {
-    const pending = [...dependencies];
-    for (let id = pending.pop(); id !== undefined; id = pending.pop()) {
+  /** Derives the urgency of the dependencies anew and, where it has changed, of what they depend on in turn. */
+  #passUrgencyOn(dependencyIds: readonly string[]): void {
+    const pendingIds = [...dependencyIds];
+    for (let id = pendingIds.pop(); id !== undefined; id = pendingIds.pop()) {
       const job = this.jobs.live.get(id);
       if (job === undefined || !this.#deriveUrgency(job)) continue;
       this.onDerived(id);
-      pending.push(...job.spec.awaits);
+      pendingIds.push(...job.spec.awaits);
     }
   }
 
-  /** Derives rank and latest start from the job itself and from what needs it; returns whether they have changed. */
+  /**
+   * Derives priority and latest start from the job itself and from what needs it; returns whether they have changed.
+   */
   #deriveUrgency(job: Job): boolean {
     const { spec } = job;
     const estimateMs = spec.estimateS * 1000;
     let priority = job.ownPriority;
     let endBy = spec.deadlineS === null ? Infinity : job.acceptedAt + spec.deadlineS * 1000;
-    let inPipeline = spec.awaits.length > 0;
-    for (const id of this.dependentsOf(job.id)) {
-      const dependent = this.jobs.live.get(id);
+    let isInPipeline = spec.awaits.length > 0;
+    for (const dependentId of this.dependentsOf(job.id)) {
+      const dependent = this.jobs.live.get(dependentId);
       if (dependent === undefined || dependent.cancelled) continue;
-      inPipeline = true;
+      isInPipeline = true;
       priority = Math.min(priority, dependent.effectivePriority);
       endBy = Math.min(endBy, dependent.startBy);
     }
-    // Outside of pipelines the order of arrival stands.
-    const startBy = inPipeline ? endBy - estimateMs : Infinity;
+    // Outside pipelines jobs of one priority keep their order of arrival.
+    const startBy = isInPipeline ? endBy - estimateMs : Infinity;
     if (priority === job.effectivePriority && startBy === job.startBy) return false;
     job.effectivePriority = priority;
     job.startBy = startBy;
--- a/packages/core/src/jobs/job-table.ts
+++ b/packages/core/src/jobs/job-table.ts
@@ -1,7 +1,7 @@
 /** The jobs in this controller's watch cache: what their records say, and what follows from them. */
 import { finishedRecord, jobRecord, type JobRecord, type JobSpec, KEYS, type ParsedKey } from '@gingerlock/wire';
 import { BitSet } from './bit-set';
-import { DependencyGraph, type Outcome } from './dependencies';
+import { DependencyGraph, type JobOutcome } from './dependencies';
 import type { FinishedPage } from './finished-pages';
 import { Job } from './jobs';
 
@@ -16,7 +16,7 @@
   /** By id: jobs that are not over. */
   readonly live = new Map<string, Job>();
   /** By id: how the jobs that are over have ended. */
-  readonly finals = new Map<string, Outcome>();
+  readonly finals = new Map<string, JobOutcome>();
   readonly dependencies: DependencyGraph;
   /** Is called with each job for which something has changed because of another job. */
   onDerived: (id: string) => void = () => undefined;
@@ -75,7 +75,7 @@
     this.#earlyPagesByJob.delete(id);
   }
 
-  #drop(id: string, outcome: Outcome | null): void {
+  #drop(id: string, outcome: JobOutcome | null): void {
     const job = this.live.get(id);
     this.live.delete(id);
     if (job !== undefined) this.dependencies.remove(job, outcome);
