--- a/packages/core/src/autoscaling/autoscaler.ts
+++ b/packages/core/src/autoscaling/autoscaler.ts
@@ -1,6 +1,7 @@
 // What the leader rents, drains and returns. It only plans; the controller talks to the cloud and to the owners.
 import { type CloudMachine, isRentable, type JobSpec, type MachineType, type RentRequest } from '@gingerlock/wire';
-import type { MachineStatus, PartitionStatus, UnschedulableDemand } from '../scheduling/assignment';
+import type { UnschedulableDemand } from '../scheduling/assignment-types';
+import type { MachineStatus, PartitionStatus } from '../scheduling/partition-status';
 import { MachineInventory, type KnownMachine } from './machine-inventory';
 import { machineUse } from './machine-use';
 import { BATCH_PRIORITY, isSuspect, ConsolidationPlan } from './consolidation';
--- a/packages/core/src/autoscaling/consolidation.ts
+++ b/packages/core/src/autoscaling/consolidation.ts
@@ -1,6 +1,6 @@
 // Which machines are emptied because their room can be spared.
 import { type MachineType, PRIORITIES } from '@gingerlock/wire';
-import type { MachineStatus } from '../scheduling/assignment';
+import type { MachineStatus } from '../scheduling/partition-status';
 import { machineUse } from './machine-use';
 import { unitPrice } from './scale-out-choice';
 import { bootMsOf } from '../cluster/machine-boot-time';
--- a/packages/core/src/autoscaling/machine-inventory.ts
+++ b/packages/core/src/autoscaling/machine-inventory.ts
@@ -1,6 +1,6 @@
 // The machines that the leader knows of: from what it rented, from the cloud's lists and from what owners tell.
 import type { CloudMachine, RentRequest } from '@gingerlock/wire';
-import type { MachineStatus, PartitionStatus } from '../scheduling/assignment';
+import type { MachineStatus, PartitionStatus } from '../scheduling/partition-status';
 import type { ClusterConfig } from '../cluster/cluster-config';
 
 /** What is known of one machine. */
--- a/packages/core/src/autoscaling/machine-use.ts
+++ b/packages/core/src/autoscaling/machine-use.ts
@@ -1,5 +1,5 @@
 // What a machine is for at the moment, as the leader reads it out of its owner's summary.
-import type { MachineStatus } from '../scheduling/assignment';
+import type { MachineStatus } from '../scheduling/partition-status';
 
 /**
  * in use:  it holds tasks, or may.
--- a/packages/core/src/autoscaling/scale-out-plan.ts
+++ b/packages/core/src/autoscaling/scale-out-plan.ts
@@ -1,6 +1,7 @@
 // What one review of the fleet rents: for what runs on suspect machines, for waiting tasks, and for spare room.
 import { isRentable, type JobSpec, type MachineType, type RentRequest } from '@gingerlock/wire';
-import type { MachineStatus, UnschedulableDemand } from '../scheduling/assignment';
+import type { UnschedulableDemand } from '../scheduling/assignment-types';
+import type { MachineStatus } from '../scheduling/partition-status';
 import {
   type Resources,
   fitsIn,
--- a/packages/core/src/scheduling/group-planner.ts
+++ b/packages/core/src/scheduling/group-planner.ts
@@ -5,20 +5,21 @@
 export interface GroupCandidate {
   readonly machine: string;
   readonly zone: string;
-  /** How many members there is room for. */
+  /** How many members fit on it. */
   readonly capacity: number;
-  /** How soon a member would run there, in milliseconds, about. */
+  /** About how soon a member would run there, in milliseconds. */
   readonly cost: number;
 }
 
 /** Machines for the members of a replica group. */
 export interface GroupChoice {
-  /** One for each member that has room, one machine as often as it is chosen. */
+  /** One for each member that fits, one machine as often as it is chosen. */
   readonly chosen: readonly GroupCandidate[];
-  /** Members that have no room. */
+  /** Members that fit nowhere. */
   readonly missing: number;
-  /** The zones in which room for them would be of use. */
+  /** The zones in which more machines would help them. */
   readonly zones: readonly string[];
+  /** What the chosen machines cost, to compare choices by. */
   readonly cost: number;
 }
 
@@ -26,7 +27,8 @@
 export interface GroupPlanner {
   /** Whether the group may be placed now. */
   mayPlace(job: Job): boolean;
+  /** Chooses machines for the members among the candidates. */
   choose(job: Job, candidates: readonly GroupCandidate[]): GroupChoice;
-  /** Whether room that is not enough for the whole group is kept from the jobs after it. */
+  /** Whether free resources that fit only some members are held back from the jobs after the group. */
   holdsPartialCapacity(job: Job): boolean;
 }
--- a/packages/core/src/scheduling/immovable-demand.ts
+++ b/packages/core/src/scheduling/immovable-demand.ts
@@ -1,6 +1,7 @@
 // Tasks that are assigned to a partition which has no machine for them, and that their owner can't give back.
 import type { MachineType } from '@gingerlock/wire';
-import type { MachineStatus, PartitionStatus, UnschedulableDemand } from './assignment';
+import type { UnschedulableDemand } from './assignment-types';
+import type { MachineStatus, PartitionStatus } from './partition-status';
 import { fitsIn } from '../cluster/resources';
 import { type Partitioner } from '../cluster/partitioner';
 import { allowsMachine } from '../cluster/placement-constraints';
--- /dev/null
+++ b/packages/core/src/scheduling/machine-bin.ts
@@ -0,0 +1,79 @@
+// The machines as bins that one assignment packs tasks into.
+import { addResources, fitsIn, NO_RESOURCES, type Resources, subtractResources } from '../cluster/resources';
+import { allowsMachine } from '../cluster/placement-constraints';
+import type { Job } from '../jobs/jobs';
+import type { AssignmentInput, PendingAssignment } from './assignment-types';
+import type { MachineStatus, PartitionStatus } from './partition-status';
+
+/** A machine that takes work, with what the running assignment has left on it. */
+export interface MachineBin {
+  readonly machine: MachineStatus;
+  readonly partitionId: number;
+  /** Term of the partition's owner. */
+  readonly term: number;
+  free: Resources;
+  /** By priority, the most urgent first: what preempting that work would free. */
+  readonly byPriority: Resources[];
+}
+
+/** The machines that take work, with what is free on them less what earlier assignments will use there. */
+export function machineBinsOf({ statuses, pendingAssignments }: AssignmentInput): MachineBin[] {
+  const bins: MachineBin[] = [];
+  for (const status of statuses) {
+    const { partitionId, term } = status;
+    for (const machine of status.machines) {
+      if (!machine.takesWork) continue;
+      const free = freeAfterPending(machine, status, pendingAssignments);
+      bins.push({ machine, partitionId, term, free, byPriority: [...machine.byPriority] });
+    }
+  }
+  return bins;
+}
+
+function freeAfterPending(
+  machine: MachineStatus,
+  { partitionId, revision }: PartitionStatus,
+  pendingAssignments: readonly PendingAssignment[],
+): Resources {
+  let { free } = machine;
+  for (const pending of pendingAssignments) {
+    if (pending.partitionId === partitionId && pending.machine === machine.name && pending.revision > revision)
+      free = subtractResources(free, pending.need);
+  }
+  return free;
+}
+
+/** Whether the job may run on the bin's machine, whatever is free there. */
+export function mayRunIn(job: Job, { machine }: MachineBin): boolean {
+  return allowsMachine(job.spec, machine.type, machine.zone, machine.spot);
+}
+
+/** What would be free in the bin if all work that is less urgent were preempted. */
+export function freeWithPreemption(bin: MachineBin, ownPriority: number): Resources {
+  return bin.byPriority.slice(ownPriority + 1).reduce((sum, resources) => addResources(sum, resources), bin.free);
+}
+
+/**
+ * The least urgent priority whose work may stay if all less urgent work is preempted to fit the task; null: the task does
+ * not fit even without all work that is less urgent than it.
+ */
+export function leastUrgentPriorityKept(job: Job, bin: MachineBin): number | null {
+  let available = bin.free;
+  let priority = bin.byPriority.length - 1;
+  for (; priority > job.ownPriority && !fitsIn(job.spec, available); priority--)
+    available = addResources(available, bin.byPriority[priority]!);
+  return fitsIn(job.spec, available) ? priority : null;
+}
+
+/** Subtracts one task from the bin, preempting the least urgent work as far as the task does not fit. */
+export function takeFromBin(bin: MachineBin, job: Job): void {
+  for (
+    let priority = bin.byPriority.length - 1;
+    priority > job.ownPriority && !fitsIn(job.spec, bin.free);
+    priority--
+  ) {
+    bin.free = addResources(bin.free, bin.byPriority[priority]!);
+    bin.byPriority[priority] = NO_RESOURCES;
+  }
+  bin.free = subtractResources(bin.free, job.spec);
+}
--- /dev/null
+++ b/packages/core/src/scheduling/placement-ranges.ts
@@ -0,0 +1,18 @@
+// How placements become the ranges of a job's record.
+import type { AssignedRange } from '@gingerlock/wire';
+import { mergeRanges } from '../jobs/assigned-ranges';
+import type { Placement } from './assignment-types';
+
+/** Orders placements by partition, then by zone, those bound to no zone first. */
+export function comparePlacements(a: Placement, b: Placement): number {
+  return a.partitionId - b.partitionId || (a.zone ?? '').localeCompare(b.zone ?? '');
+}
+
+/**
+ * Deals the tasks, which are all alike, to the placements so that those of one place follow each other: one range for each
+ * place instead of one for each task keeps the record of a large job within the store's limit on values.
+ */
+export function assignedRangesOf(indices: readonly number[], placements: readonly Placement[]): AssignedRange[] {
+  const sorted = [...placements].sort(comparePlacements);
+  return mergeRanges(sorted.map((placement, i) => ({ from: indices[i]!, count: 1, ...placement })));
+}
--- a/packages/core/src/scheduling/placement.ts
+++ b/packages/core/src/scheduling/placement.ts
@@ -3,12 +3,12 @@
 // For every waiting task the owner estimates how soon each machine of its part could run it: at once but for the fetch of
 // the image, or after stopping work of lower priority. A machine that reports passes on a task only if another machine of
 // the part would run it sooner than this one could.
-import type { MachineType } from '@gingerlock/wire';
 import type { ClaimView } from '../claims/claim-view';
 import { type Resources, fitsIn, addResources } from '../cluster/resources';
 import { allowsMachine } from '../cluster/placement-constraints';
 import type { Machine, PlannedPlacement, TaskEntry } from '../claims/task-entry';
 import { fetchMs, SERVICE_VICTIM_MS, STOP_MS } from './start-time';
+import { tightnessCostMs } from './tightness';
 
 /** Whether a task could be bound to the machine if it had the room. */
 export function suits(claimTable: ClaimView, task: TaskEntry, m: Machine, now: number): boolean {
@@ -19,11 +19,6 @@
   );
 }
 
-/** Breaks ties: a fuller machine leaves the larger gaps to others. */
-function tightness(available: Resources, type: MachineType | undefined): number {
-  return type === undefined || type.gpus <= 0 ? 0 : available.gpus / type.gpus;
-}
-
 /** The machine of the part that would run the task soonest, given what is left of each room; null: none could. */
 export function bestPlacement(
   claimTable: ClaimView,
@@ -54,7 +49,7 @@
       ms += STOP_MS + heartbeatIntervalMs * (victims.length / 2);
       for (const v of victims) if (v.job.spec.kind === 'service') ms += SERVICE_VICTIM_MS;
     }
-    const cost = ms + (heartbeatIntervalMs / 10) * tightness(available, type);
+    const cost = ms + tightnessCostMs(heartbeatIntervalMs, available, type);
     if (cost < bestCost) {
       best = { machine, ms, victims };
       bestCost = cost;
--- /dev/null
+++ b/packages/core/src/scheduling/zone-choice.ts
@@ -0,0 +1,83 @@
+// Which zones the tasks of one job may go to: all in one zone, spread over zones, or as they come.
+import { fitsIn } from '../cluster/resources';
+import { spreadCap, unfinishedIn } from '../jobs/assigned-usage';
+import type { Job } from '../jobs/jobs';
+import { type MachineBin, mayRunIn } from './machine-bin';
+
+/** So many free CPUs count as one free GPU where zones are compared: they only break ties. */
+const CPUS_PER_GPU = 1000;
+
+/** Which zones one job's tasks may go to, given those that it has tasks in. */
+export class ZoneChoice {
+  readonly #taskCountByZone: Map<string, number>;
+  /** Most tasks of a spread job in one zone. */
+  readonly #cap: number;
+  /** The only zone; null: none is chosen. */
+  #onlyZone: string | null;
+
+  /** `bestZone` is where a job of one zone goes that has no task in any yet. */
+  constructor(
+    readonly job: Job,
+    bestZone: () => string | null,
+  ) {
+    this.#taskCountByZone = unfinishedCountByZone(job);
+    this.#cap = spreadCap(job);
+    this.#onlyZone = job.spec.oneZone ? ([...this.#taskCountByZone.keys()][0] ?? bestZone()) : null;
+  }
+
+  /** Whether one more task may go to the zone. */
+  allows(zone: string): boolean {
+    return (this.#onlyZone === null || zone === this.#onlyZone) && !this.#isFull(zone);
+  }
+
+  #isFull(zone: string): boolean {
+    return this.job.spec.spread && (this.#taskCountByZone.get(zone) ?? 0) >= this.#cap;
+  }
+
+  /** Counts one more task in the zone of a machine; returns the zone that the task is bound to, null for any. */
+  take(machineZone: string): string | null {
+    const zone = boundZone(this.job, machineZone);
+    // If the job fits in no zone without preemption, none was the best: the first task that is placed binds the rest.
+    if (this.job.spec.oneZone) this.#onlyZone = zone;
+    if (zone !== null) this.#taskCountByZone.set(zone, (this.#taskCountByZone.get(zone) ?? 0) + 1);
+    return zone;
+  }
+
+  /** The zones that further tasks may go to; null: any. */
+  open(zones: readonly string[]): readonly string[] | null {
+    const only = this.#onlyZone ?? this.job.spec.zone;
+    if (only !== null) return [only];
+    return this.job.spec.spread ? zones.filter((zone) => !this.#isFull(zone)) : null;
+  }
+}
+
+/** The zone that a task is bound to once it goes to a machine of `machineZone`; null: any. */
+export function boundZone({ spec: { spread, oneZone, zone } }: Job, machineZone: string): string | null {
+  return spread || oneZone ? machineZone : zone;
+}
+
+/**
+ * How many tasks of the job may be in each zone now. Finished tasks do not count: they are off their machines, and would
+ * bind the rest of a job of one zone to a zone that may have lost its machines.
+ */
+function unfinishedCountByZone(job: Job): Map<string, number> {
+  const countByZone = new Map<string, number>();
+  for (const range of job.assignedRanges) {
+    const count = unfinishedIn(job, range);
+    if (range.zone !== null && count > 0) countByZone.set(range.zone, (countByZone.get(range.zone) ?? 0) + count);
+  }
+  return countByZone;
+}
+
+/** The zone in which most tasks of the job fit now; null: none is asked for, and the job fits in none. */
+export function bestZone(job: Job, bins: readonly MachineBin[]): string | null {
+  const freeByZone = new Map<string, number>();
+  for (const bin of bins) {
+    if (!mayRunIn(job, bin) || !fitsIn(job.spec, bin.free)) continue;
+    const { zone } = bin.machine;
+    freeByZone.set(zone, (freeByZone.get(zone) ?? 0) + bin.free.gpus + bin.free.cpus / CPUS_PER_GPU);
+  }
+  let best: string | null = job.spec.zone;
+  for (const [zone, free] of freeByZone) if (best === null || free > (freeByZone.get(best) ?? 0)) best = zone;
+  return best;
+}
