--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -39,6 +39,7 @@
 export * from './ownership/ownership-term';
 export * from './ownership/transaction';
 export * from './scheduling/placement-planner';
+export { relocateReplicas } from './scheduling/replica-relocation';
 export * from './claims/reservations';
 export * from './claims/task-entry';
 export { findImmovableDemand } from './scheduling/immovable-demand';
--- a/packages/core/src/scheduling/immovable-demand.ts
+++ b/packages/core/src/scheduling/immovable-demand.ts
@@ -1,4 +1,4 @@
-// Tasks that are assigned to a partition which has no machine for them, and that their owner can't give back.
+// Tasks that are assigned to a partition which has no machine for them, and that its owner can't return to the leader.
 import type { MachineType } from '@gingerlock/wire';
 import type { UnschedulableDemand } from './assignment-types';
 import type { MachineStatus, PartitionStatus } from './partition-status';
@@ -8,19 +8,23 @@
 import { unfinishedIn } from '../jobs/assigned-usage';
 import type { Job } from '../jobs/jobs';
 
+/** What the search for immovable tasks is given. */
 export interface ImmovableDemandInput {
   readonly jobs: Iterable<Job>;
   readonly statuses: readonly PartitionStatus[];
+  /** Machine types by name. */
   readonly types: ReadonlyMap<string, MachineType>;
   readonly partitioner: Partitioner;
+  /** All zones. */
   readonly zones: readonly string[];
-  /** Whether the state service would not take the job's record, whatever its owners leave out of it. */
+  /** Whether the key-value store would reject the job's record, whatever its owners leave out of it. */
   readonly isFrozen: (job: Job) => boolean;
 }
 
 /**
- * An owner gives tasks back by a smaller record of their job. Where the state service takes none, as after its limit on values was lowered,
- * they can run in their partition alone: a machine has to be rented there, or they wait for ever.
+ * The tasks that can run in their partition alone and have no machine there. An owner returns tasks to the leader by a smaller
+ * record of their job; if the store rejects even that, as it may after its limit on values was lowered, a machine has to
+ * be rented in the partition, or the tasks wait for ever.
  */
 export function findImmovableDemand(input: ImmovableDemandInput): UnschedulableDemand[] {
   const immovable: UnschedulableDemand[] = [];
@@ -35,16 +39,17 @@
   return immovable;
 }
 
-/** How many tasks of the job wait in the partition; none while its summary is older than the assignment. */
+/** How many tasks of the job wait in the partition; none while its status is older than the assignment. */
 function waitingIn(job: Job, { partitionId, revision, running }: PartitionStatus): number {
   if (revision < job.version) return 0;
   const assigned = job.assignedRanges
     .filter((range) => range.partitionId === partitionId)
-    .reduce((n, range) => n + unfinishedIn(job, range), 0);
-  return assigned - (running.find(([id]) => id === job.id)?.[1] ?? 0);
+    .reduce((sum, range) => sum + unfinishedIn(job, range), 0);
+  const runningCount = running.find(([id]) => id === job.id)?.[1] ?? 0;
+  return assigned - runningCount;
 }
 
-/** Whether tasks of the job could run on the machine, now or once it has room. */
+/** Whether tasks of the job could run on the machine, now or once enough of it is free. */
 function couldTake(machine: MachineStatus, { spec }: Job, types: ReadonlyMap<string, MachineType>): boolean {
   const type = types.get(machine.type);
   return (
@@ -55,12 +60,12 @@
   );
 }
 
-/** The zones whose machines belong to the partition, some of them at least, and to which its tasks of the job are bound. */
+/** The zones that have machines of the partition and that its tasks of the job are bound to, if they are bound. */
 function zonesFor(job: Job, partitionId: number, { partitioner, zones }: ImmovableDemandInput): string[] {
-  const bound = new Set(
+  const boundZones = new Set(
     job.assignedRanges.filter((range) => range.partitionId === partitionId).map((range) => range.zone),
   );
   return zones.filter(
-    (zone) => partitioner.partitionsOf(zone).includes(partitionId) && (bound.has(null) || bound.has(zone)),
+    (zone) => partitioner.partitionsOf(zone).includes(partitionId) && (boundZones.has(null) || boundZones.has(zone)),
   );
 }
--- a/packages/core/src/scheduling/placement-planner.ts
+++ b/packages/core/src/scheduling/placement-planner.ts
@@ -1,183 +1,126 @@
-// What the owner of a part expects of the coming reports: which machine would take which waiting task, what is stopped for
-// it, which machines are called for it, and which replicas leave machines that are to go.
+// What the owner of a partition plans for the coming heartbeats: which machine would take which waiting task, what is
+// preempted for it, and which machines are asked for a heartbeat at once.
 import type { ClaimView } from '../claims/claim-view';
-import { type Resources, fitsIn, NO_RESOURCES, addResources, subtractResources } from '../cluster/resources';
-import { allowsMachine } from '../cluster/placement-constraints';
-import { bestPlacement, leastVictims } from './placement';
-import type { Machine, PlannedPlacement, SpareCapacity, TaskEntry } from '../claims/task-entry';
+import type { Machine, PlannedPlacement, TaskEntry } from '../claims/task-entry';
+import { addResources, fitsIn, NO_RESOURCES, type Resources, subtractResources } from '../cluster/resources';
+import { bestPlacement, type PlacementContext } from './placement';
+import { leastVictims, preempt } from './preemption';
 
-/** A task that is stopped gets a little more than it says it needs for saving. */
-const SAVE_SLACK = 1.25;
+/** What planning all waiting tasks of a partition has led to. */
+export interface PlacementPlan {
+  /** By machine that takes work: what the planned tasks leave free. */
+  readonly freeByMachine: Map<Machine, Resources>;
+  /** Tasks that no machine of this partition can take. */
+  readonly unschedulable: TaskEntry[];
+  /** Tasks that were preempted and are to be stopped. */
+  readonly stopped: TaskEntry[];
+}
 
-/** A start counts for the users if nothing stops the task within 30 s, says the protocol: no replica is moved before. */
-const MIN_RUN_BEFORE_RELOCATION_MS = 30_000;
+/** A planning run: what it has placed so far is counted in. */
+interface PlanningRun extends PlacementContext {
+  readonly freeByMachine: Map<Machine, Resources>;
+  readonly preempted: Set<TaskEntry>;
+}
 
 /**
- * Packs the waiting tasks into the rooms as the coming reports would, stopping work of lower priority where that is
- * the soonest. Returns what is left of each room, the tasks that no machine of this part can take, and what was told
- * to stop.
+ * Packs the waiting tasks into the machines' free resources as the coming heartbeats would, preempting work of lower
+ * priority where that is the soonest. Sets the plan of each waiting task.
  */
-export function planPlacements(
-  claimTable: ClaimView,
-  now: number,
-): { freeByMachine: Map<Machine, Resources>; unschedulable: TaskEntry[]; stopped: TaskEntry[] } {
-  const freeByMachine = new Map<Machine, Resources>();
-  for (const m of claimTable.machines.values()) {
-    if (!claimTable.takesWork(m, now)) continue;
-    let available = claimTable.freeResources(m);
-    // What is stopping is free soon: counted now, so that nothing more is stopped for the same task.
-    for (const task of m.claims.values())
-      if (task.claim!.stopGraceS !== null) available = addResources(available, task.job.spec);
-    freeByMachine.set(m, subtractResources(available, claimTable.reservations.reservedOn(m.name)));
-  }
+export function planPlacements(claimTable: ClaimView, now: number): PlacementPlan {
+  const freeByMachine = plannableResources(claimTable, now);
+  const run: PlanningRun = { claimTable, freeByMachine, preempted: new Set(), now };
   const unschedulable: TaskEntry[] = [];
-  const preempted = new Set<TaskEntry>();
   for (const job of claimTable.wakes()) {
     for (const task of claimTable.waitingTasks(job)) {
       task.plan = null;
-      if (job.isGroup) {
-        planMember(claimTable, task, freeByMachine, preempted);
-        continue;
-      }
-      // Held back, and given back in time: no machine is kept for it, none is asked for.
-      if (!claimTable.mayStart(task)) continue;
-      task.plan = reservedPlacement(claimTable, task, freeByMachine);
-      if (task.plan !== null) continue;
-      task.plan = bestPlacement(claimTable, task, freeByMachine, preempted, now);
-      if (task.plan === null) {
-        unschedulable.push(task);
-        continue;
-      }
-      let available = freeByMachine.get(task.plan.machine)!;
-      for (const victim of task.plan.victims) {
-        preempted.add(victim);
-        available = addResources(available, victim.job.spec);
-      }
-      freeByMachine.set(task.plan.machine, subtractResources(available, job.spec));
-      if (task.notBefore <= now) for (const victim of task.plan.victims) preempt(claimTable, victim, task);
+      if (job.isGroup) planGroupMember(run, task);
+      else if (!planTask(run, task)) unschedulable.push(task);
     }
   }
-  return { freeByMachine, unschedulable, stopped: [...preempted].filter((s) => s.claim?.stopGraceS !== null) };
+  const stopped = [...run.preempted].filter((task) => task.claim?.stopGraceS !== null);
+  return { freeByMachine, unschedulable, stopped };
+}
+
+/** By machine that takes work: what is free, or will be soon, and is not reserved. */
+function plannableResources(claimTable: ClaimView, now: number): Map<Machine, Resources> {
+  const freeByMachine = new Map<Machine, Resources>();
+  for (const machine of claimTable.machines.values()) {
+    if (!claimTable.takesWork(machine, now)) continue;
+    let available = claimTable.freeResources(machine);
+    // What is stopping is free soon: counted now, so that nothing more is preempted for the same task.
+    for (const task of machine.claims.values())
+      if (task.claim!.stopGraceS !== null) available = addResources(available, task.job.spec);
+    freeByMachine.set(machine, subtractResources(available, claimTable.reservations.reservedOn(machine.name)));
+  }
+  return freeByMachine;
+}
+
+/** Plans a task that is in no replica group; false: it may start, and no machine of this partition can take it. */
+function planTask(run: PlanningRun, task: TaskEntry): boolean {
+  const { claimTable, freeByMachine, now } = run;
+  // It is held back, and returned to the leader in time: no machine is kept or asked for.
+  if (!claimTable.mayStart(task)) return true;
+  task.plan = reservedPlacement(run, task);
+  if (task.plan !== null) return true;
+  const placement = bestPlacement(run, task);
+  if (placement === null) return false;
+  task.plan = placement;
+  const available = addVictims(run, placement.victims, freeByMachine.get(placement.machine)!);
+  freeByMachine.set(placement.machine, subtractResources(available, task.job.spec));
+  if (task.notBefore <= now) for (const victim of placement.victims) preempt(claimTable, victim, task);
+  return true;
+}
+
+/** Counts the victims as preempted; returns what is available with what they hold. */
+function addVictims(run: PlanningRun, victims: readonly TaskEntry[], available: Resources): Resources {
+  for (const victim of victims) run.preempted.add(victim);
+  return victims.reduce((sum, victim) => addResources(sum, victim.job.spec), available);
 }
 
 /**
- * A member of a replica group waits for the machine on which its room is kept, and for no other. Where that is not free yet, work of lower
- * priority makes way, if enough of it does.
+ * Plans a member of a replica group: it waits for the machine on which resources are reserved for it, and for no other.
+ * Where these are not free yet, work of lower priority is preempted, if that is enough.
  */
-function planMember(
-  claimTable: ClaimView,
-  task: TaskEntry,
-  freeByMachine: Map<Machine, Resources>,
-  preempted: Set<TaskEntry>,
-): void {
-  task.plan = reservedPlacement(claimTable, task, freeByMachine);
+function planGroupMember(run: PlanningRun, task: TaskEntry): void {
+  const { claimTable, freeByMachine, preempted } = run;
+  task.plan = reservedPlacement(run, task);
   if (task.plan === null || !claimTable.preempts) return;
   const { machine } = task.plan;
-  // What is kept there is counted in already: nothing may be lacking.
+  // The reservation is subtracted already: it is covered if nothing is lacking.
   const available = freeByMachine.get(machine)!;
-  const victims = fitsIn(NO_RESOURCES, available)
-    ? []
-    : leastVictims(machine, task, available, preempted, NO_RESOURCES);
-  if (victims === null || victims.length === 0) return;
-  for (const victim of victims) {
-    preempted.add(victim);
-    preempt(claimTable, victim, task);
-  }
-  freeByMachine.set(
-    machine,
-    victims.reduce((sum, victim) => addResources(sum, victim.job.spec), available),
-  );
+  if (fitsIn(NO_RESOURCES, available)) return;
+  const victims = leastVictims(machine, task, available, preempted, NO_RESOURCES);
+  if (victims === null) return;
+  freeByMachine.set(machine, addVictims(run, victims, available));
+  for (const victim of victims) preempt(claimTable, victim, task);
 }
 
-/** The machine on which room is kept for the task, which is counted in already; null: it has none, or it takes no work now. */
-function reservedPlacement(
-  claimTable: ClaimView,
-  task: TaskEntry,
-  freeByMachine: ReadonlyMap<Machine, Resources>,
-): PlannedPlacement | null {
-  const kept = claimTable.reservations.reservedMachineFor(task.name);
-  const machine = kept === null ? undefined : claimTable.machines.get(kept);
+/** The machine on which resources are reserved for the task; null: there is none, or it takes no work now. */
+function reservedPlacement({ claimTable, freeByMachine }: PlanningRun, task: TaskEntry): PlannedPlacement | null {
+  const name = claimTable.reservations.reservedMachineFor(task.name);
+  const machine = name === null ? undefined : claimTable.machines.get(name);
   return machine === undefined || !freeByMachine.has(machine) ? null : { machine, ms: 0, victims: [] };
 }
 
-/** The machines that waiting tasks are planned for and that would report later than need be. */
+/** The machines that waiting tasks are planned for, and whose next heartbeat would come later than it could if asked for. */
 export function machinesToSolicit(claimTable: ClaimView, now: number): Set<Machine> {
   const machines = new Set<Machine>();
   for (const job of claimTable.wakes()) {
     for (const task of claimTable.waitingTasks(job)) {
-      if (task.plan === null || task.plan.victims.length > 0 || task.notBefore > now) continue;
-      const { machine } = task.plan;
-      if (job.isGroup && !claimTable.members.mayStart(task, machine)) continue;
-      // What is kept for it may have yet to be freed.
-      const isKept = claimTable.reservations.reservedMachineFor(task.name) !== null;
-      if (isKept && !fitsIn(job.spec, claimTable.freeResources(machine))) continue;
-      if (machine.isMember && claimTable.takesWork(machine, now) && claimTable.mayRequestHeartbeat(machine, now))
-        machines.add(machine);
+      const machine = machineToStartOn(claimTable, task, now);
+      if (machine === null || !machine.isMember) continue;
+      if (claimTable.takesWork(machine, now) && claimTable.mayRequestHeartbeat(machine, now)) machines.add(machine);
     }
   }
   return machines;
 }
 
-/**
- * Stops the replicas of draining machines that would be up again elsewhere within a moment: where there is room and
- * their image is, in this part if the machine can be called, or in another. A machine is left as it is unless all can
- * move, and one is emptied at a time. Returns what is to be stopped.
- */
-export function relocateReplicas(
-  claimTable: ClaimView,
-  freeByMachine: ReadonlyMap<Machine, Resources>,
-  remoteSpareCapacity: () => readonly SpareCapacity[],
-  now: number,
-): TaskEntry[] {
-  for (const job of claimTable.wakes()) {
-    if (job.spec.kind !== 'service' || job.isGroup || claimTable.isCrashLooping(job)) continue;
-    if (claimTable.waitingTasks(job).next().done !== true) return [];
-  }
-  let spareCapacity: SpareCapacity[] | null = null;
-  for (const m of claimTable.machines.values()) {
-    if (!m.draining || m.evictionNotice || m.spot || claimTable.isSuspect(m, now)) continue;
-    const replicas = [...m.claims.values()].filter((s) => s.job.spec.kind === 'service');
-    // A replica group moves as a whole or not at all.
-    if (replicas.length === 0 || replicas.some((s) => s.job.isGroup)) continue;
-    if (replicas.some((s) => s.claim!.stopGraceS !== null || s.claim!.stage !== 'running')) continue;
-    if (replicas.some((s) => now - s.claim!.grantedAt < MIN_RUN_BEFORE_RELOCATION_MS)) continue;
-    spareCapacity ??= [...spareCapacityIn(claimTable, freeByMachine, now), ...remoteSpareCapacity()];
-    const left = new Map<SpareCapacity, Resources>();
-    const canRelocateAll = replicas.every(({ job: { spec }, zone }) => {
-      for (const r of spareCapacity!) {
-        const free = left.get(r) ?? r.free;
-        if (!fitsIn(spec, free) || !r.images.includes(spec.image)) continue;
-        if ((zone !== null && zone !== r.zone) || !allowsMachine(spec, r.type, r.zone, r.spot)) continue;
-        left.set(r, subtractResources(free, spec));
-        return true;
-      }
-      return false;
-    });
-    if (!canRelocateAll) continue;
-    for (const task of replicas) {
-      task.claim!.stopGraceS = 0;
-      task.isRelocating = true;
-      claimTable.log('replica relocated', { task: task.name, machine: m.name });
-    }
-    return replicas;
-  }
-  return [];
-}
-
-function* spareCapacityIn(
-  claimTable: ClaimView,
-  freeByMachine: ReadonlyMap<Machine, Resources>,
-  now: number,
-): Generator<SpareCapacity> {
-  for (const [m, free] of freeByMachine) {
-    if (m.spot || claimTable.nextHeartbeatInMs(m, now) > 0) continue;
-    yield { type: m.type, zone: m.zone, spot: m.spot, free, images: m.cache.images() };
-  }
-}
-
-function preempt(claimTable: ClaimView, victim: TaskEntry, task: TaskEntry): void {
-  const spec = victim.job.spec;
-  // A service must not wait for a save; between batch jobs the saved work is worth the time.
-  victim.claim!.stopGraceS = task.job.spec.kind === 'array' && spec.checkpointS > 0 ? spec.saveS * SAVE_SLACK : 0;
-  claimTable.log('task preempted', { task: victim.name, machine: victim.claim!.machine.name, for: task.name });
+/** The machine on which the waiting task could start with the next heartbeat, as planned; null: there is none. */
+function machineToStartOn(claimTable: ClaimView, task: TaskEntry, now: number): Machine | null {
+  const { job, plan } = task;
+  if (plan === null || plan.victims.length > 0 || task.notBefore > now) return null;
+  if (job.isGroup && !claimTable.members.mayStart(task, plan.machine)) return null;
+  // What is reserved for it may not be free yet.
+  const isReserved = claimTable.reservations.reservedMachineFor(task.name) !== null;
+  return isReserved && !fitsIn(job.spec, claimTable.freeResources(plan.machine)) ? null : plan.machine;
 }
--- /dev/null
+++ b/packages/core/src/scheduling/replica-relocation.ts
@@ -0,0 +1,91 @@
+// Which service replicas leave draining machines for others, where they are up again within a moment.
+import type { ClaimView } from '../claims/claim-view';
+import type { Machine, SpareCapacity, TaskEntry } from '../claims/task-entry';
+import { allowsMachine } from '../cluster/placement-constraints';
+import { fitsIn, type Resources, subtractResources } from '../cluster/resources';
+
+/** A start counts for users only if nothing stops the task within 30 s (PROTOCOL): no replica is moved before. */
+const MIN_RUN_BEFORE_RELOCATION_MS = 30_000;
+
+/**
+ * Has replicas of a draining machine stopped that would be up again elsewhere within a moment: where they fit and their
+ * image is cached, in this partition on a machine whose heartbeat can be asked for, or in another. A machine is left as
+ * it is unless all its replicas can move, and one machine is emptied at a time. Returns the replicas to be stopped.
+ * `remoteSpareCapacity` is asked at most once, and only if there is a machine to empty.
+ */
+export function relocateReplicas(
+  claimTable: ClaimView,
+  freeByMachine: ReadonlyMap<Machine, Resources>,
+  remoteSpareCapacity: () => readonly SpareCapacity[],
+  now: number,
+): TaskEntry[] {
+  if (doesAnyReplicaWait(claimTable)) return [];
+  let spareCapacity: readonly SpareCapacity[] | null = null;
+  for (const machine of claimTable.machines.values()) {
+    if (!machine.draining || machine.evictionNotice || machine.spot || claimTable.isSuspect(machine, now)) continue;
+    const replicas = [...machine.claims.values()].filter((task) => task.job.spec.kind === 'service');
+    if (replicas.length === 0 || !replicas.every((replica) => mayRelocate(replica, now))) continue;
+    spareCapacity ??= [...localSpareCapacity(claimTable, freeByMachine, now), ...remoteSpareCapacity()];
+    if (!doAllFit(replicas, spareCapacity)) continue;
+    for (const replica of replicas) startRelocation(claimTable, replica, machine);
+    return replicas;
+  }
+  return [];
+}
+
+/** Whether a replica waits that is neither of a replica group nor of a crash-looping job: it goes first. */
+function doesAnyReplicaWait(claimTable: ClaimView): boolean {
+  for (const job of claimTable.wakes()) {
+    if (job.spec.kind !== 'service' || job.isGroup || claimTable.isCrashLooping(job)) continue;
+    if (claimTable.waitingTasks(job).next().done !== true) return true;
+  }
+  return false;
+}
+
+/** Whether the replica has run for long enough and goes on running. A replica group moves as a whole or not at all. */
+function mayRelocate({ job, claim }: TaskEntry, now: number): boolean {
+  const { stopGraceS, stage, grantedAt } = claim!;
+  return !job.isGroup && stopGraceS === null && stage === 'running' && now - grantedAt >= MIN_RUN_BEFORE_RELOCATION_MS;
+}
+
+/** Whether all the replicas fit at once, each on the first machine that has its image. */
+function doAllFit(replicas: readonly TaskEntry[], spareCapacity: readonly SpareCapacity[]): boolean {
+  const remaining = new Map<SpareCapacity, Resources>();
+  return replicas.every((replica) => {
+    const { spec } = replica.job;
+    for (const spare of spareCapacity) {
+      const free = remaining.get(spare) ?? spare.free;
+      if (!fitsIn(spec, free) || !mayMoveTo(replica, spare)) continue;
+      remaining.set(spare, subtractResources(free, spec));
+      return true;
+    }
+    return false;
+  });
+}
+
+function mayMoveTo({ job: { spec }, zone }: TaskEntry, spare: SpareCapacity): boolean {
+  return (
+    spare.images.includes(spec.image) &&
+    (zone === null || zone === spare.zone) &&
+    allowsMachine(spec, spare.type, spare.zone, spare.spot)
+  );
+}
+
+/** Free resources on ordinary machines of this partition whose heartbeat can be asked for at once. */
+function* localSpareCapacity(
+  claimTable: ClaimView,
+  freeByMachine: ReadonlyMap<Machine, Resources>,
+  now: number,
+): Generator<SpareCapacity> {
+  for (const [machine, free] of freeByMachine) {
+    const { type, zone, spot } = machine;
+    if (spot || claimTable.nextHeartbeatInMs(machine, now) > 0) continue;
+    yield { type, zone, spot, free, images: machine.cache.images() };
+  }
+}
+
+function startRelocation(claimTable: ClaimView, replica: TaskEntry, machine: Machine): void {
+  replica.claim!.stopGraceS = 0;
+  replica.isRelocating = true;
+  claimTable.log('replica relocated', { task: replica.name, machine: machine.name });
+}
