--- a/packages/core/src/scheduling/assignment-types.ts
+++ b/packages/core/src/scheduling/assignment-types.ts
@@ -63,8 +63,8 @@
   /** Whether tasks may be assigned to resources that are freed by preempting work of lower priority. */
   readonly preempts: boolean;
   /**
-   * By team: GPUs of its guarantee that it has work for and does not use, which others' work beyond their guarantees leaves
-   * free. Work within a guarantee then goes first. Null: guarantees have no part in the order.
+   * By team: GPUs of its guarantee that it has work for and does not use, which others' work beyond their guarantees
+   * leaves free. Work within a guarantee then goes first. Null: guarantees have no part in the order.
    */
   readonly heldBack: ReadonlyMap<string, number> | null;
   /** Null: there are no replica groups. */
--- a/packages/core/src/scheduling/bin-choice.ts
+++ b/packages/core/src/scheduling/bin-choice.ts
@@ -8,10 +8,10 @@
 import { tightnessCostMs } from './tightness';
 
 /**
- * Tasks of an array that go to another partition than the one before them count as this part of a heartbeat interval later:
- * each partition writes its finished tasks itself, and its last ones are a step more until the job is done.
+ * Tasks of an array that go to another partition than the one before them count as this part of a heartbeat interval
+ * later: each partition writes its finished tasks itself, and its last ones are a step more until the job is done.
  */
-const OTHER_PARTITION_INTERVAL_PART = 4;
+const OTHER_PARTITION_INTERVAL_DIVISOR = 4;
 
 /** Work that may run on spot machines waits for them for as many heartbeat intervals: ordinary machines cost more. */
 const SPOT_PREFERENCE_INTERVALS = 2;
@@ -37,7 +37,7 @@
   const imageMs = fetchMs(spec.imageGb, machine.images.includes(spec.image), type);
   const ordinaryMs = spec.spot && !machine.spot ? heartbeatIntervalMs * SPOT_PREFERENCE_INTERVALS : 0;
   const isOtherPartition = spec.kind === 'array' && lastPartitionId !== undefined && lastPartitionId !== partitionId;
-  const otherPartitionMs = isOtherPartition ? heartbeatIntervalMs / OTHER_PARTITION_INTERVAL_PART : 0;
+  const otherPartitionMs = isOtherPartition ? heartbeatIntervalMs / OTHER_PARTITION_INTERVAL_DIVISOR : 0;
   return imageMs + ordinaryMs + otherPartitionMs + tightnessCostMs(heartbeatIntervalMs, free, type);
 }
 
--- a/packages/core/src/scheduling/immovable-demand.ts
+++ b/packages/core/src/scheduling/immovable-demand.ts
@@ -22,9 +22,9 @@
 }
 
 /**
- * The tasks that can run in their partition alone and have no machine there. An owner returns tasks to the leader by a smaller
- * record of their job; if the store rejects even that, as it may after its limit on values was lowered, a machine has to
- * be rented in the partition, or the tasks wait for ever.
+ * The tasks that can run in their partition alone and have no machine there. An owner returns tasks to the leader by
+ * a smaller record of their job; if the store rejects even that, as it may after its limit on values was lowered, a
+ * machine has to be rented in the partition, or the tasks wait for ever.
  */
 export function findImmovableDemand(input: ImmovableDemandInput): UnschedulableDemand[] {
   const immovable: UnschedulableDemand[] = [];
--- a/packages/core/src/scheduling/job-shape.ts
+++ b/packages/core/src/scheduling/job-shape.ts
@@ -6,7 +6,9 @@
   return [ownPriority, spec.cpus, spec.gpus, spec.memoryGb, spec.zone, spec.spot, ...(spec.types ?? [])].join();
 }
 
-/** Equal for replica groups that all fit or all do not; one that avoids a machine still waits for the next assignment. */
+/**
+ * Equal for replica groups that all fit or all do not; one that avoids a machine still waits for the next assignment.
+ */
 export function groupShapeOf(job: Job): string {
   const { tasks, spread, oneZone } = job.spec;
   return [taskShapeOf(job), tasks, spread, oneZone].join();
--- a/packages/core/src/scheduling/machine-bin.ts
+++ b/packages/core/src/scheduling/machine-bin.ts
@@ -54,8 +54,8 @@
 }
 
 /**
- * The least urgent priority whose work may stay if all less urgent work is preempted to fit the task; null: the task does
- * not fit even without all work that is less urgent than it.
+ * The least urgent priority whose work may stay if all less urgent work is preempted to fit the task; null: the task
+ * does not fit even without all work that is less urgent than it.
  */
 export function leastUrgentPriorityKept(job: Job, bin: MachineBin): number | null {
   let available = bin.free;
--- a/packages/core/src/scheduling/partition-status.ts
+++ b/packages/core/src/scheduling/partition-status.ts
@@ -14,8 +14,8 @@
   /** Left after its claims and after the waiting tasks that the owner expects to start here. */
   readonly free: Resources;
   /**
-   * By priority, the most urgent first: what preempting its claims of that priority would free, and what waiting tasks of
-   * that priority are expected to use.
+   * By priority, the most urgent first: what preempting its claims of that priority would free, and what waiting
+   * tasks of that priority are expected to use.
    */
   readonly byPriority: readonly Resources[];
   /** Images in its cache. */
--- a/packages/core/src/scheduling/placement-planner.ts
+++ b/packages/core/src/scheduling/placement-planner.ts
@@ -102,7 +102,10 @@
   return machine === undefined || !freeByMachine.has(machine) ? null : { machine, ms: 0, victims: [] };
 }
 
-/** The machines that waiting tasks are planned for, and whose next heartbeat would come later than it could if asked for. */
+/**
+ * The machines that waiting tasks are planned for, and whose next heartbeat would come later than it could if asked
+ * for.
+ */
 export function machinesToSolicit(claimTable: ClaimView, now: number): Set<Machine> {
   const machines = new Set<Machine>();
   for (const job of claimTable.wakes()) {
--- a/packages/core/src/scheduling/placement-ranges.ts
+++ b/packages/core/src/scheduling/placement-ranges.ts
@@ -9,8 +9,8 @@
 }
 
 /**
- * Deals the tasks, which are all alike, to the placements so that those of one place follow each other: one range for each
- * place instead of one for each task keeps the record of a large job within the store's limit on values.
+ * Deals the tasks, which are all alike, to the placements so that those of one place follow each other: one range for
+ * each place instead of one for each task keeps the record of a large job within the store's limit on values.
  */
 export function assignedRangesOf(indices: readonly number[], placements: readonly Placement[]): AssignedRange[] {
   const sorted = [...placements].sort(comparePlacements);
--- a/packages/core/src/scheduling/placement.ts
+++ b/packages/core/src/scheduling/placement.ts
@@ -1,7 +1,7 @@
-// Where a waiting task of the partition would run soonest. For every waiting task the owner estimates how soon each machine
-// could run it: at once but for the fetch of its image, or after preempting work of lower priority. A machine that sends a
-// heartbeat gets the tasks that it has free resources for, and passes on one only if another machine of the partition
-// would run it sooner. See docs/design.md.
+// Where a waiting task of the partition would run soonest. For every waiting task the owner estimates how soon each
+// machine could run it: at once but for the fetch of its image, or after preempting work of lower priority. A machine
+// that sends a heartbeat gets the tasks that it has free resources for, and passes on one only if another machine of
+// the partition would run it sooner. See docs/design.md.
 import type { ClaimView } from '../claims/claim-view';
 import type { Machine, PlannedPlacement, TaskEntry } from '../claims/task-entry';
 import { allowsMachine } from '../cluster/placement-constraints';
@@ -70,8 +70,8 @@
   if (fitsIn(task.job.spec, available)) return { machine, ms: readyMs, victims: [] };
   const victims = mayPreempt ? leastVictims(machine, task, available, preempted) : null;
   if (victims === null) return null;
-  // Until they have stopped, and their lost work. A preempted replica is missed at once, so that is for when the task fits
-  // nowhere else.
+  // Until they have stopped, and their lost work. A preempted replica is missed at once, so that is for when the task
+  // fits nowhere else.
   let ms = readyMs + (STOP_MS + claimTable.clusterConfig.heartbeatIntervalMs * (victims.length / 2));
   for (const victim of victims) if (victim.job.spec.kind === 'service') ms += SERVICE_VICTIM_MS;
   return { machine, ms, victims };
--- a/packages/core/src/scheduling/preemption.ts
+++ b/packages/core/src/scheduling/preemption.ts
@@ -7,11 +7,11 @@
 const SAVE_SLACK = 1.25;
 
 /**
- * The fewest tasks that have to be stopped on a machine so that what the task needs fits there, the least urgent and latest
- * started first; null: it does not fit even without all that may be stopped. Members of replica groups are never
- * preempted. The priority that a job inherits from the jobs that depend on it protects it, but lets it preempt nobody:
- * otherwise a pipeline whose last job has been submitted would preempt the early jobs of another, whose last job comes a
- * moment later, and all of them would begin again and again.
+ * The fewest tasks that have to be stopped on a machine so that what the task needs fits there, the least urgent and
+ * latest started first; null: it does not fit even without all that may be stopped. Members of replica groups are
+ * never preempted. The priority that a job inherits from the jobs that depend on it protects it, but lets it preempt
+ * nobody: otherwise a pipeline whose last job has been submitted would preempt the early jobs of another, whose last
+ * job comes a moment later, and all of them would begin again and again.
  */
 export function leastVictims(
   machine: Machine,
--- a/packages/core/src/scheduling/probe-schedule.ts
+++ b/packages/core/src/scheduling/probe-schedule.ts
@@ -1,6 +1,6 @@
-// When the leader has a task of a crash-looping job started again as a probe. Such a job is retried as a job: one task at a
-// time, however many it has, with pauses that grow, and it is never given up, for a series of faulty machines looks the
-// same at first. Nothing here reads a clock: the time is an argument.
+// When the leader has a task of a crash-looping job started again as a probe. Such a job is retried as a job: one
+// task at a time, however many it has, with pauses that grow, and it is never given up, for a series of faulty
+// machines looks the same at first. Nothing here reads a clock: the time is an argument.
 import type { ClusterConfig } from '../cluster/cluster-config';
 import type { ProbePolicy } from './probe-policy';
 
@@ -58,7 +58,10 @@
     return this.#probesByJob.get(job)?.isProven ?? false;
   }
 
-  /** The job's record does not mark it as crash-looping any more. If it fails again, its next probe has to run for longer. */
+  /**
+   * The job's record does not mark it as crash-looping any more. If it fails again, its next probe has to run for
+   * longer.
+   */
   markRemoved(job: string): void {
     const probe = this.#probesByJob.get(job);
     if (probe === undefined) return;
--- a/packages/core/src/scheduling/start-time.ts
+++ b/packages/core/src/scheduling/start-time.ts
@@ -11,8 +11,8 @@
 }
 
 /**
- * How long it takes until tasks that are stopped on a machine are known to be gone, in milliseconds: stops are sent to the
- * worker at once, and it sends a heartbeat with each change, but at most one every half second (PROTOCOL).
+ * How long it takes until tasks that are stopped on a machine are known to be gone, in milliseconds: stops are sent
+ * to the worker at once, and it sends a heartbeat with each change, but at most one every half second (PROTOCOL).
  */
 export const STOP_MS = 500;
 
--- a/packages/core/src/scheduling/zone-choice.ts
+++ b/packages/core/src/scheduling/zone-choice.ts
@@ -57,8 +57,8 @@
 }
 
 /**
- * How many tasks of the job may be in each zone now. Finished tasks do not count: they are off their machines, and would
- * bind the rest of a job of one zone to a zone that may have lost its machines.
+ * How many tasks of the job may be in each zone now. Finished tasks do not count: they are off their machines, and
+ * would bind the rest of a job of one zone to a zone that may have lost its machines.
  */
 function unfinishedCountByZone(job: Job): Map<string, number> {
   const countByZone = new Map<string, number>();
