--- a/packages/core/src/autoscaling/autoscaler.ts
+++ b/packages/core/src/autoscaling/autoscaler.ts
@@ -1,67 +1,58 @@
-// What the leader rents, drains and returns. It only plans; the controller talks to the cloud and to the owners.
-import { type CloudMachine, isRentable, type JobSpec, type MachineType, type RentRequest } from '@gingerlock/wire';
-import type { UnschedulableDemand } from '../scheduling/assignment-types';
-import type { MachineStatus, PartitionStatus } from '../scheduling/partition-status';
-import { MachineInventory, type KnownMachine } from './machine-inventory';
-import { machineUse } from './machine-use';
-import { BATCH_PRIORITY, isSuspect, ConsolidationPlan } from './consolidation';
-import { type MachineOption, unitPrice } from './scale-out-choice';
-import { type PlannedScaleOut, machineOptionKey, ScaleOutPlan } from './scale-out-plan';
-import { bootMsOf } from '../cluster/machine-boot-time';
+// What the leader rents, drains and returns. It only plans; the leader's autoscaling loop talks to the cloud and to the
+// owners.
+import { type CloudMachine, type JobSpec, type MachineType, type RentRequest } from '@gingerlock/wire';
 import { type ClusterConfig, SUSPECT_INTERVALS, workerLeaseBoundMs } from '../cluster/cluster-config';
-import { fitsIn } from '../cluster/resources';
+import { bootMsOf } from '../cluster/machine-boot-time';
 import { hasNoGuarantee } from '../cluster/quota';
-import { type Partitioner } from '../cluster/partitioner';
-import { allowsMachine } from '../cluster/placement-constraints';
+import type { MachineStatus, PartitionStatus } from '../scheduling/partition-status';
+import type { AutoscalerInput, AutoscalerLimits, AutoscalerPlan } from './autoscaler-types';
+import { CapacityBackoff } from './capacity-backoff';
+import { clusterFigures, type ClusterFigures } from './cluster-figures';
+import { Consolidator } from './consolidation';
+import { type IdleScaleIn, planIdleScaleIn } from './idle-scale-in';
+import { type KnownMachine, MachineInventory } from './machine-inventory';
+import { canRunOnOption, rentableOptions } from './machine-option';
+import { isSuspect, OwnerHistory } from './machine-silence';
+import { machineUse } from './machine-use';
+import { type PlannedScaleOut, ScaleOutPlan } from './scale-out-plan';
+import { freeServiceGpus, headroomGpus } from './service-capacity';
+import { type ZoneMachine, ZoneSilence } from './zone-silence';
 
-/** What the operators have set. */
-export interface AutoscalerLimits {
-  /** Free room kept on ordinary machines, as a share of what is in use. */
-  readonly headroom: number;
-  readonly maxOrdinaryMachines: number;
-  readonly maxSpotMachines: number;
-}
+/** A machine that takes longer than this many usual boot times counts as late: another is rented in its place. */
+const LATE_BOOTS = 2;
 
-export interface AutoscalerInput {
-  readonly now: number;
-  readonly types: ReadonlyMap<string, MachineType>;
-  readonly statuses: readonly PartitionStatus[];
-  readonly unschedulable: readonly UnschedulableDemand[];
-  readonly partitioner: Partitioner;
-  /** Machines that are neither emptied nor given back while idle. */
-  readonly pinned?: ReadonlySet<string>;
-}
+/** One that takes longer than this many is returned. */
+const FAILED_BOOTS = 4;
 
-export interface AutoscalerPlan {
-  readonly scaleOut: PlannedScaleOut[];
-  readonly scaleIn: string[];
-  /** Machines that are to get no more work. */
-  readonly drain: string[];
-}
+/** A running machine that has been silent for longer than so many worker leases is returned. */
+const SILENT_LEASES = 2;
 
-interface CapacityBackoff {
-  until: number;
-  backoff: number;
+/**
+ * A suspect machine is replaced until it has been silent for so many worker leases: then its tasks wait as others do.
+ */
+const REPLACED_LEASES = 2;
+
+/** One review of the cluster: its input, and what has been derived from that. */
+interface Review {
+  readonly input: AutoscalerInput;
+  readonly statusByName: ReadonlyMap<string, MachineStatus>;
+  readonly headroomGpus: number;
+  /** Machines that are on their way and not late. */
+  readonly booting: KnownMachine[];
+  readonly scaleIn: string[];
+  readonly drain: Set<string>;
 }
 
-/** A machine that takes longer than this many usual boot times counts as late; its room is rented once more. */
-const LATE_BOOTS = 2;
-/** One that takes longer than this many is returned. */
-const STUCK_BOOTS = 4;
-
-/** What was refused is not asked for again for so many report intervals at the most, and after others for as many more. */
-const CAPACITY_BACKOFF_INTERVALS = 16;
-
+/** Plans how many machines the cluster has; one for each term of the leader. */
 export class Autoscaler {
   readonly #inventory: MachineInventory;
-  /** By part: its owner's term, and since when that owner has told of it. */
-  readonly #ownerSinceByPartition = new Map<number, { term: number; since: number }>();
-  readonly #capacityRefused = new Map<string, CapacityBackoff>();
-  /** Zones in which most machines have fallen silent, and until when nothing is rented there for that. */
-  readonly #silentZones = new Map<string, number>();
+  readonly #owners = new OwnerHistory();
+  readonly #backoff: CapacityBackoff;
+  readonly #zones = new ZoneSilence();
+  readonly #consolidator: Consolidator;
+  /** Names of the machines that the last plan drained. */
   #draining = new Set<string>();
-  readonly #consolidation: ConsolidationPlan;
-  #counter = 0;
+  #requestCount = 0;
 
   constructor(
     readonly clusterConfig: ClusterConfig,
@@ -69,56 +60,41 @@
     readonly limits: AutoscalerLimits,
   ) {
     this.#inventory = new MachineInventory(clusterConfig);
-    this.#consolidation = new ConsolidationPlan(clusterConfig);
-  }
-
-  recordScaleOut(names: readonly string[], r: RentRequest, now: number): void {
-    this.#capacityRefused.delete(machineOptionKey(r.type, r.zone, r.spot));
-    this.#inventory.recordScaleOut(names, r, now);
-    if (names.length < r.count) this.capacityRefused(r, now);
+    this.#backoff = new CapacityBackoff(clusterConfig);
+    this.#consolidator = new Consolidator(clusterConfig);
   }
 
-  capacityRefused(r: RentRequest, now: number): void {
-    const key = machineOptionKey(r.type, r.zone, r.spot);
-    const last = this.#capacityRefused.get(key);
-    const backoff = Math.min(
-      (last?.backoff ?? this.clusterConfig.heartbeatIntervalMs) * 2,
-      this.clusterConfig.heartbeatIntervalMs * CAPACITY_BACKOFF_INTERVALS,
-    );
-    this.#capacityRefused.set(key, { until: now + backoff, backoff });
+  /** The cloud has rented these machines, maybe fewer than were asked for. */
+  recordScaleOut(names: readonly string[], request: RentRequest, now: number): void {
+    this.#backoff.clear(request);
+    this.#inventory.recordScaleOut(names, request, now);
+    if (names.length < request.count) this.capacityRefused(request, now);
   }
 
-  #capacityBackoffOf({ type, zone, spot }: MachineOption): CapacityBackoff | undefined {
-    return this.#capacityRefused.get(machineOptionKey(type.name, zone, spot));
+  /** The cloud has rented none of what was asked for, or not all. */
+  capacityRefused(request: RentRequest, now: number): void {
+    this.#backoff.recordRefusal(request, now);
   }
 
-  /** Whether the cloud had no more lately of any type and kind that the job may run on in the zone. */
+  /** Whether the cloud lately had no more of any type and kind that the job may run on in the zone. */
   lacksCapacityFor(spec: JobSpec, zone: string, types: ReadonlyMap<string, MachineType>, now: number): boolean {
-    const options = [...types.values()]
-      .filter((type) => isRentable(type) && type.zones.includes(zone) && fitsIn(spec, type))
-      .flatMap((type) => [false, true].map((spot) => ({ type, zone, spot })))
-      .filter(({ type, spot }) => allowsMachine(spec, type.name, zone, spot));
-    return options.every((option) => this.#wasRefused(option, now));
-  }
-
-  #wasRefused(option: MachineOption, now: number): boolean {
-    const refusal = this.#capacityBackoffOf(option);
-    return (
-      refusal !== undefined && now - refusal.until < this.clusterConfig.heartbeatIntervalMs * CAPACITY_BACKOFF_INTERVALS
-    );
+    return rentableOptions(types)
+      .filter((option) => option.zone === zone && canRunOnOption(spec, option))
+      .every((option) => this.#backoff.wasRefused(option, now));
   }
 
+  /** The cloud has taken these machines back. */
   recordScaleIn(names: readonly string[], now: number): void {
     this.#inventory.recordScaleIn(names, now);
     for (const name of names) this.#draining.delete(name);
   }
 
-  /** Takes a whole list of machines. Returns those that are surely gone. */
+  /** Takes a whole list of the cloud's machines. Returns the names of those that have certainly failed. */
   applyCloudList(machines: readonly CloudMachine[], now: number): { failed: string[] } {
     return this.#inventory.applyCloudList(machines, now);
   }
 
-  /** Whether the owners have heard every machine that is listed as up. */
+  /** Whether the owners' statuses show every machine that is listed as up, of which there is one at least. */
   hasHeardAll(statuses: readonly PartitionStatus[]): boolean {
     return this.#inventory.hasHeardAll(statuses);
   }
@@ -128,238 +104,187 @@
     return [...this.machines.values()].some((machine) => machine.type === type);
   }
 
-  /** By name. */
+  /** The known machines, by name. */
   get machines(): ReadonlyMap<string, KnownMachine> {
     return this.#inventory.machines;
   }
 
-  /** How the fleet stands, for the log. */
-  figures(statuses: readonly PartitionStatus[], types: ReadonlyMap<string, MachineType>): Record<string, number> {
-    const f = { ordinary: 0, spot: 0, unheardMachines: 0, idle: 0, used: 0, batch: 0, free: 0 };
-    for (const k of this.machines.values()) f[k.spot ? 'spot' : 'ordinary']++;
-    const machines = statuses.flatMap((s) => s.machines);
-    f.unheardMachines = f.ordinary + f.spot - machines.length;
-    for (const m of machines) {
-      if (machineUse(m) === 'idle') f.idle++;
-      if (m.spot) continue;
-      const batch = m.byPriority.reduce((sum, a, priority) => sum + (priority >= BATCH_PRIORITY ? a.gpus : 0), 0);
-      f.batch += batch;
-      f.free += m.free.gpus;
-      f.used += (types.get(m.type)?.gpus ?? 0) - m.free.gpus - batch;
-    }
-    return f;
+  /** The figures of all machines, for the log. */
+  figures(statuses: readonly PartitionStatus[], types: ReadonlyMap<string, MachineType>): ClusterFigures {
+    const machines = statuses.flatMap((status) => status.machines);
+    return clusterFigures(this.machines.values(), machines, types);
   }
 
-  /** How long until a machine that is rented now could run a task of the job, in milliseconds; Infinity: none can be had. */
+  /**
+   * How long until an ordinary machine that is rented now could run a task of the job, in milliseconds; Infinity:
+   * none can.
+   */
   scaleOutMs(spec: JobSpec, types: ReadonlyMap<string, MachineType>): number {
-    let least = Infinity;
-    for (const type of types.values()) {
-      if (
-        !isRentable(type) ||
-        !fitsIn(spec, type) ||
-        !type.zones.some((zone) => allowsMachine(spec, type.name, zone, false))
-      )
-        continue;
-      least = Math.min(least, bootMsOf(type));
-    }
-    return least;
+    const options = rentableOptions(types).filter((option) => !option.spot && canRunOnOption(spec, option));
+    return Math.min(Infinity, ...options.map(({ type }) => bootMsOf(type)));
   }
 
+  /** Plans what is to be rented, returned and drained now, and remembers what it drains. */
   plan(input: AutoscalerInput): AutoscalerPlan {
-    const { now, types } = input;
-    const machinesByName = new Map<string, MachineStatus>();
-    for (const s of input.statuses) for (const m of s.machines) machinesByName.set(m.name, m);
-    this.#inventory.observe(machinesByName.values(), now);
-
-    for (const s of input.statuses) {
-      if (this.#ownerSinceByPartition.get(s.partitionId)?.term !== s.term)
-        this.#ownerSinceByPartition.set(s.partitionId, { term: s.term, since: now });
-    }
-    const heard = new Set(input.statuses.map((s) => s.partitionId));
-    for (const partitionId of this.#ownerSinceByPartition.keys())
-      if (!heard.has(partitionId)) this.#ownerSinceByPartition.delete(partitionId);
+    const review = this.#newReview(input);
+    this.#inventory.observe(review.statusByName.values(), input.now);
+    this.#owners.observe(input.statuses, input.now);
+    this.#observeZones(review);
+    for (const machine of this.machines.values()) this.#reviewMachine(machine, review);
+    const plan = this.#planScaleOut(review);
+    // Names are never reused: they carry the leader's term.
+    const scaleOut = plan.requests(() => `r-${this.term}-${++this.#requestCount}`);
+    this.#planScaleIn(review, scaleOut, plan.kept);
+    this.#draining = review.drain;
+    return { scaleOut, scaleIn: review.scaleIn, drain: [...review.drain] };
+  }
 
-    this.#observeZones(input, machinesByName);
-    const scaleIn: string[] = [];
-    const drain = new Set<string>();
-    const booting: KnownMachine[] = [];
-    for (const k of this.machines.values()) {
-      const bootMs = bootMsOf(types.get(k.type));
-      const machine = machinesByName.get(k.name);
-      if (k.state === 'failed' || k.state === 'vanished') scaleIn.push(k.name);
-      else if (k.state === 'booting' && machine === undefined) {
-        if (now - k.createdAt > bootMs * STUCK_BOOTS) scaleIn.push(k.name);
-        else if (now - k.createdAt < bootMs * LATE_BOOTS) booting.push(k);
-      } else if (now - this.#quietSince(k, input) > 2 * workerLeaseBoundMs(this.clusterConfig)) {
-        // Up, and silent for longer than any lease. The answer proves it gone, sooner than the time that clears its part.
-        scaleIn.push(k.name);
-      } else if (machine?.isQuarantined === true) drain.add(k.name);
-    }
-    const { scaleOut, kept } = this.#scaleOut(input, booting, machinesByName);
-    this.#planScaleIn(input, machinesByName, booting, drain, scaleIn, scaleOut.length > 0, kept);
-    this.#draining = drain;
-    return { scaleOut, scaleIn, drain: [...drain] };
+  #newReview(input: AutoscalerInput): Review {
+    const { statuses, types } = input;
+    const statusByName = new Map<string, MachineStatus>();
+    for (const { machines } of statuses) for (const machine of machines) statusByName.set(machine.name, machine);
+    return {
+      input,
+      statusByName,
+      headroomGpus: headroomGpus(this.limits.headroom, statusByName.values(), statuses, types),
+      booting: [],
+      scaleIn: [],
+      drain: new Set(),
+    };
   }
 
-  /**
-   * Since when a machine could have been heard and was not. A new owner of its part, or a new leader, has to be given
-   * the time to hear it first: silence from before proves nothing, and healthy machines were once returned for it.
-   */
-  #quietSince(k: KnownMachine, input: AutoscalerInput): number {
-    const partitionId = input.partitioner.partitionOf(k.name, k.zone);
-    const owner = this.#ownerSinceByPartition.get(partitionId);
-    if (owner === undefined) return Infinity;
-    return Math.max(k.lastHeartbeatAt ?? -Infinity, k.upSince ?? -Infinity, owner.since);
+  /** Notes the zones of which most running machines have fallen silent. */
+  #observeZones({ input, statusByName }: Review): void {
+    const { now, types, partitioner } = input;
+    const { heartbeatIntervalMs, cloudListLagMs } = this.clusterConfig;
+    const running = [...this.machines.values()].filter(({ state }) => state === 'running');
+    const machines = running.map((machine): ZoneMachine => {
+      const { zone } = machine;
+      const status = statusByName.get(machine.name);
+      if (status !== undefined && !isSuspect(status, this.clusterConfig)) return { zone, state: 'responsive' };
+      const silentMs = now - this.#owners.silentSince(machine, partitioner);
+      return { zone, state: silentMs > heartbeatIntervalMs * SUSPECT_INTERVALS ? 'silent' : 'unknown' };
+    });
+    const longestBootMs = Math.max(0, ...[...types.values()].map(bootMsOf));
+    this.#zones.observe(machines, now + longestBootMs * LATE_BOOTS + cloudListLagMs);
   }
 
-  /**
-   * Notes zones in which most machines that are up have fallen silent: what is rented there could not be reached either.
-   * Their silent machines are returned in time, so the note stands until one of the zone is heard, or a new one should
-   * have been.
-   */
-  #observeZones(input: AutoscalerInput, machinesByName: ReadonlyMap<string, MachineStatus>): void {
-    const { now } = input;
-    const zones = new Map<string, { heard: number; silent: number }>();
-    for (const k of this.machines.values()) {
-      if (k.state !== 'running') continue;
-      const machine = machinesByName.get(k.name);
-      const heard = machine !== undefined && !isSuspect(machine, this.clusterConfig);
-      const silent =
-        !heard && now - this.#quietSince(k, input) > this.clusterConfig.heartbeatIntervalMs * SUSPECT_INTERVALS;
-      const zone = zones.get(k.zone) ?? { heard: 0, silent: 0 };
-      if (heard) zone.heard++;
-      if (silent) zone.silent++;
-      zones.set(k.zone, zone);
-    }
-    // A new leader has heard nothing of a zone that was cut off before its time.
-    const silent = [...zones].filter(([, z]) => z.silent > z.heard || z.heard === 0).map(([name]) => name);
-    // Silence from everywhere is trouble of our own.
-    if (silent.length === zones.size) return;
-    const bootMs = Math.max(0, ...[...input.types.values()].map(bootMsOf));
-    for (const [name, z] of zones) if (z.heard > 0) this.#silentZones.delete(name);
-    for (const name of silent)
-      this.#silentZones.set(name, now + bootMs * LATE_BOOTS + this.clusterConfig.cloudListLagMs);
+  /** Finds out whether one machine is to be returned or drained whatever the rest does, or is on its way. */
+  #reviewMachine(machine: KnownMachine, { input, statusByName, booting, scaleIn, drain }: Review): void {
+    const { now, types, partitioner } = input;
+    const { name, state, createdAt } = machine;
+    const status = statusByName.get(name);
+    if (state === 'failed' || state === 'vanished') scaleIn.push(name);
+    else if (state === 'booting' && status === undefined) {
+      const bootMs = bootMsOf(types.get(machine.type));
+      if (now - createdAt > bootMs * FAILED_BOOTS) scaleIn.push(name);
+      else if (now - createdAt < bootMs * LATE_BOOTS) booting.push(machine);
+    } else if (
+      now - this.#owners.silentSince(machine, partitioner) >
+      SILENT_LEASES * workerLeaseBoundMs(this.clusterConfig)
+    ) {
+      // Up, and silent for longer than any lease. The cloud's answer proves it gone, before its partition's fencing
+      // period would end.
+      scaleIn.push(name);
+    } else if (status?.isQuarantined === true) drain.add(name);
   }
 
-  /** Idle machines that get no more work, and are to be given back for that alone. */
-  #drainingIdleMachines(machinesByName: ReadonlyMap<string, MachineStatus>): MachineStatus[] {
-    return [...machinesByName.values()].filter(
-      (m) =>
-        this.#draining.has(m.name) &&
-        machineUse(m) === 'idle' &&
-        !m.isQuarantined &&
-        !m.evictionNotice &&
-        !isSuspect(m, this.clusterConfig) &&
-        !this.#inventory.isReturned(m.name),
-    );
+  #planScaleOut(review: Review): ScaleOutPlan {
+    const { input, statusByName } = review;
+    const plan = this.#newScaleOutPlan(review);
+    for (const machine of this.#machinesToReplace(statusByName)) plan.replace(machine);
+    // Capacity for what comes next, on top of what is asked for now, and for what new owners still await the heartbeats
+    // of: a boot takes longer than most objectives allow.
+    const freeGpus = freeServiceGpus(statusByName.values());
+    plan.serve(input.unschedulable, review.headroomGpus - freeGpus);
+    plan.keepSpare(freeGpus, review.headroomGpus);
+    return plan;
   }
 
-  #scaleOut(
-    input: AutoscalerInput,
-    booting: readonly KnownMachine[],
-    machinesByName: ReadonlyMap<string, MachineStatus>,
-  ): { scaleOut: PlannedScaleOut[]; kept: ReadonlySet<string> } {
+  #newScaleOutPlan({ input, booting, statusByName }: Review): ScaleOutPlan {
     const { now, types } = input;
-    const isSilent = (zone: string): boolean => (this.#silentZones.get(zone) ?? 0) > now;
-    const plan = new ScaleOutPlan({
+    const isSilent = (zone: string): boolean => this.#zones.isSilent(zone, now);
+    return new ScaleOutPlan({
       clusterConfig: this.clusterConfig,
       types,
       booting,
-      drainingIdleMachines: this.#drainingIdleMachines(machinesByName),
+      drainingIdleMachines: [...statusByName.values()].filter((machine) => this.#isDrainingForIdleness(machine)),
       known: this.machines.values(),
       maxOrdinaryMachines: this.limits.maxOrdinaryMachines,
       maxSpotMachines: this.limits.maxSpotMachines,
-      isOpen: (option) => !isSilent(option.zone) && (this.#capacityBackoffOf(option)?.until ?? 0) <= now,
-      wasRefused: (option) => this.#wasRefused(option, now),
+      isOpen: (option) => !isSilent(option.zone) && !this.#backoff.isBackingOff(option, now),
+      wasRefused: (option) => this.#backoff.wasRefused(option, now),
       isSilent,
       onlySpot: (spec) => this.#waitsForSpot(spec),
     });
-    // What runs on a machine that has fallen silent will most likely be wanted elsewhere once its lease is over: a boot
-    // begins now. More than half of them silent is no trouble of theirs.
-    const suspects = [...machinesByName.values()].filter(
-      (m) => isSuspect(m, this.clusterConfig) && m.silentMs < this.clusterConfig.workerLeaseMs * 2,
-    );
-    if (suspects.length * 2 < machinesByName.size) for (const m of suspects) plan.replace(m);
-    // Room for what comes next, on top of what is asked for now, and for what new owners are still waiting to hear of: a
-    // boot takes longer than most aims allow.
-    let free = 0;
-    for (const m of machinesByName.values()) if (!m.spot && m.takesWork) free += gpusForServices(m);
-    const headroom = this.#headroom(input, machinesByName);
-    plan.serve(input.unschedulable, headroom - free);
-    plan.keepSpare(free, headroom);
-    // Names are never reused: they carry the leader's term.
-    return { scaleOut: plan.requests(() => `r-${this.term}-${++this.#counter}`), kept: plan.kept };
   }
 
   /**
-   * How much room, in accelerators, ordinary machines should have: for new services, and for those that new owners are
-   * still waiting to hear of.
+   * The machines that have fallen silent: what runs there will most likely be wanted elsewhere once their leases are
+   * over, so a boot begins now. None if they are half of all or more: then the fault is not theirs.
    */
-  #headroom(input: AutoscalerInput, machinesByName: ReadonlyMap<string, MachineStatus>): number {
-    let used = 0;
-    for (const m of machinesByName.values()) {
-      const type = input.types.get(m.type);
-      if (type !== undefined && !m.spot) used += type.gpus - gpusForServices(m);
-    }
-    const missing = input.statuses.reduce((sum, s) => sum + s.missing.gpus, 0);
-    return used * this.limits.headroom + missing;
+  #machinesToReplace(statusByName: ReadonlyMap<string, MachineStatus>): readonly MachineStatus[] {
+    const suspects = [...statusByName.values()].filter(
+      (machine) =>
+        isSuspect(machine, this.clusterConfig) && machine.silentMs < this.clusterConfig.workerLeaseMs * REPLACED_LEASES,
+    );
+    return suspects.length * 2 < statusByName.size ? suspects : [];
   }
 
-  /** Machines that have been empty for about a boot time go, the dearest first, if enough room is left without them. */
-  #planScaleIn(
-    input: AutoscalerInput,
-    machinesByName: ReadonlyMap<string, MachineStatus>,
-    booting: readonly KnownMachine[],
-    drain: Set<string>,
-    scaleIn: string[],
-    renting: boolean,
-    kept: ReadonlySet<string>,
-  ): void {
-    let ordinary = 0;
-    const empties: MachineStatus[] = [];
-    for (const m of machinesByName.values()) {
-      const type = input.types.get(m.type);
-      if (type === undefined || m.evictionNotice || this.#inventory.isReturned(m.name)) continue;
-      if (!m.spot && m.takesWork) ordinary += gpusForServices(m);
-      if (machineUse(m) === 'idle') empties.push(m);
-    }
-    const headroom = this.#headroom(input, machinesByName);
-    const priceOf = (m: MachineStatus): number => unitPrice(input.types.get(m.type)!, m.spot);
-    for (const m of empties.sort((a, b) => priceOf(b) - priceOf(a) || b.emptyMs - a.emptyMs)) {
-      if (scaleIn.includes(m.name) || kept.has(m.name) || input.pinned?.has(m.name) === true) continue;
-      const type = input.types.get(m.type)!;
-      const idle = m.emptyMs > Math.max(bootMsOf(type) * IDLE_BOOTS, this.clusterConfig.heartbeatIntervalMs * 5);
-      const spare = m.spot || ordinary - type.gpus >= headroom;
-      const leave =
-        drain.has(m.name) || this.#draining.has(m.name) || (idle && spare && !(renting && booting.length === 0));
-      if (!leave) continue;
-      if (!m.spot && m.takesWork) ordinary -= type.gpus;
-      drain.add(m.name);
-      // The owner says that it binds nothing there any more and that nothing is there.
-      if (m.draining) scaleIn.push(m.name);
-    }
+  /** Whether the machine gets no more work, and is to be returned, for being idle alone. */
+  #isDrainingForIdleness(machine: MachineStatus): boolean {
+    return (
+      this.#draining.has(machine.name) &&
+      machineUse(machine) === 'idle' &&
+      !machine.isQuarantined &&
+      !machine.evictionNotice &&
+      !isSuspect(machine, this.clusterConfig) &&
+      !this.#inventory.isReturned(machine.name)
+    );
+  }
+
+  /** Adds the idle machines that can be spared to the review, and those that are to be emptied. */
+  #planScaleIn(review: Review, scaleOut: readonly PlannedScaleOut[], kept: ReadonlySet<string>): void {
+    const { input, statusByName, drain, scaleIn } = review;
+    const isScalingOut = scaleOut.length > 0;
+    const idle = this.#idleScaleIn(review, isScalingOut, kept);
+    for (const name of idle.drain) drain.add(name);
+    scaleIn.push(...idle.scaleIn);
     const isShort = input.unschedulable.some(({ job }) => !this.#waitsForSpot(job.spec));
-    if (!renting && !isShort)
-      this.#consolidation.add(input, machinesByName, drain, this.#draining, ordinary - headroom);
+    if (isScalingOut || isShort) return;
+    const emptied = this.#consolidator.plan({
+      now: input.now,
+      types: input.types,
+      partitioner: input.partitioner,
+      pinned: input.pinned,
+      machines: statusByName.values(),
+      draining: this.#draining,
+      spareOrdinaryGpus: idle.spareGpus,
+    });
+    for (const name of emptied) drain.add(name);
+  }
+
+  #idleScaleIn(review: Review, isScalingOut: boolean, kept: ReadonlySet<string>): IdleScaleIn {
+    const { input, statusByName, drain, scaleIn, booting } = review;
+    return planIdleScaleIn({
+      clusterConfig: this.clusterConfig,
+      types: input.types,
+      machines: statusByName.values(),
+      isReturned: (name) => this.#inventory.isReturned(name),
+      isExempt: (name) => scaleIn.includes(name) || kept.has(name) || input.pinned?.has(name) === true,
+      isDraining: (name) => drain.has(name) || this.#draining.has(name),
+      mayDrainMore: !isScalingOut || booting.length > 0,
+      headroomGpus: review.headroomGpus,
+    });
   }
 
   /**
-   * Work of a team without a guarantee that may run on spot machines has none rented at the ordinary price, and keeps none: it takes
-   * what is free there, and what is rented for it is spot. Elsewhere long idle work made the whole fleet dearer.
+   * Whether spot machines alone are rented for the job: that is work of a team without a guarantee which may run on
+   * them. It takes what is free on ordinary machines, and none are rented or kept for it: long idle work would make
+   * the whole cluster more expensive.
    */
   #waitsForSpot({ team: name, spot }: JobSpec): boolean {
     const team = this.clusterConfig.teams.get(name);
     return spot && team !== undefined && hasNoGuarantee(team);
   }
 }
-
-/**
- * An empty machine is kept for this many boot times, and always for a few reports: where machines boot at once, one was
- * returned before its first task could be assigned to it, and rented again.
- */
-const IDLE_BOOTS = 0.5;
-
-/** What a machine has for new services: batch work makes way for them. */
-function gpusForServices(m: MachineStatus): number {
-  return m.byPriority.reduce((sum, a, priority) => sum + (priority >= BATCH_PRIORITY ? a.gpus : 0), m.free.gpus);
-}
--- a/packages/core/src/autoscaling/scale-out-choice.ts
+++ b/packages/core/src/autoscaling/scale-out-choice.ts
@@ -1,80 +1,65 @@
-// Which machine to rent: the one objective for waiting tasks, for spare room and for what runs on suspect machines.
+// Which machine to rent: the one objective for waiting tasks, for spare capacity and for what runs on suspect machines.
 import { isRentable, type MachineType } from '@gingerlock/wire';
-import { type Resources, countFitting, subtractResources } from '../cluster/resources';
+import type { ClusterConfig } from '../cluster/cluster-config';
 import { bootMsOf } from '../cluster/machine-boot-time';
-import { type ClusterConfig } from '../cluster/cluster-config';
+import { countFitting, type Resources, subtractResources } from '../cluster/resources';
 import { fetchMs } from '../scheduling/start-time';
-
-/** A kind of machine in one zone that could be rented. */
-export interface MachineOption {
-  readonly type: MachineType;
-  readonly zone: string;
-  readonly spot: boolean;
-}
-
-/** Tasks, all alike, that wait for room. */
-export interface ScaleOutDemand {
-  readonly need: Resources;
-  readonly count: number;
-  readonly imageGb: number;
-  /** Machine types that they may run on; null: any. */
-  readonly types: readonly string[] | null;
-  /** Whether they may run on spot machines. */
-  readonly spot: boolean;
-  /** How long each is expected to run, in milliseconds; 0: not known, or for as long as its service does. */
-  readonly runMs: number;
-}
+import { capacityOf, type MachineOption } from './machine-option';
+import type { ScaleOutDemand } from './scale-out-demand';
 
 /** What an option costs, and of what that is made. */
 export interface ScaleOutCost {
   readonly option: MachineOption;
-  /** How soon a task could run there: boot and fetch of its image. */
+  /** How soon a task could run there, in milliseconds: boot and fetch of its image. */
   readonly startMs: number;
-  /** Price per hour of what the waiting tasks would use, against the least that any type asks for the same room. */
+  /** Its price per hour against the least that any type asks for the waiting tasks that it would hold. */
   readonly costRatio: number;
-  /** Dearness, weighted by the time to start. The least is chosen. */
+  /** The cost ratio weighted by the time to start. The least is chosen. */
   readonly cost: number;
 }
 
+/** The option that serves a demand best, and what it was compared with. */
 export interface ScaleOutChoice {
   readonly chosen: ScaleOutCost;
   /** The best option of another type or kind; null: there is none. */
   readonly nextBest: ScaleOutCost | null;
 }
 
+/** What a choice depends on. */
 export interface ScaleOutContext {
   readonly clusterConfig: ClusterConfig;
+  /** Machine types by name. */
   readonly types: ReadonlyMap<string, MachineType>;
-  /** Machines that each zone has, those to be rented now included. */
+  /** By zone: how many machines it has, those to be rented now included. */
   readonly machinesIn: ReadonlyMap<string, number>;
   /** The tasks to be served, and after them what else waits: it could share the machine. */
   readonly demands: readonly ScaleOutDemand[];
   /** What may be rented. */
   readonly options: readonly MachineOption[];
-  /** Whether the cloud had no more of it lately: it may be full still. */
+  /** Whether the cloud lately had no more of the option: it may be full still. */
   readonly wasRefused: (option: MachineOption) => boolean;
 }
 
 /** The time until a task starts is paid for, and it is waited for. */
 const START_WEIGHT = 2;
 
-/** A service is expected to run for so many worker leases: nothing tells how long it does. */
+/** A service is expected to run for so many worker leases: its job does not say how long it does. */
 const SERVICE_LEASES = 10;
 
 /** The option that serves the first demand best; null: nothing may be rented. */
-export function chooseMachineOption(situation: ScaleOutContext): ScaleOutChoice | null {
-  const byType = new Map<MachineType, TypeCost>();
-  const costs = situation.options.map((option) => {
-    const ofType = byType.get(option.type) ?? typeCost(situation, option.type);
-    byType.set(option.type, ofType);
-    return costOf(situation, option, ofType);
+export function chooseMachineOption(context: ScaleOutContext): ScaleOutChoice | null {
+  const costByType = new Map<MachineType, TypeCost>();
+  const costs = context.options.map((option) => {
+    const typeCost = costByType.get(option.type) ?? typeCostOf(context, option.type);
+    costByType.set(option.type, typeCost);
+    return costOf(context, option, typeCost);
   });
-  const order = costs.sort((a, b) => a.cost - b.cost || compareOptions(situation, a.option, b.option));
-  const [chosen] = order;
+  costs.sort((a, b) => a.cost - b.cost || compareOptions(context, a.option, b.option));
+  const [chosen] = costs;
   if (chosen === undefined) return null;
-  const isOther = ({ option: { type, spot } }: ScaleOutCost): boolean =>
+  const isOtherKind = ({ option: { type, spot } }: ScaleOutCost): boolean =>
     type !== chosen.option.type || spot !== chosen.option.spot;
-  return { chosen, nextBest: order.find(isOther) ?? null };
+  return { chosen, nextBest: costs.find(isOtherKind) ?? null };
 }
 
 /** What the options of one type have in common. */
@@ -84,36 +69,34 @@
   readonly worth: number;
 }
 
-function typeCost({ types, demands }: ScaleOutContext, type: MachineType): TypeCost {
+function typeCostOf({ types, demands }: ScaleOutContext, type: MachineType): TypeCost {
   const [first] = demands;
   if (first === undefined) return { startMs: bootMsOf(type), worth: 0 };
-  let left: Resources = capacityOf(type);
+  let remaining: Resources = capacityOf(type);
   let worth = 0;
   for (const demand of demands) {
     if (demand.spot !== first.spot || !allowsType(demand, type)) continue;
-    const count = Math.min(demand.count, countFitting(demand.need, left));
+    const count = Math.min(demand.count, countFitting(demand.need, remaining));
     if (count <= 0) continue;
     worth += count * leastPrice(demand, types);
-    left = subtractResources(left, demand.need, count);
-    if (left.cpus <= 0 || left.gpus <= 0 || left.memoryGb <= 0) break;
+    remaining = subtractResources(remaining, demand.need, count);
+    if (remaining.cpus <= 0 || remaining.gpus <= 0 || remaining.memoryGb <= 0) break;
   }
   return { startMs: bootMsOf(type) + fetchMs(first.imageGb, false, type), worth };
 }
 
-function costOf(situation: ScaleOutContext, option: MachineOption, { startMs, worth }: TypeCost): ScaleOutCost {
-  const { clusterConfig, demands } = situation;
+function costOf(context: ScaleOutContext, option: MachineOption, { startMs, worth }: TypeCost): ScaleOutCost {
+  const { clusterConfig, demands } = context;
   const price = option.spot ? option.type.spotPrice : option.type.price;
   const costRatio = worth > 0 ? price / worth : price;
   const runMs = demands[0]?.runMs ?? 0;
-  const useMs = Math.max(
-    clusterConfig.heartbeatIntervalMs,
-    runMs > 0 ? runMs : clusterConfig.workerLeaseMs * SERVICE_LEASES,
-  );
+  const expectedRunMs = runMs > 0 ? runMs : clusterConfig.workerLeaseMs * SERVICE_LEASES;
+  const useMs = Math.max(clusterConfig.heartbeatIntervalMs, expectedRunMs);
   const slowness = 1 + (START_WEIGHT * startMs) / useMs;
   return { option, startMs, costRatio, cost: costRatio * slowness };
 }
 
-/** The least price per hour of the room for one task, on any type and kind that it may run on. */
+/** The least price per hour of what one task needs, on any type and kind that it may run on; 0: it may run on none. */
 function leastPrice(demand: ScaleOutDemand, types: ReadonlyMap<string, MachineType>): number {
   let least = Infinity;
   for (const type of types.values()) {
@@ -130,25 +113,15 @@
 }
 
 /**
- * The order of options that cost the same, whatever order they come in: those that were not refused lately first, then the
- * zone with the fewest machines, then as the settings list the zones.
+ * The order of options that cost the same, whatever order they come in: those that were not refused lately first,
+ * then the zone with the fewest machines, then as the settings list the zones.
  */
-function compareOptions(situation: ScaleOutContext, a: MachineOption, b: MachineOption): number {
-  const { clusterConfig, machinesIn, wasRefused } = situation;
+function compareOptions(context: ScaleOutContext, a: MachineOption, b: MachineOption): number {
+  const { clusterConfig, machinesIn, wasRefused } = context;
   if (wasRefused(a) !== wasRefused(b)) return Number(wasRefused(a)) - Number(wasRefused(b));
-  const machines = ({ zone }: MachineOption): number => machinesIn.get(zone) ?? 0;
-  if (machines(a) !== machines(b)) return machines(a) - machines(b);
+  const machineCount = ({ zone }: MachineOption): number => machinesIn.get(zone) ?? 0;
+  if (machineCount(a) !== machineCount(b)) return machineCount(a) - machineCount(b);
   if (a.zone !== b.zone) return clusterConfig.zones.indexOf(a.zone) - clusterConfig.zones.indexOf(b.zone);
   if (a.spot !== b.spot) return Number(a.spot) - Number(b.spot);
   return a.type.name < b.type.name ? -1 : 1;
 }
-
-/** Price per hour of a machine's room, by GPU or, of one without any, by CPU: the dearest is the first to be given up. */
-export function unitPrice(type: MachineType, spot: boolean): number {
-  const units = type.gpus > 0 ? type.gpus : type.cpus;
-  return units > 0 ? (spot ? type.spotPrice : type.price) / units : 0;
-}
-
-export function capacityOf(type: MachineType): Resources {
-  return { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb };
-}
--- a/packages/core/src/autoscaling/scale-out-plan.ts
+++ b/packages/core/src/autoscaling/scale-out-plan.ts
@@ -1,79 +1,69 @@
-// What one review of the fleet rents: for what runs on suspect machines, for waiting tasks, and for spare room.
-import { isRentable, type JobSpec, type MachineType, type RentRequest } from '@gingerlock/wire';
-import type { UnschedulableDemand } from '../scheduling/assignment-types';
-import type { MachineStatus } from '../scheduling/partition-status';
+// What one review of the cluster rents: for what runs on suspect machines, for waiting tasks, and for spare capacity.
+import type { JobSpec, MachineType, RentRequest } from '@gingerlock/wire';
+import type { ClusterConfig } from '../cluster/cluster-config';
+import { allowsMachine } from '../cluster/placement-constraints';
 import {
-  type Resources,
-  fitsIn,
-  NO_RESOURCES,
   addResources,
   countFitting,
+  fitsIn,
+  minResources,
+  NO_RESOURCES,
+  type Resources,
   subtractResources,
 } from '../cluster/resources';
-import { type ClusterConfig } from '../cluster/cluster-config';
-import { allowsMachine } from '../cluster/placement-constraints';
-import {
-  capacityOf,
-  chooseMachineOption,
-  type ScaleOutChoice,
-  type ScaleOutCost,
-  type ScaleOutDemand,
-  type MachineOption,
-} from './scale-out-choice';
-
-/** Why a machine is rented, for the log: the figures of what was chosen and of the next best. */
-export interface ScaleOutReason {
-  readonly for: 'suspect machine' | 'waiting task' | 'spare room';
-  readonly chosen: ScaleOutFigures;
-  readonly nextBest: (ScaleOutFigures & { readonly type: string; readonly spot: boolean }) | null;
-}
-
-interface ScaleOutFigures {
-  readonly startMs: number;
-  readonly costRatio: number;
-  readonly cost: number;
-}
+import type { UnschedulableDemand } from '../scheduling/assignment-types';
+import type { MachineStatus } from '../scheduling/partition-status';
+import { canRunOnOption, capacityOf, type MachineOption, machineOptionKey, rentableOptions } from './machine-option';
+import { chooseMachineOption } from './scale-out-choice';
+import { demandOf, type ScaleOutDemand, spareDemand, unitDemand } from './scale-out-demand';
+import { reasonOf, type ScaleOutReason } from './scale-out-reason';
 
+/** A request for machines of one type, zone and kind, with the reason for the first of them. */
 export interface PlannedScaleOut extends RentRequest {
   readonly reason: ScaleOutReason;
 }
 
+/** What a plan depends on. */
 export interface ScaleOutPlanInput {
   readonly clusterConfig: ClusterConfig;
+  /** Machine types by name. */
   readonly types: ReadonlyMap<string, MachineType>;
   /** Machines that are on their way. */
   readonly booting: readonly { readonly type: string; readonly zone: string; readonly spot: boolean }[];
-  /** Idle machines that were to be given back: their room takes no boot, so they are kept before others are rented. */
+  /** Idle machines that were to be returned: using them takes no boot, so they are kept before others are rented. */
   readonly drainingIdleMachines: readonly MachineStatus[];
   /** All machines that are rented. */
   readonly known: Iterable<{ readonly zone: string; readonly spot: boolean }>;
   readonly maxOrdinaryMachines: number;
   readonly maxSpotMachines: number;
-  /** Whether it is thought that machines can be had there, and reached. */
+  /** Whether the option is likely to be had, and its machines to be reached. */
   readonly isOpen: (option: MachineOption) => boolean;
+  /** Whether most machines of the zone have fallen silent. */
   readonly isSilent: (zone: string) => boolean;
-  /** Whether the cloud had no more of it lately. */
+  /** Whether the cloud lately had no more of the option. */
   readonly wasRefused: (option: MachineOption) => boolean;
   /** Whether spot machines alone are rented for the job. */
   readonly onlySpot: (spec: JobSpec) => boolean;
 }
 
-/** A machine that is on its way, or to be rented. */
+/** A machine that is on its way, is kept, or is to be rented. */
 interface PlannedMachine {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
+  /** What the plan has not given to tasks yet. */
   free: Resources;
   /** Null: it is rented already. */
   readonly reason: ScaleOutReason | null;
 }
 
-/** Most machines that one request may ask for, says the protocol. */
+/** The most machines that one request may ask for (PROTOCOL). */
 const MACHINES_PER_REQUEST = 50;
 
+/** The machines to be rented and kept, added up demand after demand, the most urgent first. */
 export class ScaleOutPlan {
   readonly #plannedMachines: PlannedMachine[] = [];
-  readonly #machinesIn = new Map<string, number>();
+  readonly #machineCountByZone = new Map<string, number>();
   readonly #count = { ordinary: 0, spot: 0 };
   readonly #options: readonly MachineOption[];
   readonly #drainingIdleMachines: Set<MachineStatus>;
@@ -84,59 +74,57 @@
       const type = input.types.get(name);
       if (type !== undefined) this.#plannedMachines.push({ type, zone, spot, free: capacityOf(type), reason: null });
     }
-    for (const { zone, spot } of input.known) this.#countIn(zone, spot);
+    for (const { zone, spot } of input.known) this.#countMachine(zone, spot);
     this.#drainingIdleMachines = new Set(input.drainingIdleMachines);
-    const rentable = [...input.types.values()].filter((type) => isRentable(type));
-    this.#options = rentable.flatMap((type) =>
-      type.zones.flatMap((zone) =>
-        [false, true].map((spot) => ({ type, zone, spot })).filter((option) => input.isOpen(option)),
-      ),
-    );
+    this.#options = rentableOptions(input.types).filter((option) => input.isOpen(option));
   }
 
-  /** The machines, by name, that were to be given back and are of use after all. */
+  /** Names of the machines that were to be returned and are of use after all. */
   get kept(): ReadonlySet<string> {
     return this.#kept;
   }
 
-  /** Room for all that runs on a machine that will most likely be gone. */
+  /** Plans machines for all that runs on a machine that will most likely be gone. */
   replace(machine: MachineStatus): void {
-    const need = machine.byPriority.reduce((sum, a) => addResources(sum, a), NO_RESOURCES);
+    const need = machine.byPriority.reduce((sum, resources) => addResources(sum, resources), NO_RESOURCES);
     if (need.cpus <= 0 && need.gpus <= 0) return;
     const { isSilent } = this.input;
     const planned = this.#plannedMachines.find(
-      (b) => b.spot === machine.spot && !isSilent(b.zone) && fitsIn(need, b.free),
+      ({ spot, zone, free }) => spot === machine.spot && !isSilent(zone) && fitsIn(need, free),
     );
     if (planned === undefined) this.#scaleOutInShares(need, machine.spot);
     else planned.free = subtractResources(planned.free, need);
   }
 
-  /** Of which jobs the tasks are is not known here: a type that holds less than all of them takes a share. */
+  /** The jobs of the tasks are not known here: a type that holds less than all of them takes a share. */
   #scaleOutInShares(need: Resources, spot: boolean): void {
-    let left = need;
-    while (left.cpus > 0 || left.gpus > 0) {
-      const demands = [unitsOf(left, spot)];
+    let remaining = need;
+    while (remaining.cpus > 0 || remaining.gpus > 0) {
+      const demands = [unitDemand(remaining, spot)];
       const planned = this.#scaleOut('suspect machine', demands, (option) => option.spot === spot);
-      const share = planned === null ? NO_RESOURCES : least(left, planned.free);
+      const share = planned === null ? NO_RESOURCES : minResources(remaining, planned.free);
       if (planned === null || (share.cpus <= 0 && share.gpus <= 0)) return;
       planned.free = subtractResources(planned.free, share);
-      left = subtractResources(left, share);
+      remaining = subtractResources(remaining, share);
     }
   }
 
-  /** Machines for tasks that have no room, the first the most urgent. `spareGpus`: what spare room is short of. */
+  /**
+   * Plans machines for tasks that fit nowhere. `spareGpus`: GPUs that the headroom lacks; they could share the
+   * machines.
+   */
   serve(unschedulable: readonly UnschedulableDemand[], spareGpus: number): void {
     const spare = spareDemand(spareGpus);
     const demands = unschedulable.map(({ job: { spec }, count }) => demandOf(spec, count));
-    unschedulable.forEach((entry, at) => {
-      const following = (): ScaleOutDemand[] => [...demands.slice(at + 1), spare];
-      for (let left = entry.count; left > 0; left--) {
-        if (!this.#serveOne(entry, { ...demands[at]!, count: left }, following)) return;
+    unschedulable.forEach((entry, index) => {
+      const following = (): ScaleOutDemand[] => [...demands.slice(index + 1), spare];
+      for (let remaining = entry.count; remaining > 0; remaining--) {
+        if (!this.#serveOne(entry, { ...demands[index]!, count: remaining }, following)) return;
       }
     });
   }
 
-  /** Finds or rents room for one task; false: none can be had. */
+  /** Finds a machine for one task, or plans one; false: none can be had. */
   #serveOne(
     { job: { spec }, zones }: UnschedulableDemand,
     demand: ScaleOutDemand,
@@ -145,28 +133,25 @@
     const onlySpot = this.input.onlySpot(spec);
     const inZones = (zone: string): boolean => zones === null || zones.includes(zone);
     const ready = this.#plannedMachines.find(
-      (b) =>
-        (b.spot || !onlySpot) &&
-        inZones(b.zone) &&
-        allowsMachine(spec, b.type.name, b.zone, b.spot) &&
-        fitsIn(spec, b.free),
+      ({ type, zone, spot, free }) =>
+        (spot || !onlySpot) && inZones(zone) && allowsMachine(spec, type.name, zone, spot) && fitsIn(spec, free),
     );
-    const allowed = ({ type, zone, spot }: MachineOption): boolean =>
-      fitsIn(spec, type) && inZones(zone) && allowsMachine(spec, type.name, zone, spot) && (spot || !onlySpot);
+    const isAllowed = (option: MachineOption): boolean =>
+      inZones(option.zone) && canRunOnOption(spec, option) && (option.spot || !onlySpot);
     const planned =
-      ready ?? this.#keep(demand, allowed) ?? this.#scaleOut('waiting task', [demand, ...following()], allowed);
+      ready ?? this.#keep(demand, isAllowed) ?? this.#scaleOut('waiting task', [demand, ...following()], isAllowed);
     if (planned === null) return false;
     planned.free = subtractResources(planned.free, spec);
     return true;
   }
 
-  /** Ordinary machines until so many GPUs are free on them, beyond those that are free already. */
+  /** Plans ordinary machines until `targetGpus` are free, given that `freeGpus` are on the machines that are up. */
   keepSpare(freeGpus: number, targetGpus: number): void {
     let free = this.#plannedMachines.reduce((sum, planned) => sum + (planned.spot ? 0 : planned.free.gpus), freeGpus);
-    const allowed = (option: MachineOption): boolean => !option.spot;
+    const isAllowed = (option: MachineOption): boolean => !option.spot;
     while (free < targetGpus) {
       const demand = spareDemand(targetGpus - free);
-      const planned = this.#keep(demand, allowed) ?? this.#scaleOut('spare room', [demand], allowed);
+      const planned = this.#keep(demand, isAllowed) ?? this.#scaleOut('spare room', [demand], isAllowed);
       if (planned === null || planned.type.gpus <= 0) return;
       free += planned.type.gpus;
     }
@@ -174,22 +159,22 @@
 
   /** One request for each type, zone and kind; `nameOf` gives each a name of its own. */
   requests(nameOf: () => string): PlannedScaleOut[] {
-    const byPlace = new Map<string, PlannedScaleOut>();
+    const requestByOption = new Map<string, PlannedScaleOut>();
     for (const { type, zone, spot, reason } of this.#plannedMachines) {
       if (reason === null) continue;
       const key = machineOptionKey(type.name, zone, spot);
-      const count = Math.min(MACHINES_PER_REQUEST, (byPlace.get(key)?.count ?? 0) + 1);
-      const first = byPlace.get(key) ?? { request: '', type: type.name, zone, spot, count, reason };
-      byPlace.set(key, { ...first, count });
+      const count = Math.min(MACHINES_PER_REQUEST, (requestByOption.get(key)?.count ?? 0) + 1);
+      const first = requestByOption.get(key) ?? { request: '', type: type.name, zone, spot, count, reason };
+      requestByOption.set(key, { ...first, count });
     }
-    return [...byPlace.values()].map((scaleOut) => ({ ...scaleOut, request: nameOf() }));
+    return [...requestByOption.values()].map((scaleOut) => ({ ...scaleOut, request: nameOf() }));
   }
 
-  /** Keeps a machine that was to be given back; null: none is of use. */
-  #keep({ need }: ScaleOutDemand, allowed: (option: MachineOption) => boolean): PlannedMachine | null {
+  /** Keeps a machine that was to be returned; null: none is of use. */
+  #keep({ need }: ScaleOutDemand, isAllowed: (option: MachineOption) => boolean): PlannedMachine | null {
     for (const machine of this.#drainingIdleMachines) {
       const type = this.input.types.get(machine.type);
-      if (type === undefined || countFitting(need, type) === 0 || !allowed({ ...machine, type })) continue;
+      if (type === undefined || countFitting(need, type) === 0 || !isAllowed({ ...machine, type })) continue;
       this.#drainingIdleMachines.delete(machine);
       this.#kept.add(machine.name);
       const planned = { type, zone: machine.zone, spot: machine.spot, free: capacityOf(type), reason: null };
@@ -199,29 +184,30 @@
     return null;
   }
 
+  /** Plans the machine that serves the first demand best; null: none may be rented. */
   #scaleOut(
-    reason: ScaleOutReason['for'],
+    purpose: ScaleOutReason['for'],
     demands: readonly ScaleOutDemand[],
-    allowed: (option: MachineOption) => boolean,
+    isAllowed: (option: MachineOption) => boolean,
   ): PlannedMachine | null {
     const { clusterConfig, types, wasRefused } = this.input;
     const isOfUse = ({ type }: MachineOption): boolean =>
       demands.slice(0, 1).every(({ need }) => countFitting(need, type) > 0);
     const options = this.#options.filter(
-      (option) => isOfUse(option) && allowed(option) && this.#isBelowLimit(option.spot),
+      (option) => isOfUse(option) && isAllowed(option) && this.#isBelowLimit(option.spot),
     );
     const choice = chooseMachineOption({
       clusterConfig,
       types,
-      machinesIn: this.#machinesIn,
+      machinesIn: this.#machineCountByZone,
       demands,
       options,
       wasRefused,
     });
     if (choice === null) return null;
     const { type, zone, spot } = choice.chosen.option;
-    this.#countIn(zone, spot);
-    const planned = { type, zone, spot, free: capacityOf(type), reason: reasonOf(reason, choice) };
+    this.#countMachine(zone, spot);
+    const planned = { type, zone, spot, free: capacityOf(type), reason: reasonOf(purpose, choice) };
     this.#plannedMachines.push(planned);
     return planned;
   }
@@ -231,52 +217,8 @@
     return spot ? this.#count.spot < maxSpotMachines : this.#count.ordinary < maxOrdinaryMachines;
   }
 
-  #countIn(zone: string, spot: boolean): void {
-    this.#machinesIn.set(zone, (this.#machinesIn.get(zone) ?? 0) + 1);
+  #countMachine(zone: string, spot: boolean): void {
+    this.#machineCountByZone.set(zone, (this.#machineCountByZone.get(zone) ?? 0) + 1);
     this.#count[spot ? 'spot' : 'ordinary']++;
   }
 }
-
-/** Names a type, zone and kind together. */
-export function machineOptionKey(type: string, zone: string, spot: boolean): string {
-  return `${type}/${zone}/${spot ? 'spot' : 'ordinary'}`;
-}
-
-function demandOf(spec: JobSpec, count: number): ScaleOutDemand {
-  const { imageGb, types, spot, estimateS } = spec;
-  return { need: spec, count, imageGb, types, spot, runMs: estimateS * 1000 };
-}
-
-/** Room for services that are to come: it is counted in GPUs. */
-function spareDemand(gpus: number): ScaleOutDemand {
-  return unitsOf({ ...NO_RESOURCES, gpus: Math.max(0, gpus) }, false);
-}
-
-/** Room that may be had in any pieces: one GPU each or, where none is needed, one CPU. */
-function unitsOf({ cpus, gpus }: Resources, spot: boolean): ScaleOutDemand {
-  const need = gpus > 0 ? { ...NO_RESOURCES, gpus: 1 } : { ...NO_RESOURCES, cpus: 1 };
-  return { need, count: Math.ceil(gpus > 0 ? gpus : cpus), imageGb: 0, types: null, spot, runMs: 0 };
-}
-
-function least(a: Resources, b: Resources): Resources {
-  return {
-    cpus: Math.min(a.cpus, b.cpus),
-    gpus: Math.min(a.gpus, b.gpus),
-    memoryGb: Math.min(a.memoryGb, b.memoryGb),
-  };
-}
-
-function reasonOf(need: ScaleOutReason['for'], { chosen, nextBest }: ScaleOutChoice): ScaleOutReason {
-  const next = nextBest === null ? null : { type: nextBest.option.type.name, spot: nextBest.option.spot };
-  return {
-    for: need,
-    chosen: figuresOf(chosen),
-    nextBest: nextBest === null ? null : { ...next!, ...figuresOf(nextBest) },
-  };
-}
-
-/** Rounded, for a line of the log. */
-function figuresOf({ startMs, costRatio, cost }: ScaleOutCost): ScaleOutFigures {
-  const round = (n: number): number => Math.round(n * 100) / 100;
-  return { startMs: Math.round(startMs), costRatio: round(costRatio), cost: round(cost) };
-}
--- a/packages/core/src/cluster/resources.ts
+++ b/packages/core/src/cluster/resources.ts
@@ -40,3 +40,12 @@
 export function subtractResources(a: Resources, b: Resources, count = 1): Resources {
   return { cpus: a.cpus - b.cpus * count, gpus: a.gpus - b.gpus * count, memoryGb: a.memoryGb - b.memoryGb * count };
 }
+
+/** Of each kind the lesser amount. */
+export function minResources(a: Resources, b: Resources): Resources {
+  return {
+    cpus: Math.min(a.cpus, b.cpus),
+    gpus: Math.min(a.gpus, b.gpus),
+    memoryGb: Math.min(a.memoryGb, b.memoryGb),
+  };
+}
