--- a/packages/core/src/autoscaling/scale-out-choice.ts
+++ b/packages/core/src/autoscaling/scale-out-choice.ts
@@ -2,6 +2,7 @@
 import { isRentable, type MachineType } from '@gingerlock/wire';
 import type { ClusterConfig } from '../cluster/cluster-config';
 import { bootMsOf } from '../cluster/machine-boot-time';
+import { allowsType } from '../cluster/placement-constraints';
 import { countFitting, type Resources, subtractResources } from '../cluster/resources';
 import { fetchMs } from '../scheduling/start-time';
 import { capacityOf, type MachineOption } from './machine-option';
@@ -75,7 +76,7 @@
   let remaining: Resources = capacityOf(type);
   let worth = 0;
   for (const demand of demands) {
-    if (demand.spot !== first.spot || !allowsType(demand, type)) continue;
+    if (demand.spot !== first.spot || !allowsType(demand, type.name)) continue;
     const count = Math.min(demand.count, countFitting(demand.need, remaining));
     if (count <= 0) continue;
     worth += count * leastPrice(demand, types);
@@ -101,17 +102,13 @@
   let least = Infinity;
   for (const type of types.values()) {
     const count = countFitting(demand.need, capacityOf(type));
-    if (count <= 0 || !isRentable(type) || !allowsType(demand, type)) continue;
+    if (count <= 0 || !isRentable(type) || !allowsType(demand, type.name)) continue;
     const price = demand.spot ? Math.min(type.price, type.spotPrice) : type.price;
     least = Math.min(least, price / count);
   }
   return least === Infinity ? 0 : least;
 }
 
-function allowsType(demand: ScaleOutDemand, type: MachineType): boolean {
-  return demand.types === null || demand.types.includes(type.name);
-}
-
 /**
  * The order of options that cost the same, whatever order they come in: those that were not refused lately first,
  * then the zone with the fewest machines, then as the settings list the zones.
--- a/packages/core/src/cluster/placement-constraints.ts
+++ b/packages/core/src/cluster/placement-constraints.ts
@@ -1,16 +1,20 @@
 // Which machines a job may run on, and which jobs can never run.
 import type { JobSpec, MachineType } from '@gingerlock/wire';
-import { type ClusterConfig } from './cluster-config';
-import { fitsIn, NO_RESOURCES } from './resources';
+import type { ClusterConfig } from './cluster-config';
 import { countWithinLimit } from './quota';
+import { fitsIn, NO_RESOURCES } from './resources';
 
+/** Whether the job may run on machines of the type, in the zone, and of the kind, whatever is free there. */
 export function allowsMachine(job: JobSpec, type: string, zone: string, spot: boolean): boolean {
-  return (
-    (job.types === null || job.types.includes(type)) && (job.zone === null || job.zone === zone) && (!spot || job.spot)
-  );
+  return allowsType(job, type) && (job.zone === null || job.zone === zone) && (!spot || job.spot);
+}
+
+/** Whether the tasks may run on machines of the type: those that name no types may run on any. */
+export function allowsType({ types }: Pick<JobSpec, 'types'>, type: string): boolean {
+  return types === null || types.includes(type);
 }
 
-/** Why a job can never run, or null if it can. */
+/** Why a job can never run, as users are told; null: it can. */
 export function unschedulableReason(
   job: JobSpec,
   clusterConfig: ClusterConfig,
@@ -18,17 +22,14 @@
 ): string | null {
   const team = clusterConfig.teams.get(job.team);
   if (team === undefined) return `unknown team ${job.team}`;
-  const fitting = types.filter(
-    (t) =>
-      (job.types === null || job.types.includes(t.name)) &&
-      (job.zone === null || t.zones.includes(job.zone)) &&
-      fitsIn(job, t),
-  );
-  if (fitting.length === 0) return 'a task fits no allowed machine type';
-  const atOnce = job.kind === 'service' ? job.tasks : 1;
-  if (countWithinLimit(team, NO_RESOURCES, job) < atOnce) return `needs more than the limit of team ${job.team}`;
-  if (job.spread && job.tasks > 1 && (job.oneZone || job.zone !== null)) {
+  if (!types.some((type) => couldRunOn(job, type))) return 'a task fits no allowed machine type';
+  const tasksAtOnce = job.kind === 'service' ? job.tasks : 1;
+  if (countWithinLimit(team, NO_RESOURCES, job) < tasksAtOnce) return `needs more than the limit of team ${job.team}`;
+  if (job.spread && job.tasks > 1 && (job.oneZone || job.zone !== null))
     return 'tasks can not be both in one zone and spread over zones';
-  }
   return null;
 }
+
+function couldRunOn(job: JobSpec, type: MachineType): boolean {
+  return allowsType(job, type.name) && (job.zone === null || type.zones.includes(job.zone)) && fitsIn(job, type);
+}
--- a/packages/core/src/cluster/resources.ts
+++ b/packages/core/src/cluster/resources.ts
@@ -1,14 +1,21 @@
 // Arithmetic on the resources of machines and tasks.
 
+/** An amount of each kind of resource. */
 export interface Resources {
+  /** Cores; may be a fraction. */
   readonly cpus: number;
+  /** Accelerators. */
   readonly gpus: number;
   readonly memoryGb: number;
 }
 
+/** Nothing of any kind. */
+export const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
+
 /** Sums of decimal amounts are compared with this much slack. */
 export const EPSILON = 1e-6;
 
+/** Whether `need` is covered by `available`, kind by kind. */
 export function fitsIn(need: Resources, available: Resources): boolean {
   return (
     need.cpus <= available.cpus + EPSILON &&
@@ -17,26 +24,12 @@
   );
 }
 
-export function addResources(a: Resources, b: Resources, factor = 1): Resources {
-  return { cpus: a.cpus + b.cpus * factor, gpus: a.gpus + b.gpus * factor, memoryGb: a.memoryGb + b.memoryGb * factor };
-}
-
-export const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
-
-/** How many times `need` goes into `room`. */
-export function countFitting(need: Resources, available: Resources): number {
-  const ratio = (n: number, r: number): number => (n <= 0 ? Infinity : Math.floor((r + EPSILON) / n));
-  return Math.max(
-    0,
-    Math.min(
-      ratio(need.cpus, available.cpus),
-      ratio(need.gpus, available.gpus),
-      ratio(need.memoryGb, available.memoryGb),
-    ),
-  );
+/** `a` and `count` times `b`. */
+export function addResources(a: Resources, b: Resources, count = 1): Resources {
+  return { cpus: a.cpus + b.cpus * count, gpus: a.gpus + b.gpus * count, memoryGb: a.memoryGb + b.memoryGb * count };
 }
 
-/** What is left of `a` without `count` times `b`. */
+/** What is left of `a` without `count` times `b`; may be below zero. */
 export function subtractResources(a: Resources, b: Resources, count = 1): Resources {
   return { cpus: a.cpus - b.cpus * count, gpus: a.gpus - b.gpus * count, memoryGb: a.memoryGb - b.memoryGb * count };
 }
@@ -49,3 +42,20 @@
     memoryGb: Math.min(a.memoryGb, b.memoryGb),
   };
 }
+
+/** How many times `need` goes into `available`; Infinity: it needs nothing. */
+export function countFitting(need: Resources, available: Resources): number {
+  return Math.max(
+    0,
+    Math.min(
+      countFittingAmount(need.cpus, available.cpus),
+      countFittingAmount(need.gpus, available.gpus),
+      countFittingAmount(need.memoryGb, available.memoryGb),
+    ),
+  );
+}
+
+/** How many times an amount of one kind goes into another, below zero if that is; Infinity: nothing is needed. */
+export function countFittingAmount(need: number, available: number): number {
+  return need <= 0 ? Infinity : Math.floor((available + EPSILON) / need);
+}
