--- a/packages/core/test/assignment.test.ts
+++ b/packages/core/test/assignment.test.ts
@@ -31,24 +31,24 @@
   return machineStatusOf(name, { zone, free: { cpus: 48, gpus: freeGpus, memoryGb: 192 } });
 }
 
-/** An assignment of so many waiting jobs among so many machines; how often a machine was looked at. */
-function looks(
-  machines: number,
-  jobs: number,
+/** Assigns so many waiting jobs to so many machines, and counts how often a machine is looked at. */
+function countLooks(
+  machineCount: number,
+  jobCount: number,
   freeGpus: number,
 ): { looks: number; assigned: number; unschedulable: number } {
-  let n = 0;
-  const machineStatuses = Array.from({ length: machines }, (_, i): MachineStatus => {
+  let looks = 0;
+  const machineStatuses = Array.from({ length: machineCount }, (_, i): MachineStatus => {
     const machine = machineStatusIn(`m-${i}`, ZONES[i % 3]!, freeGpus);
     return new Proxy(machine, {
       get(target, property) {
-        if (property === 'zone') n++;
+        if (property === 'zone') looks++;
         return Reflect.get(target, property) as unknown;
       },
     });
   });
   const table = new JobTable(() => 64);
-  for (let i = 0; i < jobs; i++) {
+  for (let i = 0; i < jobCount; i++) {
     const spec = specOf(`j-${i}`, { image: `img-${i % 7}` });
     const record = { final: null, spec, acceptedAt: i, cancelled: false, isCrashLooping: false, assignedRanges: [] };
     table.applyJob(spec.id, jobRecord.write(record), i + 1);
@@ -74,27 +74,27 @@
     heldBack: null,
     groups: null,
   });
-  return { looks: n, assigned: assignments.length, unschedulable: unschedulable.length };
+  return { looks, assigned: assignments.length, unschedulable: unschedulable.length };
 }
 
-// A leader with no room left once looked through all machines for every waiting task, at every assignment.
+// Without that, a leader whose machines are full looks through all of them for every waiting task, at every assignment.
 test('one assignment looks at machines no more often than in step with how many there are, however many jobs wait', () => {
-  const small = looks(50, 100, 8);
+  const small = countLooks(50, 100, 8);
   assert.equal(small.assigned, 12);
-  assert.ok(looks(100, 100, 8).looks <= small.looks * 2.1);
-  assert.ok(looks(50, 400, 8).looks <= small.looks * 1.1);
-  const full = looks(50, 100, 0);
+  assert.ok(countLooks(100, 100, 8).looks <= small.looks * 2.1);
+  assert.ok(countLooks(50, 400, 8).looks <= small.looks * 1.1);
+  const full = countLooks(50, 100, 0);
   assert.equal(full.unschedulable, 100);
-  assert.ok(looks(100, 100, 0).looks <= full.looks * 2.1);
-  assert.ok(looks(50, 400, 0).looks <= full.looks * 1.1);
+  assert.ok(countLooks(100, 100, 0).looks <= full.looks * 2.1);
+  assert.ok(countLooks(50, 400, 0).looks <= full.looks * 1.1);
   for (const free of [8, 0]) {
-    const earlier = looks(200, 400, free);
-    assert.ok(looks(900, 1800, free).looks <= earlier.looks * 4.5 * 1.1, `${free} free`);
+    const earlier = countLooks(200, 400, free);
+    assert.ok(countLooks(900, 1800, free).looks <= earlier.looks * 4.5 * 1.1, `${free} free`);
   }
 });
 
-// The rounds of a job keep its finished tasks, and they once counted as if they still ran: the rest of a job of one zone waited
-// for a zone that had lost its machines.
+// The assigned ranges of a job keep its finished tasks. If these counted as if they still ran, the rest of a job of
+// one zone would wait for a zone that may have lost its machines.
 test('a job of one zone goes on in another once all its tasks there are finished, and not while one may run', () => {
   const table = new JobTable(() => 64);
   const spec = specOf('j-1', { oneZone: true });
@@ -104,7 +104,7 @@
     jobRecord.write({ final: null, spec, acceptedAt: 0, cancelled: false, isCrashLooping: false, assignedRanges }),
     1,
   );
-  const zonesDealt = (): (string | null)[] => {
+  const assignedZones = (): (string | null)[] => {
     const { assignments } = assignTasks({
       now: 0,
       probes: new ProbeSchedule(clusterConfig),
@@ -127,7 +127,7 @@
       heldBack: null,
       groups: null,
     });
-    return assignments.flatMap((d) => d.added.filter((range) => range.from >= 2).map((range) => range.zone));
+    return assignments.flatMap(({ added }) => added.filter((range) => range.from >= 2).map((range) => range.zone));
   };
   const finish = (tasks: number, version: number): void =>
     table.applyFinished(
@@ -135,9 +135,9 @@
       finishedRecord.write(new Uint8Array([2 ** tasks - 1])),
       version,
     );
-  assert.deepEqual(zonesDealt(), []);
+  assert.deepEqual(assignedZones(), []);
   finish(1, 2);
-  assert.deepEqual(zonesDealt(), []);
+  assert.deepEqual(assignedZones(), []);
   finish(2, 3);
-  assert.deepEqual(zonesDealt(), ['b']);
+  assert.deepEqual(assignedZones(), ['b']);
 });
--- a/packages/core/test/autoscaler.test.ts
+++ b/packages/core/test/autoscaler.test.ts
@@ -33,12 +33,12 @@
   return { name, addr: '', type: 'box', zone: 'a', spot: false, state: 'running', ageS };
 }
 
-/** A machine on which replicas hold so many accelerators. */
+/** A machine on which replicas use so many GPUs. */
 function used(name: string, gpus: number, over: Partial<MachineStatus> = {}): MachineStatus {
-  const taken = { cpus: gpus * 2, gpus, memoryGb: gpus * 8 };
+  const usedResources = { cpus: gpus * 2, gpus, memoryGb: gpus * 8 };
   return machineStatusOf(name, {
-    free: { cpus: 8 - taken.cpus, gpus: 4 - gpus, memoryGb: 32 - taken.memoryGb },
-    byPriority: [taken, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES],
+    free: { cpus: 8 - usedResources.cpus, gpus: 4 - gpus, memoryGb: 32 - usedResources.memoryGb },
+    byPriority: [usedResources, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES],
     ...over,
   });
 }
@@ -56,7 +56,7 @@
   }));
 }
 
-test('a new leader gives machines time to be heard before it returns silent ones', () => {
+test('a new leader gives machines time to send a heartbeat before it returns silent ones', () => {
   const autoscaler = new Autoscaler(clusterConfig, 1, limits);
   autoscaler.applyCloudList([listed('m-1', 500), listed('m-2', 500)], 0);
   const plan = (now: number, machines: readonly MachineStatus[], term: number): readonly string[] =>
@@ -64,7 +64,7 @@
       .scaleIn;
   assert.deepEqual(plan(100, [], 1), []);
   assert.deepEqual(plan(10_000, [machineStatusOf('m-1')], 1), []);
-  // Its part has a new owner: that one, too, is given the time.
+  // Its partition has a new owner: that one, too, is given the time.
   assert.deepEqual(plan(13_000, [machineStatusOf('m-1')], 2), []);
   assert.deepEqual(plan(20_000, [machineStatusOf('m-1')], 2), []);
   assert.deepEqual(plan(26_000, [machineStatusOf('m-1')], 2), ['m-2']);
@@ -73,12 +73,12 @@
 test('machines that boot at once are kept until work can be assigned to them', () => {
   const autoscaler = new Autoscaler(clusterConfig, 1, limits);
   const quick = new Map([['box', { ...type, bootS: 0.1 }]]);
-  const empty = [machineStatusOf('m-1', { empty: true, emptyMs: 1500 }), used('m-2', 3), used('m-3', 3)];
+  const machines = [machineStatusOf('m-1', { empty: true, emptyMs: 1500 }), used('m-2', 3), used('m-3', 3)];
   autoscaler.applyCloudList([listed('m-1', 5), listed('m-2', 5), listed('m-3', 5)], 0);
   const plan = autoscaler.plan({
     now: 100,
     types: quick,
-    statuses: statuses(1, empty),
+    statuses: statuses(1, machines),
     unschedulable: [],
     partitioner: PARTITIONER,
   });
@@ -115,17 +115,18 @@
 
 /** A machine that holds nothing and for which waiting batch work is planned. */
 function planned(name: string, over: Partial<MachineStatus> = {}): MachineStatus {
-  const taken = { cpus: 2, gpus: 1, memoryGb: 8 };
+  const plannedResources = { cpus: 2, gpus: 1, memoryGb: 8 };
   return used(name, 1, {
-    byPriority: [NO_RESOURCES, NO_RESOURCES, taken, NO_RESOURCES],
+    byPriority: [NO_RESOURCES, NO_RESOURCES, plannedResources, NO_RESOURCES],
     empty: true,
     emptyMs: 60_000,
     ...over,
   });
 }
 
-// Once told as empty it was given back, and once told as in use it was emptied: its tasks waited for the next machine, and so on.
-test('a machine for which waiting tasks are planned is neither given back nor emptied', () => {
+// If it counted as empty it would be returned, and if it counted as in use it would be emptied: its tasks would wait
+// for the next machine, and so on.
+test('a machine for which waiting tasks are planned is neither returned nor emptied', () => {
   assert.equal(machineUse(planned('m-1')), 'planned');
   assert.equal(machineUse(planned('m-1', { empty: false })), 'in use');
   assert.equal(machineUse(machineStatusOf('m-1', { empty: true })), 'idle');
@@ -149,7 +150,7 @@
   assert.deepEqual(plan.scaleIn, []);
 });
 
-test('an idle machine that was to be given back is kept, and none rented, when a task comes that fits it', () => {
+test('an idle machine that was to be returned is kept, and none rented, when a task comes that fits it', () => {
   const autoscaler = new Autoscaler(clusterConfig, 1, limits);
   const others = [used('m-2', 4), used('m-3', 4)];
   autoscaler.applyCloudList(
@@ -171,7 +172,7 @@
   assert.deepEqual(planWith(100, idle, 0).drain, ['m-1']);
   const kept = planWith(200, drained, 4);
   assert.deepEqual([kept.scaleOut, kept.scaleIn, kept.drain], [[], [], []]);
-  // More than it holds: what is left is rented for.
+  // More than it holds: for the rest a machine is rented.
   assert.deepEqual(planWith(300, idle, 0).drain, ['m-1']);
   const both = planWith(400, drained, 5);
   assert.deepEqual([both.scaleIn, both.scaleOut.map(({ count }) => count)], [[], [1]]);
@@ -191,10 +192,10 @@
   assert.deepEqual(plan(41_000), ['m-9']);
 });
 
-test('nothing is rented in a zone that fell silent, also by a leader that never heard it', () => {
+test('nothing is rented in a zone that fell silent, also by a leader that never had a heartbeat from it', () => {
   const silent = { zone: 'b', silentMs: 4000 };
-  const heard = [used('m-1', 4), used('m-2', 4)];
-  const cut = ['m-3', 'm-4'].map((n) => used(n, 4, silent));
+  const responsive = [used('m-1', 4), used('m-2', 4)];
+  const cutOff = ['m-3', 'm-4'].map((n) => used(n, 4, silent));
   const list = [
     listed('m-1', 500),
     listed('m-2', 500),
@@ -208,22 +209,22 @@
 
   const old = new Autoscaler(clusterConfig, 1, wanted);
   old.applyCloudList(list, 0);
-  assert.deepEqual(zones(old, 100, [...heard, ...cut]), ['a']);
+  assert.deepEqual(zones(old, 100, [...responsive, ...cutOff]), ['a']);
 
   const fresh = new Autoscaler(clusterConfig, 2, wanted);
   fresh.applyCloudList(list, 0);
-  assert.deepEqual(zones(fresh, 100, heard), ['a']);
-  // Its silent machines are returned in time: the note outlasts them.
+  assert.deepEqual(zones(fresh, 100, responsive), ['a']);
+  // Its silent machines are returned in time: the zone counts as silent for longer.
   fresh.recordScaleIn(['m-3', 'm-4'], 200);
-  assert.deepEqual(zones(fresh, 300, heard), ['a']);
-  // Heard again.
-  const back = [...heard, used('m-5', 4, { zone: 'b' })];
+  assert.deepEqual(zones(fresh, 300, responsive), ['a']);
+  // A heartbeat from there.
+  const back = [...responsive, used('m-5', 4, { zone: 'b' })];
   assert.ok(zones(fresh, 400, back).includes('b'));
 });
 
-// Machines that the cloud had taken stayed in their parts' books as silent ones: where all of a zone's were of that kind, the
-// zone was taken for cut off, and jobs that had to run there waited for ever.
-test('a silent machine that is listed no more is returned, so that its part forgets it and its zone is served', () => {
+// If machines that the cloud has taken stayed in their partitions' tables as silent ones, a zone in which all are of
+// that kind would count as cut off, and jobs that have to run there would wait for ever.
+test('a silent machine that is listed no more is returned, so that its partition forgets it and its zone is served', () => {
   const autoscaler = new Autoscaler(clusterConfig, 1, limits);
   autoscaler.applyCloudList([listed('m-1', 500)], 0);
   const gone = { ...used('m-1', 2), silentMs: 1e9 };
@@ -240,22 +241,22 @@
   assert.deepEqual(plan(7000), []);
 });
 
-test('a machine that fell silent, or is not heard by a new owner, has its room rented before its lease is over', () => {
+test('a machine that fell silent, or sends a new owner no heartbeat, is replaced before its lease is over', () => {
   const plan = (machines: readonly MachineStatus[], missing = NO_RESOURCES): number => {
     const autoscaler = new Autoscaler(clusterConfig, 1, limits);
     autoscaler.applyCloudList(
       machines.map((m) => listed(m.name, 500)),
       0,
     );
-    const heard = statuses(1, machines).map((s, i) => (i === 0 ? { ...s, missing } : s));
+    const current = statuses(1, machines).map((status, i) => (i === 0 ? { ...status, missing } : status));
     return autoscaler
-      .plan({ now: 100, types, statuses: heard, unschedulable: [], partitioner: PARTITIONER })
-      .scaleOut.reduce((n, r) => n + r.count, 0);
+      .plan({ now: 100, types, statuses: current, unschedulable: [], partitioner: PARTITIONER })
+      .scaleOut.reduce((sum, { count }) => sum + count, 0);
   };
   const well = [used('m-1', 4), used('m-2', 4), used('m-3', 4)];
   assert.equal(plan(well), 0);
   assert.equal(plan([...well, used('m-4', 4, { silentMs: 4000 })]), 1);
-  // An empty one is not missed, and silence from most machines is trouble of ours.
+  // An empty one is not missed, and silence from most machines is a fault of this controller's own.
   assert.equal(plan([...well, machineStatusOf('m-4', { silentMs: 4000, empty: true })]), 0);
   assert.equal(plan([well[0]!, ...['m-2', 'm-3', 'm-4'].map((n) => used(n, 4, { silentMs: 4000 }))]), 0);
   const missing = { cpus: 12, gpus: 6, memoryGb: 48 };
@@ -264,7 +265,7 @@
   assert.equal(plan([...well, machineStatusOf('m-4')], missing), 1);
 });
 
-test('a nearly empty machine is emptied only while what is there fits elsewhere and room enough is left', () => {
+test('a nearly empty machine is emptied only while what is there fits elsewhere and enough stays free', () => {
   const plan = (machines: readonly MachineStatus[]): readonly string[] => {
     const autoscaler = new Autoscaler(clusterConfig, 1, { ...limits, headroom: 0.1 });
     return autoscaler.plan({
@@ -276,17 +277,17 @@
     }).drain;
   };
   assert.deepEqual(plan([used('m-1', 1), used('m-2', 2), used('m-3', 2), used('m-4', 3)]), ['m-1']);
-  assert.deepEqual(plan([used('m-1', 1), used('m-2', 4), used('m-3', 3)]), [], 'no room to spare');
+  assert.deepEqual(plan([used('m-1', 1), used('m-2', 4), used('m-3', 3)]), [], 'nothing to spare');
   const elsewhere = ['m-2', 'm-3', 'm-4'].map((n) => used(n, 2, { zone: 'b' }));
   assert.deepEqual(
     plan([used('m-1', 1), ...elsewhere]).filter((n) => n === 'm-1'),
     [],
-    'no room in its zone',
+    'nothing free in its zone',
   );
 });
 
-// The cloud's list may be far older than usual. Machines that it did not show yet, or not any more as it had gone back in time, were
-// taken for gone and returned while they booted, and rented again.
+// The cloud's list may be far older than usual. Machines that it does not show yet, or not any more as it has gone
+// back in time, would count as gone, and would be returned while they boot and rented again.
 test('a list that describes the past has no machine returned that was rented after that time', () => {
   const autoscaler = new Autoscaler(clusterConfig, 1, limits);
   const plan = (now: number): readonly string[] =>
@@ -325,8 +326,8 @@
   assert.deepEqual(plan(6000), ['m-2']);
 });
 
-// Long idle work of guests had machines rented at the ordinary price, and kept the leader from emptying any.
-test('for work of a team without a guarantee that may run on spot nothing else is rented, and machines are emptied all the same', () => {
+// Otherwise long idle work of guests has machines rented at the ordinary price, and keeps the leader from emptying any.
+test('for work of a team without a guarantee that may run on spot only spot is rented, and machines are emptied all the same', () => {
   const teams = new Map([
     ['red', { name: 'red', cpus: 0, gpus: 4, cpusMax: 0, gpusMax: 0 }],
     ['guests', { name: 'guests', cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 0 }],
@@ -347,7 +348,7 @@
       partitioner: PARTITIONER,
     });
   };
-  const countRented = ({ scaleOut }: AutoscalerPlan): number => scaleOut.reduce((n, r) => n + r.count, 0);
+  const countRented = ({ scaleOut }: AutoscalerPlan): number => scaleOut.reduce((sum, { count }) => sum + count, 0);
   assert.equal(countRented(plan('red', true)), 2);
   assert.equal(countRented(plan('guests', false)), 2);
   assert.equal(countRented(plan('guests', true)), 0);
@@ -355,10 +356,10 @@
   assert.deepEqual(plan('red', true).drain, []);
 });
 
-// The dearer type for each GPU was kept, and the cheaper one given back, for it had been empty for a moment longer.
-test('of machines whose room can be spared the dearest for each GPU go first, empty or nearly so', () => {
-  const dear = { ...type, name: 'dear', gpus: 2, cpus: 4, memoryGb: 16, price: 3, spotPrice: 0.8 };
-  const two = new Map([type, dear].map((t) => [t.name, t]));
+// By the time alone for which they have been empty, the type with the higher price for each GPU would be kept.
+test('of machines that can be spared the most expensive for each GPU go first, empty or nearly so', () => {
+  const expensive = { ...type, name: 'expensive', gpus: 2, cpus: 4, memoryGb: 16, price: 3, spotPrice: 0.8 };
+  const two = new Map([type, expensive].map((t) => [t.name, t]));
   const drained = (machines: readonly MachineStatus[], headroom: number): readonly string[] => {
     const autoscaler = new Autoscaler(clusterConfig, 1, { ...limits, headroom });
     return autoscaler.plan({
@@ -374,11 +375,11 @@
     machineStatusOf(name, { empty: true, ...over });
   const busy = used('m-1', 4);
   const box = empty('m-2', { emptyMs: 90_000 });
-  const dearBox = empty('m-3', { type: 'dear', free: half, emptyMs: 60_000 });
-  assert.deepEqual(drained([busy, box, dearBox], 0.5), ['m-3']);
+  const expensiveBox = empty('m-3', { type: 'expensive', free: half, emptyMs: 60_000 });
+  assert.deepEqual(drained([busy, box, expensiveBox], 0.5), ['m-3']);
   const one = { cpus: 2, gpus: 1, memoryGb: 8 };
   const nearlyEmpty = machineStatusOf('m-6', {
-    type: 'dear',
+    type: 'expensive',
     free: one,
     byPriority: [one, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES],
   });
--- a/packages/core/test/fixtures.ts
+++ b/packages/core/test/fixtures.ts
@@ -13,7 +13,7 @@
   cloudListLagMs: 2000,
 };
 
-/** A machine that is free, as its owner tells of it. */
+/** The status of a machine that is free. */
 export function machineStatusOf(name: string, over: Partial<MachineStatus> = {}): MachineStatus {
   return {
     name,
--- a/packages/core/test/immovable-demand.test.ts
+++ b/packages/core/test/immovable-demand.test.ts
@@ -62,15 +62,15 @@
   return found.map(({ count, zones }) => ({ count, zones }));
 }
 
-// A fleet without machines was once not rented any for such tasks, and they waited for ever.
-test('tasks that cannot be given back and have no machine in their partition are asked for in its zones', () => {
+// Without that a cluster without machines is rented none for such tasks, and they wait for ever.
+test('for tasks that cannot be returned to the leader and have no machine in their partition, one is asked for in its zones', () => {
   const job = jobWith([rangeOf(0, 0), rangeOf(2, 1), rangeOf(4, 0)]);
   const both = [partitionStatusOf(0, []), partitionStatusOf(1, [])];
   assert.deepEqual(immovable(job, both), [
     { count: 4, zones: ['north', 'west'] },
     { count: 2, zones: ['south', 'west'] },
   ]);
-  assert.deepEqual(immovable(job, both, false), [], 'those that can be given back find room elsewhere');
+  assert.deepEqual(immovable(job, both, false), [], 'those that can be returned fit elsewhere');
 });
 
 test('no machine is asked for where one can take the tasks in time, or where nothing waits', () => {
@@ -86,7 +86,7 @@
   assert.deepEqual(
     immovable(job, [partitionStatusOf(0, [], { revision: 4 })]),
     [],
-    'the summary is older than the assignment',
+    'the status is older than the assignment',
   );
   const bound = jobWith([rangeOf(0, 0, 'west')], { spread: true });
   assert.deepEqual(immovable(bound, [partitionStatusOf(0, [])]), [{ count: 2, zones: ['west'] }]);
--- a/packages/core/test/probe-schedule.test.ts
+++ b/packages/core/test/probe-schedule.test.ts
@@ -8,7 +8,7 @@
 const clusterConfig = { ...CLUSTER_CONFIG, teams: new Map([[team.name, team]]) };
 const spec = specOf('j-1', { tasks: 60, priority: 'production' });
 
-/** A job that is marked as failing, and two partitions with one machine each. */
+/** A job that is marked as crash-looping, and two partitions with one machine each. */
 function crashLoopingJob(
   byPriority = NO_RESOURCES,
   free = { cpus: 8, gpus: 4, memoryGb: 32 },
@@ -51,7 +51,7 @@
   return { jobs, probes, assign };
 }
 
-test('of a failing job one task at a time is assigned, with pauses that grow, in turn to the partitions, and for ever', () => {
+test('of a crash-looping job one task at a time is assigned, with pauses that grow, in turn to the partitions, and for ever', () => {
   const { probes, assign } = crashLoopingJob();
   const times: number[] = [];
   const partitionIds: number[] = [];
@@ -65,7 +65,7 @@
     partitionIds.push(added[0]!.partitionId);
     probes.probeStarted(spec.id, added[0]!.partitionId, now);
   }
-  // It is tried at once, then less and less often down to once in the time that a cancellation has.
+  // It is probed at once, then less and less often, down to once in the bound on cancellations.
   const pauses = times.slice(1).map((at, i) => at - times[i]!);
   assert.equal(times[0], 0);
   assert.ok(pauses[0]! <= clusterConfig.heartbeatIntervalMs * 3);
@@ -74,13 +74,13 @@
   assert.ok(partitionIds.every((partitionId, i) => i === 0 || partitionId !== partitionIds[i - 1]));
 });
 
-test('a trial waits for free room: it stops nobody, and nothing is asked for it', () => {
+test('a probe waits for free resources: it preempts nothing, and no machine is asked for it', () => {
   const available = { cpus: 8, gpus: 4, memoryGb: 32 };
   const { assign } = crashLoopingJob(available, NO_RESOURCES);
   assert.deepEqual([assign(0).assignments.length, assign(0).unschedulable.length], [0, 0]);
 });
 
-test('a job of which a trial runs for long enough is assigned as a whole, and needs a longer one should it fail again', () => {
+test('a job of which a probe runs for long enough is assigned as a whole, and needs a longer one should it fail again', () => {
   const { jobs, probes, assign } = crashLoopingJob();
   const job = jobs.live.get(spec.id)!;
   const isLive = (id: string): boolean => jobs.live.has(id);
--- /dev/null
+++ b/packages/core/test/scale-out-plan.test.ts
@@ -0,0 +1,164 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import fc from 'fast-check';
+import type { MachineType } from '@gingerlock/wire';
+import { countFitting, Job, NO_RESOURCES, ScaleOutPlan, type ScaleOutPlanInput } from '../src/index';
+import { specOf } from './fixtures';
+import { allOptions, anyTypes, clusterConfig, RUNS, ZONES } from './machine-types';
+
+// One type is more expensive for each GPU, though cheaper for each machine, and boots and fetches at half the speed.
+const SMALL: MachineType = {
+  name: 'small',
+  cpus: 16,
+  gpus: 4,
+  memoryGb: 64,
+  cacheGb: 100,
+  fetchGbPerS: 2,
+  price: 15,
+  spotPrice: 7,
+  bootS: 60,
+  zones: ZONES,
+};
+const LARGE: MachineType = {
+  ...SMALL,
+  name: 'large',
+  cpus: 32,
+  gpus: 8,
+  memoryGb: 128,
+  fetchGbPerS: 4,
+  price: 27,
+  spotPrice: 11,
+  bootS: 30,
+};
+
+function planOf(over: Partial<ScaleOutPlanInput> = {}): ScaleOutPlan {
+  return new ScaleOutPlan({
+    clusterConfig,
+    types: new Map([SMALL, LARGE].map((t) => [t.name, t])),
+    booting: [],
+    drainingIdleMachines: [],
+    known: [],
+    maxOrdinaryMachines: Infinity,
+    maxSpotMachines: Infinity,
+    isOpen: () => true,
+    isSilent: () => false,
+    wasRefused: () => false,
+    onlySpot: () => false,
+    ...over,
+  });
+}
+
+function waiting(tasks: number, over: Parameters<typeof specOf>[1] = {}): { job: Job; count: number; zones: null } {
+  const job = new Job('j-1');
+  job.spec = specOf('j-1', { kind: 'service', gpus: 2, cpus: 4, memoryGb: 8, imageGb: 70, estimateS: 0, ...over });
+  return { job, count: tasks, zones: null };
+}
+
+/** By type: how many machines the plan asks for. */
+function countRented(plan: ScaleOutPlan): Record<string, number> {
+  const byType: Record<string, number> = {};
+  for (const r of plan.requests(() => 'r')) byType[r.type] = (byType[r.type] ?? 0) + r.count;
+  return byType;
+}
+
+// By the least price of a machine all would be of the type that is more expensive for each GPU and half as fast.
+test('a cluster that starts empty gets the type that is cheaper for the same capacity and quicker', () => {
+  const plan = planOf();
+  plan.serve([waiting(40)], 0);
+  assert.deepEqual(countRented(plan), { large: 10 });
+});
+
+test('for a single task a machine of its size is rented, unless spare capacity is wanted too', () => {
+  const alone = planOf();
+  alone.serve([waiting(1)], 0);
+  assert.deepEqual(countRented(alone), { small: 1 });
+  const withSpare = planOf();
+  withSpare.serve([waiting(1)], 6);
+  assert.deepEqual(countRented(withSpare), { large: 1 });
+});
+
+test('a type that is refused gives way to the next best, and comes back', () => {
+  const plan = planOf({ isOpen: ({ type }) => type !== LARGE });
+  plan.serve([waiting(8)], 0);
+  plan.keepSpare(0, 4);
+  assert.deepEqual(countRented(plan), { small: 5 });
+  const later = planOf();
+  later.serve([waiting(8)], 0);
+  assert.deepEqual(countRented(later), { large: 2 });
+});
+
+// By the number of machines alone, full zones would be asked again and again before one that is not full.
+test('of zones that cost the same one that was not refused lately is asked first', () => {
+  const plan = planOf({
+    known: Array.from({ length: 9 }, () => ({ zone: 'east', spot: false })),
+    wasRefused: ({ zone }) => zone !== 'east',
+  });
+  plan.serve([waiting(8)], 0);
+  assert.deepEqual(
+    plan.requests(() => 'r').map(({ zone, count }) => [zone, count]),
+    [['east', 2]],
+  );
+});
+
+test('a suspect machine is replaced, by smaller machines where no large one can be had', () => {
+  const machine = {
+    spot: false,
+    byPriority: [{ cpus: 16, gpus: 8, memoryGb: 64 }, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES],
+  };
+  const suspect = { ...machine } as unknown as Parameters<ScaleOutPlan['replace']>[0];
+  const plan = planOf();
+  plan.replace(suspect);
+  assert.deepEqual(countRented(plan), { large: 1 });
+  const refused = planOf({ isOpen: ({ type }) => type !== LARGE });
+  refused.replace(suspect);
+  assert.deepEqual(countRented(refused), { small: 2 });
+});
+
+test('where GPUs are needed no machine without any is rented, however cheap', () => {
+  const without = { ...SMALL, name: 'without', gpus: 0, price: 0.1, spotPrice: 0.1 };
+  const plan = planOf({ types: new Map([SMALL, without].map((t) => [t.name, t])) });
+  plan.keepSpare(0, 4);
+  plan.replace({ spot: false, byPriority: [{ cpus: 16, gpus: 2, memoryGb: 8 }] } as unknown as Parameters<
+    ScaleOutPlan['replace']
+  >[0]);
+  assert.equal(countRented(plan).without ?? 0, 0);
+  assert.ok(countRented(plan).small! > 0);
+});
+
+test('no demand is left that an open option could serve, and nothing is rented for twice', () => {
+  fc.assert(
+    fc.property(
+      anyTypes(3),
+      fc.array(fc.boolean(), { minLength: 18, maxLength: 18 }),
+      fc.integer({ min: 1, max: 30 }),
+      (all, isOpen, tasks) => {
+        const options = allOptions(all);
+        const open = options.filter((_, i) => isOpen[i]);
+        const plan = planOf({
+          types: new Map(all.map((t) => [t.name, t])),
+          isOpen: (option) =>
+            open.some(({ type, zone, spot }) => type === option.type && zone === option.zone && spot === option.spot),
+        });
+        const entry = waiting(tasks);
+        plan.serve([entry], 0);
+        const places = plan
+          .requests(() => 'r')
+          .map((r) => ({
+            fit: countFitting(
+              entry.job.spec,
+              all.find((t) => t.name === r.type)!,
+            ),
+            ...r,
+          }));
+        const remaining = places.reduce((sum, { fit, count }) => sum + fit * count, 0);
+        const couldServe = open.some((o) => !o.spot && countFitting(entry.job.spec, o.type) > 0);
+        assert.ok(couldServe ? remaining >= tasks : remaining === 0);
+        for (const { fit, spot } of places) {
+          assert.equal(spot, false);
+          assert.ok(remaining - fit < tasks, 'a machine that nobody needs');
+        }
+      },
+    ),
+    RUNS,
+  );
+});
