--- a/packages/clients/src/watch-cache.ts
+++ b/packages/clients/src/watch-cache.ts
@@ -13,8 +13,6 @@
   /** Time between two reads when nobody asks for one. */
   readonly idleIntervalMs: number;
   readonly onChange: OnChange;
-  /** After every successful read. */
-  readonly onSync: () => void;
   readonly onError: (error: unknown) => void;
 }
 
@@ -44,6 +42,7 @@
   #readStartedAt = -Infinity;
   #cancelTimer: (() => void) | null = null;
   #stopped = false;
+  #onSync: () => void = () => undefined;
 
   constructor(readonly options: WatchCacheOptions) {}
 
@@ -51,7 +50,9 @@
     return this.#versions.get(key) ?? 0;
   }
 
-  start(): void {
+  /** Begins to read until stopped. `onSync` is called after every successful read, once the copy has all of it. */
+  start(onSync: () => void = () => undefined): void {
+    this.#onSync = onSync;
     this.#schedule();
   }
 
@@ -137,7 +138,7 @@
       for (const [key, version] of this.#removed) if (version <= this.revision) this.#removed.delete(key);
       this.lastContactAt = startedAt;
       this.failures = 0;
-      this.options.onSync();
+      this.#onSync();
       for (const w of waiters) w.resolve();
     } catch (error) {
       this.failures++;
--- a/packages/clients/test/key-value-store.test.ts
+++ b/packages/clients/test/key-value-store.test.ts
@@ -122,7 +122,6 @@
       if (value === undefined) seen.delete(key);
       else seen.set(key, value);
     },
-    onSync: () => undefined,
     onError: () => undefined,
   });
   return { watchCache, seen, keyValueStore };
--- a/packages/daemon/src/api/job-api.ts
+++ b/packages/daemon/src/api/job-api.ts
@@ -112,8 +112,7 @@
     );
     switch (result.kind) {
       case 'done':
-        this.context.watchCache.applyOwn(changes, result.revision);
-        this.context.announce(result.revision);
+        this.context.recordCommit(changes, result.revision);
         this.context.log.debug(
           { job: id, class: spec.jobClass, team: spec.team, tasks: spec.tasks, awaits: spec.awaits },
           'accepted',
@@ -218,8 +217,7 @@
         continue;
       }
       if (result.kind === 'done') {
-        this.context.watchCache.applyOwn(changes, result.revision);
-        this.context.announce(result.revision);
+        this.context.recordCommit(changes, result.revision);
         this.context.log.debug({ job: id, assigned: assignedUnfinished(job) }, 'cancelled');
         break;
       }
@@ -231,7 +229,7 @@
         return this.#unavailable();
       }
     }
-    if (this.context.clusterState.jobs.live.get(id)?.cancelled === true) this.context.announceCancelled(id);
+    if (this.context.clusterState.jobs.live.get(id)?.cancelled === true) this.context.announcements.jobCancelled(id);
     return this.#reply(id, 200);
   }
 }
--- a/packages/daemon/src/api/rendezvous.ts
+++ b/packages/daemon/src/api/rendezvous.ts
@@ -48,7 +48,7 @@
     const isServing = record?.state === 'serving' && record.members[rank]?.attempt === attempt;
     if (record === undefined || !isServing || job!.cancelled) return this.#refuse(record);
     const members = record.members.map(({ partitionId, machine }) =>
-      hostOf(clusterState.membership(partitionId).get(machine) ?? ''),
+      hostOf(clusterState.addressOf(partitionId, machine) ?? ''),
     );
     if (!isComplete(members)) return refusal(503, 'the address of a member is not known', RETRY_S);
     const { generation } = record;
--- /dev/null
+++ b/packages/daemon/src/controller/composition.ts
@@ -0,0 +1,175 @@
+// Creates the modules of one controller, each after those that it needs. Nothing runs before `Controller.start`.
+import { type Clock, type Http, KeyValueStore, RateLimiter, WatchCache } from '@gingerlock/clients';
+import type { PeerLink } from '@gingerlock/peer';
+import { isGroupSpec } from '@gingerlock/replica-groups';
+import { PREFIX } from '@gingerlock/wire';
+import { JobApi } from '../api/job-api';
+import { Rendezvous } from '../api/rendezvous';
+import { OwnershipManager } from '../ownership/ownership-manager';
+import { PreviousOwnerQueries } from '../ownership/previous-owners';
+import { WorkerConnectivity } from '../ownership/worker-connectivity';
+import { ClaimLists } from '../peers/claim-lists';
+import { GroupReports } from '../peers/group-reports';
+import { HeartbeatRelay } from '../peers/heartbeat-relay';
+import { PartitionStatuses } from '../peers/partition-statuses';
+import { PeerChannel } from '../peers/peer-channel';
+import { PeerConfirmation } from '../peers/peer-confirmation';
+import { PeerFailureDetector } from '../peers/peer-failure-detector';
+import { RateSharing } from '../peers/rate-sharing';
+import { StatusPublisher } from '../peers/status-publisher';
+import type { Settings } from '../settings/settings';
+import { ClusterState } from '../state/cluster-state';
+import { Announcements } from './announcements';
+import { ControllerContext, type ControllerLimits } from './controller-context';
+import { HealthCheck } from './health';
+import type { Log } from './log';
+import { OwnedResources } from './owned-resources';
+import { OwnerHeartbeats } from './owner-heartbeats';
+import { OwnershipHandover } from './ownership-handover';
+import { PartitionRouter } from './partition-router';
+import { PeerDispatcher } from './peer-dispatcher';
+import { peerMessageHandlers } from './peer-handlers';
+import { StoreContact } from './store-contact';
+import { StoreLeaseKeeper } from './store-lease-keeper';
+import { WorkerEndpoint } from './worker-endpoint';
+
+/** Everything that a controller needs of the world around it. */
+export interface ControllerPorts {
+  readonly settings: Settings;
+  readonly clock: Clock;
+  readonly http: Http;
+  readonly link: PeerLink;
+  readonly log: Log;
+  /** Replaces some of the bounds that stand for other reasons than the settings. */
+  readonly limits?: Partial<ControllerLimits>;
+}
+
+/** Share of the store's request rates that all controllers together use. */
+const STORE_RATE_SHARE = 0.95;
+
+/** A request to the store fails after this many milliseconds, or after half a heartbeat interval if that is longer. */
+const MIN_STORE_TIMEOUT_MS = 1000;
+
+/** The watch cache reads at most this often in a heartbeat interval ... */
+const MAX_READS_PER_HEARTBEAT_INTERVAL = 15;
+
+/** ... and uses at most one in so many of the requests that this controller may send to the store. */
+const REQUESTS_PER_READ = 4;
+
+/** Reads of the watch cache in a heartbeat interval when nothing asks for one. */
+const IDLE_READS_PER_HEARTBEAT_INTERVAL = 5;
+
+/** A partition's status counts for its spare capacity up to this age, in heartbeat intervals. */
+const SPARE_CAPACITY_INTERVALS = 2;
+
+/** The modules of one controller. */
+export type ControllerModules = ReturnType<typeof composeController>;
+
+/** Creates the modules of one controller. `process` differs between two processes of one controller. */
+export function composeController(ports: ControllerPorts, process: string) {
+  const { settings, clock, link, http } = ports;
+  const { clusterConfig, features } = settings;
+  const { heartbeatIntervalMs } = clusterConfig;
+  const base = composeBase(ports, process);
+  const { context, owned, peers, statuses, keyValueStore, watchCache, rateLimiter } = base;
+  const { claimLists, groupReports, peerFailureDetector } = base;
+  const workerConnectivity = new WorkerConnectivity(clusterConfig, clock.now());
+  const handover = new OwnershipHandover({ context, owned, statuses, claimLists, groupReports, http });
+  const liveness = {
+    isAlive: (node: string) => link.alive(node),
+    wasSeen: (node: string) => peerFailureDetector.wasSeen(node),
+    isHealthy: (node: string, forMs: number) => peerFailureDetector.isHealthy(node, forMs),
+  };
+  const ownership = new OwnershipManager(context, process, liveness, workerConnectivity, handover);
+  const confirmation = new PeerConfirmation(keyValueStore, watchCache, peers, heartbeatIntervalMs);
+  const storeContact = new StoreContact(watchCache, confirmation);
+  const heartbeats = new OwnerHeartbeats(context, owned, ownership, storeContact);
+  const router = new PartitionRouter({ context, owned, statuses, workerConnectivity, heartbeats });
+  const relay = new HeartbeatRelay(settings, clock, peers, router);
+  const rateSharing = new RateSharing(rateLimiter, peers, clock, heartbeatIntervalMs);
+  const previousOwners = new PreviousOwnerQueries(owned.ownersById, peers, heartbeatIntervalMs);
+  const modules = { ...base, ownership, confirmation, storeContact, relay, rateSharing, previousOwners };
+  return {
+    ...modules,
+    publisher: new StatusPublisher(context, peers, statuses, claimLists, groupReports),
+    workers: new WorkerEndpoint({ context, owned, heartbeats, relay, workerConnectivity }),
+    health: new HealthCheck(context, storeContact, peerFailureDetector),
+    jobApi: new JobApi(context, (id) => statuses.runningTasks(id)),
+    /** Null: replica groups are off. */
+    rendezvous: features.replicaGroups === null ? null : new Rendezvous(context, features.replicaGroups),
+    dispatcher: new PeerDispatcher(peerMessageHandlers(modules), peerFailureDetector, clock, ports.log),
+  };
+}
+
+/** The modules on which all others rest: clients, the cluster state, the context, and what is known of the peers. */
+function composeBase(ports: ControllerPorts, process: string) {
+  const { settings, clock, log, link, http } = ports;
+  const { clusterConfig, features } = settings;
+  const owned = new OwnedResources();
+  const statuses = new PartitionStatuses();
+  const clusterState = new ClusterState((spec) => isGroupSpec(features.replicaGroups, spec), owned);
+  const peers = new PeerChannel(link, process);
+  const store = composeStore(ports, clusterState);
+  const announcements = new Announcements(peers, store.watchCache);
+  const spareCapacityMaxAgeMs = clusterConfig.heartbeatIntervalMs * SPARE_CAPACITY_INTERVALS;
+  const context = new ControllerContext({
+    settings,
+    clock,
+    log,
+    http,
+    keyValueStore: store.keyValueStore,
+    watchCache: store.watchCache,
+    clusterState,
+    storeLease: store.leaseKeeper,
+    announcements,
+    spareCapacity: (exceptPartitionId) =>
+      statuses.spareCapacity(exceptPartitionId, clock.now() - spareCapacityMaxAgeMs),
+    ...(ports.limits === undefined ? {} : { limits: ports.limits }),
+  });
+  return {
+    ...store,
+    owned,
+    statuses,
+    clusterState,
+    peers,
+    context,
+    claimLists: new ClaimLists(),
+    groupReports: new GroupReports(),
+    peerFailureDetector: new PeerFailureDetector(link, clock, clusterConfig.heartbeatIntervalMs),
+  };
+}
+
+/** The clients of the key-value store, with this controller's share of its request rates. */
+function composeStore({ settings, clock, http, log }: ControllerPorts, clusterState: ClusterState) {
+  const { clusterConfig } = settings;
+  const { heartbeatIntervalMs } = clusterConfig;
+  const share = STORE_RATE_SHARE / clusterConfig.controllerCount;
+  const rateLimiter = new RateLimiter(clock, settings.stateRps * share, settings.stateWriteRps * share);
+  const keyValueStore = new KeyValueStore({
+    http,
+    addr: settings.state,
+    rateLimiter,
+    clock,
+    timeoutMs: Math.max(heartbeatIntervalMs / 2, MIN_STORE_TIMEOUT_MS),
+  });
+  const watchCache = new WatchCache({
+    keyValueStore,
+    clock,
+    prefix: PREFIX,
+    minIntervalMs: Math.max(
+      heartbeatIntervalMs / MAX_READS_PER_HEARTBEAT_INTERVAL,
+      (REQUESTS_PER_READ * 1000) / (settings.stateRps * share),
+    ),
+    idleIntervalMs: heartbeatIntervalMs / IDLE_READS_PER_HEARTBEAT_INTERVAL,
+    onChange: (key, value, version) => {
+      try {
+        clusterState.apply(key, value, version);
+      } catch (error) {
+        log.error({ key, error: String(error) }, 'unreadable record');
+      }
+    },
+    onError: (error) => log.info({ error: String(error) }, 'store read failed'),
+  });
+  const leaseKeeper = new StoreLeaseKeeper({ clusterConfig, clock, keyValueStore, log });
+  return { rateLimiter, keyValueStore, watchCache, leaseKeeper };
+}
--- a/packages/daemon/src/controller/controller-context.ts
+++ b/packages/daemon/src/controller/controller-context.ts
@@ -1,21 +1,28 @@
+// What the modules of one controller have in common: settings, clock, log, clients, and the view of the cluster state.
 import { ATTEMPTS_PER_TERM, type ClusterConfig, type SpareCapacity } from '@gingerlock/core';
-import { type Clock, type Http, type WatchCache, sleep, type KeyValueStore, type Urgency } from '@gingerlock/clients';
+import type { Clock, Http, KeyValueStore, Urgency, WatchCache } from '@gingerlock/clients';
 import type { Change, Condition } from '@gingerlock/wire';
-import type { Log } from './log';
 import type { Settings } from '../settings/settings';
 import type { ClusterState } from '../state/cluster-state';
+import { Committer } from '../state/commit-with-retry';
 import { TransactionSizeLimit } from '../state/transaction-size-limit';
+import type { Announcements } from './announcements';
+import type { Log } from './log';
+import type { StoreLease } from './store-lease-keeper';
 
-/** DESIGN's recovery scan: every 5 seconds. */
+/** Time between two recovery scans of an owner, in milliseconds. Source: DESIGN. */
 const SCAN_MS = 5000;
 
-/** How often a controller looks at everything, in parts of a report interval. */
-const TICKS_PER_REPORT = 15;
+/** Ticks of a controller in one heartbeat interval. */
+const TICKS_PER_HEARTBEAT_INTERVAL = 15;
+
+/** The watch cache is fresh if its last read began less than this many heartbeat intervals ago. */
+const FRESH_INTERVALS = 2;
 
-/** What users are shown of a job that is not over may lag by this much, says the protocol. */
+/** What users are shown of a job that is not over may lag by this much, in milliseconds. Source: PROTOCOL. */
 export const DISPLAY_LAG_MS = 3000;
 
-/** Bounds that stand for other reasons than the settings; tests make them small. */
+/** Bounds that have other reasons than the settings; tests make them small. */
 export interface ControllerLimits {
   /** How many tasks an owner may start under one term. */
   readonly attemptsPerTerm: number;
@@ -23,120 +30,115 @@
 
 const LIMITS: ControllerLimits = { attemptsPerTerm: ATTEMPTS_PER_TERM };
 
-/** How large a value is as the state service counts it. Attempts of late terms are bigints, for the codec. */
+/** Bytes of a value as the key-value store counts them. Attempt numbers of late terms are bigints, which JSON lacks. */
 export function jsonBytes(value: unknown): number {
   try {
     return Buffer.byteLength(JSON.stringify(value));
   } catch {
-    const text = JSON.stringify(value, (_key, part: unknown) => (typeof part === 'bigint' ? Number(part) : part));
+    const text = JSON.stringify(value, (_key, field: unknown) => (typeof field === 'bigint' ? Number(field) : field));
     return Buffer.byteLength(text);
   }
 }
 
-/** What the parts of one controller have in common. */
+/** What a context is made of. */
+export interface ControllerContextOptions {
+  readonly settings: Settings;
+  readonly clock: Clock;
+  readonly log: Log;
+  readonly http: Http;
+  readonly keyValueStore: KeyValueStore;
+  readonly watchCache: WatchCache;
+  readonly clusterState: ClusterState;
+  readonly storeLease: StoreLease;
+  readonly announcements: Announcements;
+  /** Free capacity on ordinary machines of all other partitions, by the latest statuses of their owners. */
+  readonly spareCapacity: (exceptPartitionId: number) => SpareCapacity[];
+  readonly limits?: Partial<ControllerLimits>;
+}
+
+/** Handed to the modules of one controller. It holds no state of its own. */
 export class ControllerContext {
+  readonly settings: Settings;
   readonly clusterConfig: ClusterConfig;
+  readonly clock: Clock;
+  readonly log: Log;
+  readonly http: Http;
+  readonly keyValueStore: KeyValueStore;
+  readonly watchCache: WatchCache;
+  readonly clusterState: ClusterState;
+  readonly announcements: Announcements;
   readonly limits: ControllerLimits;
+  /** Time between two recovery scans of an owner. */
   readonly scanMs = SCAN_MS;
   /** Time between two ticks of a controller. */
   readonly tickMs: number;
-  /** Until when our state lease surely lasts, by our own clock. */
-  leaseUntil = -Infinity;
-  /** Since when we have it. What is read later shows whether our holds ended with the one before. */
-  leaseSince = -Infinity;
-  /** Tells the other controllers that something has changed. */
-  announce: (revision: number) => void = () => undefined;
-  /** Tells the other controllers that a user is being told that the job is cancelled. */
-  announceCancelled: (job: string) => void = () => undefined;
-  /** Free room on ordinary machines of all other parts, as their owners told of it last. */
-  spareCapacity: (exceptPartitionId: number) => SpareCapacity[] = () => [];
-
-  constructor(
-    readonly settings: Settings,
-    readonly clock: Clock,
-    readonly log: Log,
-    readonly keyValueStore: KeyValueStore,
-    readonly watchCache: WatchCache,
-    readonly clusterState: ClusterState,
-    readonly http: Http,
-    limits: Partial<ControllerLimits> = {},
-  ) {
-    this.limits = { ...LIMITS, ...limits };
-    this.clusterConfig = settings.clusterConfig;
-    this.tickMs = settings.clusterConfig.heartbeatIntervalMs / TICKS_PER_REPORT;
+  /** See `ControllerContextOptions.spareCapacity`. */
+  readonly spareCapacity: (exceptPartitionId: number) => SpareCapacity[];
+  readonly #storeLease: StoreLease;
+  readonly #committer: Committer;
+
+  constructor(options: ControllerContextOptions) {
+    this.settings = options.settings;
+    this.clusterConfig = options.settings.clusterConfig;
+    this.clock = options.clock;
+    this.log = options.log;
+    this.http = options.http;
+    this.keyValueStore = options.keyValueStore;
+    this.watchCache = options.watchCache;
+    this.clusterState = options.clusterState;
+    this.announcements = options.announcements;
+    this.spareCapacity = options.spareCapacity;
+    this.limits = { ...LIMITS, ...options.limits };
+    const { heartbeatIntervalMs } = this.clusterConfig;
+    this.tickMs = heartbeatIntervalMs / TICKS_PER_HEARTBEAT_INTERVAL;
+    this.#storeLease = options.storeLease;
+    this.#committer = new Committer({ ...options, heartbeatIntervalMs, listener: options.announcements });
+  }
+
+  /** See `StoreLease.id`. */
+  get leaseId(): number | null {
+    return this.#storeLease.id;
+  }
+
+  /** See `StoreLease.grantedAt`. */
+  get leaseSince(): number {
+    return this.#storeLease.grantedAt;
   }
 
+  /** See `StoreLease.isValid`. */
   leaseValid(): boolean {
-    return this.clock.now() < this.leaseUntil;
+    return this.#storeLease.isValid();
   }
 
-  /** Whether the state service will take a value, by the smallest limit that it may have. */
+  /** Whether the key-value store accepts the value, by the smallest limit that it may have. */
   fitsValue(value: unknown): boolean {
     return jsonBytes(value) <= this.settings.valueBytes;
   }
 
-  /** Counts what a transaction holds against what the state service takes at once. */
+  /** An empty count of a transaction's entries against what the key-value store accepts at once. */
   transactionSizeLimit(): TransactionSizeLimit {
     return new TransactionSizeLimit(this.settings.txnOps);
   }
 
-  /** The replica is complete and was read lately. */
+  /** Whether the watch cache is complete and was read lately. */
   fresh(): boolean {
     const { loaded, lastContactAt } = this.watchCache;
-    return (
-      loaded && lastContactAt !== null && this.clock.now() - lastContactAt < this.clusterConfig.heartbeatIntervalMs * 2
-    );
+    if (!loaded || lastContactAt === null) return false;
+    return this.clock.now() - lastContactAt < this.clusterConfig.heartbeatIntervalMs * FRESH_INTERVALS;
   }
 
-  async #caughtUp(): Promise<boolean> {
-    try {
-      await this.watchCache.linearizableRead();
-      return true;
-    } catch {
-      return false;
-    }
+  /** See `Committer.recordCommit`. */
+  recordCommit(changes: readonly Change[], revision: number): void {
+    this.#committer.recordCommit(changes, revision);
   }
 
-  /**
-   * Carries out a transaction until its outcome is known, repeating the very same one: its conditions can hold only
-   * once. Returns the revision it was done at, or 0 if it was not; the replica is at or past the outcome then.
-   */
-  async commitWithRetry(
+  /** See `Committer.commitWithRetry`. */
+  commitWithRetry(
     urgency: Urgency,
     conditions: readonly Condition[],
     changes: readonly Change[],
     isStillWanted: () => boolean,
   ): Promise<number> {
-    for (
-      let pause = this.clusterConfig.heartbeatIntervalMs / 20;
-      ;
-      pause = Math.min(pause * 2, this.clusterConfig.heartbeatIntervalMs)
-    ) {
-      const result = await this.keyValueStore.compareAndSwap(urgency, conditions, changes);
-      if (result.kind === 'done') {
-        this.watchCache.applyOwn(changes, result.revision);
-        this.announce(result.revision);
-        return result.revision;
-      }
-      if (result.kind === 'conflict' || result.kind === 'no lease') {
-        // It may conflict with its own first try, whose answer was lost: nothing is decided anew before that is seen. A task
-        // that was given back without its part's knowing could be started there and by the next part.
-        while (!(await this.#caughtUp())) {
-          await sleep(this.clock, pause);
-          if (!isStillWanted()) return 0;
-        }
-        return 0;
-      }
-      if (result.kind === 'invalid') {
-        this.log.error(
-          { keys: changes.map((c) => ('put' in c ? c.put : c.remove)) },
-          'transaction rejected permanently',
-        );
-        return 0;
-      }
-      this.log.debug({ kind: result.kind, why: result.why }, 'transaction will be retried');
-      await sleep(this.clock, pause);
-      if (!isStillWanted()) return 0;
-    }
+    return this.#committer.commitWithRetry(urgency, conditions, changes, isStillWanted);
   }
 }
--- /dev/null
+++ b/packages/daemon/src/controller/peer-dispatcher.ts
@@ -0,0 +1,41 @@
+// Hands each message of another controller to the handler of its kind.
+import type { Clock } from '@gingerlock/clients';
+import type { PeerMessage, PeerMessages } from '@gingerlock/peer';
+import type { PeerFailureDetector } from '../peers/peer-failure-detector';
+import type { Log } from './log';
+
+/** Handles one kind of message. `from`: the sending controller; `now`: the time of arrival by the steady clock. */
+export type PeerMessageHandler<Kind extends PeerMessage['kind']> = (
+  from: string,
+  message: PeerMessages[Kind],
+  now: number,
+) => void;
+
+/** One handler for every kind of message between controllers. */
+export type PeerMessageHandlers = { readonly [Kind in PeerMessage['kind']]: PeerMessageHandler<Kind> };
+
+/** Every message also counts as a sign of life of its sender. A handler that throws is logged and does not harm the link. */
+export class PeerDispatcher {
+  constructor(
+    readonly handlers: PeerMessageHandlers,
+    readonly peerFailureDetector: PeerFailureDetector,
+    readonly clock: Clock,
+    readonly log: Log,
+  ) {}
+
+  /** Takes one message. Never throws. */
+  dispatch(from: string, message: PeerMessage): void {
+    try {
+      const now = this.clock.now();
+      this.peerFailureDetector.recordHeartbeat(from, now);
+      this.#handle(message.kind, from, message, now);
+    } catch (error) {
+      this.log.error({ from, kind: message.kind, error: String(error) }, 'peer message failed');
+    }
+  }
+
+  #handle<Kind extends PeerMessage['kind']>(kind: Kind, from: string, message: PeerMessage, now: number): void {
+    // `kind` is the message's own, so the fields are those of the kind; the compiler does not follow that through the table.
+    this.handlers[kind](from, message as PeerMessage & PeerMessages[Kind], now);
+  }
+}
--- /dev/null
+++ b/packages/daemon/src/controller/store-lease-keeper.ts
@@ -0,0 +1,86 @@
+// Keeps this controller's lease in the key-value store. Hold records are attached to it: when it expires, the store removes them.
+import { type Clock, type KeyValueStore, sleep } from '@gingerlock/clients';
+import { type ClusterConfig, MAX_CLOCK_DRIFT, stateLeaseMs, timerMarginMs } from '@gingerlock/core';
+import type { Log } from './log';
+
+/** The lease is renewed this many times within its term. */
+const RENEWALS_PER_TERM = 4;
+
+/** The state of the lease, as those see it who rely on it. */
+export interface StoreLease {
+  /** The store's id of the lease, valid or not; null: none was granted, or the last one has expired. */
+  readonly id: number | null;
+  /** When the lease was granted, by the steady clock. Only reads after this show which holds ended with the lease before. */
+  readonly grantedAt: number;
+  /** Whether the lease surely has not expired yet. */
+  isValid(): boolean;
+}
+
+/** What the keeper works with. */
+export interface StoreLeaseKeeperOptions {
+  readonly clusterConfig: ClusterConfig;
+  readonly clock: Clock;
+  readonly keyValueStore: KeyValueStore;
+  readonly log: Log;
+}
+
+/** Obtains the lease, renews it until stopped, and replaces it after an expiry. */
+export class StoreLeaseKeeper implements StoreLease {
+  #id: number | null = null;
+  #grantedAt = -Infinity;
+  /** Until when the lease surely lasts, by the steady clock. */
+  #validUntil = -Infinity;
+  #stopped = false;
+
+  constructor(readonly options: StoreLeaseKeeperOptions) {}
+
+  get id(): number | null {
+    return this.#id;
+  }
+
+  get grantedAt(): number {
+    return this.#grantedAt;
+  }
+
+  isValid(): boolean {
+    return this.options.clock.now() < this.#validUntil;
+  }
+
+  /** Begins to obtain and renew the lease. */
+  start(): void {
+    void this.#renewUntilStopped();
+  }
+
+  /** Ends the renewals. The lease is left to expire. */
+  stop(): void {
+    this.#stopped = true;
+  }
+
+  async #renewUntilStopped(): Promise<void> {
+    const { clusterConfig, clock, keyValueStore, log } = this.options;
+    const ttlMs = stateLeaseMs(clusterConfig);
+    while (!this.#stopped) {
+      const sentAt = clock.now();
+      try {
+        if (this.#id === null) {
+          this.#id = await keyValueStore.grantLease(ttlMs);
+          this.#grantedAt = clock.now();
+        } else if (!(await keyValueStore.renewLease(this.#id))) {
+          this.#expired(this.#id);
+          continue;
+        }
+        // Counted from the sending: the store may have started counting then.
+        this.#validUntil = sentAt + ttlMs * (1 - MAX_CLOCK_DRIFT) - timerMarginMs(clusterConfig) / 2;
+      } catch (error) {
+        log.info({ error: String(error) }, 'store lease renewal failed');
+      }
+      await sleep(clock, Math.max(0, sentAt + ttlMs / RENEWALS_PER_TERM - clock.now()) + 1);
+    }
+  }
+
+  #expired(lease: number): void {
+    this.options.log.info({ lease }, 'store lease expired');
+    this.#id = null;
+    this.#validUntil = -Infinity;
+  }
+}
--- a/packages/daemon/src/ownership/ownership-manager.ts
+++ b/packages/daemon/src/ownership/ownership-manager.ts
@@ -44,7 +44,6 @@
 
 export class OwnershipManager {
   readonly #ownerships = new Map<string, Ownership>();
-  #lease: number | null = null;
   #releasedAt = -Infinity;
   /** By partition: until when others go first, for its workers could not reach this controller. */
   readonly #leftToOthersUntil = new Map<number, number>();
@@ -70,9 +69,8 @@
     return this.context.clock;
   }
 
-  /** Looks at all resources after a read. `lease` is this controller's state lease, valid or not, or null. */
-  synced(lease: number | null): void {
-    this.#lease = lease;
+  /** Looks at all resources after a read of the key-value store. */
+  synced(): void {
     const { clusterState } = this.context;
     if (clusterState.meta === null) {
       void this.#createDeployment();
@@ -84,7 +82,7 @@
 
   #decide(ownership: Ownership): void {
     const { context } = this;
-    const lease = context.leaseValid() ? this.#lease : null;
+    const lease = context.leaseValid() ? context.leaseId : null;
     const view = context.clusterState.view(ownership.resource);
     const decision = ownership.decide(view, lease, this.#clock.now(), this.#clock.wall());
     switch (decision.kind) {
@@ -120,8 +118,7 @@
       changes,
     );
     if (result.kind !== 'done') return;
-    context.watchCache.applyOwn(changes, result.revision);
-    context.announce(result.revision);
+    context.recordCommit(changes, result.revision);
   }
 
   // --- order of takers ---------------------------------------------------------------------------------------------
--- a/packages/daemon/src/state/cluster-state.ts
+++ b/packages/daemon/src/state/cluster-state.ts
@@ -1,3 +1,4 @@
+// The typed view of the cluster state over the watch cache: jobs, owners, holds, memberships, reclaims and replica groups.
 import { JobTable, Partitioner, type OwnershipView, type Versioned } from '@gingerlock/core';
 import {
   type GroupRecord,
@@ -12,6 +13,7 @@
   ownerRecord,
   type OwnerRecord,
   parseKey,
+  type ParsedKey,
   membershipRecord,
   type ReclaimRecord,
   reclaimRecord,
@@ -20,47 +22,81 @@
 
 const NO_RECLAIMS: ReadonlyMap<string, Versioned<ReclaimRecord>> = new Map();
 
-/** What this controller's replica of the state service says, in our own terms. */
+/** Tasks in a page of finished tasks as long as `meta` is not known. Nothing is placed by it: such pages wait. */
+const DEFAULT_PAGE_TASKS = 8;
+
+/** Hears of changes of the cluster state after they have been applied. */
+export interface ClusterStateListener {
+  /** The job has changed, or something that concerns it has changed because of another job. */
+  jobChanged(id: string): void;
+  /** The record of a reclaim was removed at the revision. */
+  reclaimEnded(partitionId: number, revision: number): void;
+  /** The machine may hold claims in the partition from now on, or may no longer. */
+  membershipChanged(partitionId: number, machine: string, isMember: boolean): void;
+}
+
+const NO_LISTENER: ClusterStateListener = {
+  jobChanged: () => undefined,
+  reclaimEnded: () => undefined,
+  membershipChanged: () => undefined,
+};
+
+type FinishedKey = Extract<ParsedKey, { kind: 'finished' | 'finishedFrom' }>;
+
+/** A page of finished tasks that came before `meta`. */
+interface EarlyPage {
+  readonly key: string;
+  readonly value: unknown;
+  readonly version: number;
+}
+
+/**
+ * What this controller's watch cache holds, parsed. It is as recent as the cache: every change that the cache takes, read or
+ * own, is applied before the cache goes on. Readers who need the newest state wait for `WatchCache.linearizableRead` first.
+ */
 export class ClusterState {
+  /** The settings of the deployment that never change; null: not read yet, or not created yet. */
   meta: Meta | null = null;
   /** Made of `meta`; null as long as that is. */
   partitioner: Partitioner | null = null;
+  /** The counter from which terms of ownership are taken; null: no partition was ever acquired. */
   term: Versioned<number> | null = null;
+  /** Machine types of the cloud, by name. */
   types: ReadonlyMap<string, MachineType> = new Map();
   readonly jobs: JobTable;
+  /** By resource (a partition or the leadership): its latest owner, which may have lost it. */
   readonly owners = new Map<string, Versioned<OwnerRecord>>();
+  /** By resource: the hold record, which exists as long as the owner's lease in the key-value store does. */
   readonly holds = new Map<string, Versioned<HoldRecord>>();
-  /** By slot: the last term of which the time of the takeover is known to be right. */
+  /** By resource: the last term of which the time of the acquisition is known to be right. */
   readonly confirmedTerms = new Map<string, number>();
-  /** By part: the machines that may hold a claim there, with their addresses. */
+  /** By partition: the machines that may hold a claim there, with their addresses. */
   readonly memberships = new Map<number, Map<string, string>>();
-  /** By part and id. */
+  /** By partition and id. */
   readonly reclaims = new Map<number, Map<string, Versioned<ReclaimRecord>>>();
-  /** By job: how its replica group stands. */
+  /** By job: the record of its replica group. */
   readonly groups = new Map<string, Versioned<GroupRecord>>();
-  /** Finished sets whose job has been closed: nothing needs them any more. */
+  /** Keys of finished pages whose job has been closed: nothing needs them any more. */
   readonly obsoleteKeys = new Set<string>();
-  /** Hears of each job that has changed, or for which something has changed because of another job. */
-  onJob: (id: string) => void = () => undefined;
-  /** Hears of the end of a reclaim. */
-  onReclaimEnded: (partitionId: number, revision: number) => void = () => undefined;
-  onMembership: (partitionId: number, machine: string, present: boolean) => void = () => undefined;
-
-  /** Finished pages read before `meta`, which says what they stand for: lists come in the order of the keys. */
-  #pagesBeforeMeta: { readonly key: string; readonly value: unknown; readonly version: number }[] = [];
+  /** Pages that wait for `meta`, which says which tasks they stand for: lists come in the order of the keys. */
+  #pagesBeforeMeta: EarlyPage[] = [];
 
   /** `isGroup`: whether the tasks of a job are the members of a replica group. */
-  constructor(isGroup: (spec: JobSpec) => boolean = () => false) {
-    this.jobs = new JobTable(() => this.meta?.pageTasks ?? 8, isGroup);
-    this.jobs.onDerived = (id) => this.onJob(id);
+  constructor(
+    isGroup: (spec: JobSpec) => boolean = () => false,
+    readonly listener: ClusterStateListener = NO_LISTENER,
+  ) {
+    this.jobs = new JobTable(() => this.meta?.pageTasks ?? DEFAULT_PAGE_TASKS, isGroup);
+    this.jobs.onDerived = (id) => this.listener.jobChanged(id);
   }
 
   /** See `JobTable.markCancelled`. */
   markCancelled(id: string): void {
     this.jobs.markCancelled(id);
-    this.onJob(id);
+    this.listener.jobChanged(id);
   }
 
+  /** All that the records say of the ownership of a resource (a partition or the leadership). */
   view(resource: string): OwnershipView {
     return {
       owner: this.owners.get(resource) ?? null,
@@ -70,6 +106,7 @@
     };
   }
 
+  /** The machines of the partition with their addresses: a live map, created if there is none yet. */
   membership(partitionId: number): Map<string, string> {
     let membership = this.memberships.get(partitionId);
     if (membership === undefined) {
@@ -79,80 +116,104 @@
     return membership;
   }
 
-  reclaimsOf(partitionId: number): ReadonlyMap<string, Versioned<ReclaimRecord>> {
-    return this.reclaims.get(partitionId) ?? NO_RECLAIMS;
+  /** The address of a machine of the partition; undefined: it is no member. */
+  addressOf(partitionId: number, machine: string): string | undefined {
+    return this.memberships.get(partitionId)?.get(machine);
   }
 
-  #applyReclaim(partitionId: number, id: string, value: unknown, version: number): void {
-    const ofPartition = this.reclaims.get(partitionId) ?? new Map<string, Versioned<ReclaimRecord>>();
-    this.reclaims.set(partitionId, ofPartition);
-    if (value !== undefined) {
-      ofPartition.set(id, { record: reclaimRecord.read(value), version });
-      return;
-    }
-    if (ofPartition.delete(id)) this.onReclaimEnded(partitionId, version);
+  /** The reclaims of the partition that have not ended, by id. */
+  reclaimsOf(partitionId: number): ReadonlyMap<string, Versioned<ReclaimRecord>> {
+    return this.reclaims.get(partitionId) ?? NO_RECLAIMS;
   }
 
-  /** Throws if the value is none that we write. */
+  /** Applies one change of the watch cache. `value`: undefined if the key was removed. Throws if it can't be parsed. */
   apply(key: string, value: unknown, version: number): void {
-    const k = parseKey(key);
-    switch (k.kind) {
+    const parsed = parseKey(key);
+    switch (parsed.kind) {
       case 'meta':
-        if (value === undefined) return;
-        this.meta = metaRecord.read(value);
-        this.partitioner = new Partitioner(this.meta.partitionCount, this.meta.zones);
-        for (const page of this.#pagesBeforeMeta.splice(0)) this.apply(page.key, page.value, page.version);
-        return;
+        return this.#applyMeta(value);
       case 'term':
         this.term = value === undefined ? null : { record: termRecord.read(value), version };
         return;
       case 'types':
-        if (value !== undefined) this.types = new Map(machineTypesOf(value).map((t) => [t.name, t]));
+        if (value !== undefined) this.types = new Map(machineTypesOf(value).map((type) => [type.name, type]));
         return;
       case 'owner':
-        if (value === undefined) this.owners.delete(k.resource);
-        else this.owners.set(k.resource, { record: ownerRecord.read(value), version });
-        return;
+        return applyRecord(this.owners, parsed.resource, ownerRecord.read, value, version);
       case 'hold':
-        if (value === undefined) this.holds.delete(k.resource);
-        else this.holds.set(k.resource, { record: holdRecord.read(value), version });
-        return;
+        return applyRecord(this.holds, parsed.resource, holdRecord.read, value, version);
       case 'confirmedTerm':
-        if (value !== undefined) this.confirmedTerms.set(k.resource, termRecord.read(value));
+        if (value !== undefined) this.confirmedTerms.set(parsed.resource, termRecord.read(value));
         return;
       case 'membership':
-        if (value === undefined) this.membership(k.partitionId).delete(k.machine);
-        else this.membership(k.partitionId).set(k.machine, membershipRecord.read(value));
-        this.onMembership(k.partitionId, k.machine, value !== undefined);
-        return;
+        return this.#applyMembership(parsed.partitionId, parsed.machine, value);
       case 'reclaim':
-        this.#applyReclaim(k.partitionId, k.id, value, version);
-        return;
+        return this.#applyReclaim(parsed.partitionId, parsed.id, value, version);
       case 'group':
-        if (value === undefined) this.groups.delete(k.job);
-        else this.groups.set(k.job, { record: groupRecord.read(value), version });
-        this.onJob(k.job);
-        return;
-      case 'job': {
-        const pages = [...(this.jobs.live.get(k.id)?.pages.keys() ?? [])];
-        const record = this.jobs.applyJob(k.id, value, version);
-        if (record !== null && record.final !== null) for (const page of pages) this.obsoleteKeys.add(page);
-        this.onJob(k.id);
-        return;
-      }
+        applyRecord(this.groups, parsed.job, groupRecord.read, value, version);
+        return this.listener.jobChanged(parsed.job);
+      case 'job':
+        return this.#applyJob(parsed.id, value, version);
       case 'finished':
       case 'finishedFrom':
-        if (this.meta === null) {
-          this.#pagesBeforeMeta.push({ key, value, version });
-          return;
-        }
-        this.jobs.applyFinished(k, value, version);
-        if (value === undefined) this.obsoleteKeys.delete(key);
-        else if (this.jobs.finals.has(k.id)) this.obsoleteKeys.add(key);
-        this.onJob(k.id);
-        return;
+        return this.#applyFinished(parsed, { key, value, version });
       case 'other':
         return;
     }
   }
+
+  #applyMeta(value: unknown): void {
+    if (value === undefined) return;
+    this.meta = metaRecord.read(value);
+    this.partitioner = new Partitioner(this.meta.partitionCount, this.meta.zones);
+    for (const page of this.#pagesBeforeMeta.splice(0)) this.apply(page.key, page.value, page.version);
+  }
+
+  #applyMembership(partitionId: number, machine: string, value: unknown): void {
+    const membership = this.membership(partitionId);
+    if (value === undefined) membership.delete(machine);
+    else membership.set(machine, membershipRecord.read(value));
+    this.listener.membershipChanged(partitionId, machine, value !== undefined);
+  }
+
+  #applyReclaim(partitionId: number, id: string, value: unknown, version: number): void {
+    const ofPartition = this.reclaims.get(partitionId) ?? new Map<string, Versioned<ReclaimRecord>>();
+    this.reclaims.set(partitionId, ofPartition);
+    if (value !== undefined) {
+      ofPartition.set(id, { record: reclaimRecord.read(value), version });
+      return;
+    }
+    if (ofPartition.delete(id)) this.listener.reclaimEnded(partitionId, version);
+  }
+
+  #applyJob(id: string, value: unknown, version: number): void {
+    const pages = [...(this.jobs.live.get(id)?.pages.keys() ?? [])];
+    const record = this.jobs.applyJob(id, value, version);
+    if (record !== null && record.final !== null) for (const page of pages) this.obsoleteKeys.add(page);
+    this.listener.jobChanged(id);
+  }
+
+  #applyFinished(parsed: FinishedKey, page: EarlyPage): void {
+    if (this.meta === null) {
+      this.#pagesBeforeMeta.push(page);
+      return;
+    }
+    const { key, value, version } = page;
+    this.jobs.applyFinished(parsed, value, version);
+    if (value === undefined) this.obsoleteKeys.delete(key);
+    else if (this.jobs.finals.has(parsed.id)) this.obsoleteKeys.add(key);
+    this.listener.jobChanged(parsed.id);
+  }
+}
+
+/** Enters a record with its version, or removes it if the value is undefined. */
+function applyRecord<Value>(
+  recordsById: Map<string, Versioned<Value>>,
+  id: string,
+  read: (value: unknown) => Value,
+  value: unknown,
+  version: number,
+): void {
+  if (value === undefined) recordsById.delete(id);
+  else recordsById.set(id, { record: read(value), version });
 }
