--- a/packages/daemon/src/controller/composition.ts
+++ b/packages/daemon/src/controller/composition.ts
@@ -5,7 +5,9 @@
 import { PREFIX } from '@gingerlock/wire';
 import { JobApi } from '../api/job-api';
 import { Rendezvous } from '../api/rendezvous';
+import { AcquisitionOrder, type PeerLiveness } from '../ownership/acquisition-order';
 import { OwnershipManager } from '../ownership/ownership-manager';
+import { PartitionReleases } from '../ownership/partition-releases';
 import { PreviousOwnerQueries } from '../ownership/previous-owners';
 import { WorkerConnectivity } from '../ownership/worker-connectivity';
 import { ClaimLists } from '../peers/claim-lists';
@@ -75,12 +77,14 @@
   const { claimLists, groupReports, peerFailureDetector } = base;
   const workerConnectivity = new WorkerConnectivity(clusterConfig, clock.now());
   const handover = new OwnershipHandover({ context, owned, statuses, claimLists, groupReports, http });
-  const liveness = {
-    isAlive: (node: string) => link.alive(node),
-    wasSeen: (node: string) => peerFailureDetector.wasSeen(node),
-    isHealthy: (node: string, forMs: number) => peerFailureDetector.isHealthy(node, forMs),
+  const liveness: PeerLiveness = {
+    isAlive: (node) => link.alive(node),
+    wasSeen: (node) => peerFailureDetector.wasSeen(node),
+    isHealthy: (node, forMs) => peerFailureDetector.isHealthy(node, forMs),
   };
-  const ownership = new OwnershipManager(context, process, liveness, workerConnectivity, handover);
+  const order = new AcquisitionOrder({ settings, clock, clusterState: base.clusterState, peers: liveness });
+  const ownership = new OwnershipManager(context, process, order, handover);
+  const releases = new PartitionReleases({ context, ownership, order, peers: liveness, workerConnectivity });
   const confirmation = new PeerConfirmation(keyValueStore, watchCache, peers, heartbeatIntervalMs);
   const storeContact = new StoreContact(watchCache, confirmation);
   const heartbeats = new OwnerHeartbeats(context, owned, ownership, storeContact);
@@ -88,7 +92,7 @@
   const relay = new HeartbeatRelay(settings, clock, peers, router);
   const rateSharing = new RateSharing(rateLimiter, peers, clock, heartbeatIntervalMs);
   const previousOwners = new PreviousOwnerQueries(owned.ownersById, peers, heartbeatIntervalMs);
-  const modules = { ...base, ownership, confirmation, storeContact, relay, rateSharing, previousOwners };
+  const modules = { ...base, ownership, releases, confirmation, storeContact, relay, rateSharing, previousOwners };
   return {
     ...modules,
     publisher: new StatusPublisher(context, peers, statuses, claimLists, groupReports),
--- a/packages/daemon/src/controller/controller.ts
+++ b/packages/daemon/src/controller/controller.ts
@@ -92,15 +92,13 @@
   }
 
   #tick(): void {
-    const { peerFailureDetector, owned, previousOwners, ownership, confirmation, rateSharing, relay } = this.#modules;
+    const { peerFailureDetector, owned, previousOwners, releases, confirmation, rateSharing, relay } = this.#modules;
     const now = this.clock.now();
     this.#noticeStall(now);
     peerFailureDetector.tick();
     for (const owner of owned.owners()) owner.tick(now);
     previousOwners.tick(now);
-    ownership.releaseUnreachable(this.owned(), now);
-    ownership.releaseExhausted(owned.owners());
-    ownership.returnToHome(owned.owners(), now);
+    releases.tick(owned.ownersById, now);
     this.#publishStatus(now);
     owned.leader?.tick();
     confirmation.tick(now, owned.ownersById.size > 0);
--- a/packages/daemon/src/ownership/ownership-manager.ts
+++ b/packages/daemon/src/ownership/ownership-manager.ts
@@ -1,83 +1,73 @@
-// Which partitions this controller owns, and whether it has the lead: carries out what the ownership state machines decide, and
-// gives partitions that were taken over back to their homes.
+// Carries out what the ownership state machines decide: acquires, resumes and releases partitions and the leadership.
 import { type Clock, sleep, URGENCY } from '@gingerlock/clients';
-import {
-  Ownership,
-  type Release,
-  type Resumption,
-  type Acquisition,
-  type OwnershipTerm,
-  ACQUISITION_DELAY,
-  type Versioned,
-} from '@gingerlock/core';
-import { FORMAT, KEYS, LEADERSHIP, metaRecord, type OwnerRecord } from '@gingerlock/wire';
-import type { PartitionOwner } from '../owner/partition-owner';
-import type { Settings } from '../settings/settings';
+import { type Acquisition, Ownership, type OwnershipTerm, type Release, type Resumption } from '@gingerlock/core';
+import { LEADERSHIP } from '@gingerlock/wire';
 import type { ControllerContext } from '../controller/controller-context';
-import type { WorkerConnectivity } from './worker-connectivity';
+import type { AcquisitionOrder } from './acquisition-order';
+import { createDeploymentRecord } from './deployment-record';
 
-/** What the manager needs to know of the other controllers. */
-export interface PeerLiveness {
-  isAlive(node: string): boolean;
-  /** Whether this process has ever heard of the controller. */
-  wasSeen(node: string): boolean;
-  /** Whether the controller has been heard of for so long without a gap, and reads the state service. */
-  isHealthy(node: string, forMs: number): boolean;
-}
-
-/** Hears of the begin and the end of each tenure. */
+/** Hears of the begin and the end of each term of ownership. */
 export interface OwnershipListener {
+  /** This controller owns the resource of the term from now on. */
   opened(ownershipTerm: OwnershipTerm): void;
+  /** The term is over for ever: nobody may be answered under it. */
   ended(ownershipTerm: OwnershipTerm): void;
 }
 
-/** A page of finished tasks takes about this share of a value at the most. */
-const PAGE_SHARE = 1 / 2;
-
-/** A character of base64 holds so many tasks. */
-const TASKS_PER_CHARACTER = 6;
-
-const LEAST_PAGE_TASKS = 64;
+/** Why a partition is released. */
+export type ReleaseReason = 'workers unreachable' | 'attempt numbers exhausted' | 'return to home';
 
-/** For how many worker leases a partition stays away from a home that its workers could not reach. */
-const CUT_OFF_RETURN_LEASES = 6;
+/** Pauses between two tries to read the store, in fractions of a heartbeat interval. */
+const READ_RETRIES_PER_HEARTBEAT_INTERVAL = 5;
 
+/** Holds one state machine for each partition and one for the leadership. */
 export class OwnershipManager {
-  readonly #ownerships = new Map<string, Ownership>();
-  #releasedAt = -Infinity;
-  /** By partition: until when others go first, for its workers could not reach this controller. */
-  readonly #leftToOthersUntil = new Map<number, number>();
+  /** Empty until the deployment's record has been read. */
+  readonly #ownershipsByResource = new Map<string, Ownership>();
+  readonly #clock: Clock;
   #stopped = false;
 
   constructor(
     readonly context: ControllerContext,
+    /** Differs between two processes of one controller. */
     readonly process: string,
-    readonly peers: PeerLiveness,
-    readonly workerConnectivity: WorkerConnectivity,
+    readonly order: AcquisitionOrder,
     readonly listener: OwnershipListener,
-  ) {}
+  ) {
+    this.#clock = context.clock;
+  }
 
+  /** Gives up the attempts that are under way. What is owned is not released: its hold expires with the store lease. */
   stop(): void {
     this.#stopped = true;
   }
 
-  get #settings(): Settings {
-    return this.context.settings;
-  }
-
-  get #clock(): Clock {
-    return this.context.clock;
-  }
-
   /** Looks at all resources after a read of the key-value store. */
   synced(): void {
     const { clusterState } = this.context;
     if (clusterState.meta === null) {
-      void this.#createDeployment();
+      void createDeploymentRecord(this.context, this.order);
       return;
     }
-    if (this.#ownerships.size === 0) this.#openOwnerships(clusterState.meta.partitionCount);
-    for (const ownership of this.#ownerships.values()) this.#decide(ownership);
+    if (this.#ownershipsByResource.size === 0) this.#openOwnerships(clusterState.meta.partitionCount);
+    for (const ownership of this.#ownershipsByResource.values()) this.#decide(ownership);
+  }
+
+  #openOwnerships(partitionCount: number): void {
+    for (let partitionId = 0; partitionId < partitionCount; partitionId++)
+      this.#openOwnership(String(partitionId), () => this.order.partitionDelay(partitionId));
+    this.#openOwnership(LEADERSHIP, () => this.order.leadershipDelay());
+  }
+
+  #openOwnership(resource: string, acquisitionDelay: () => number): void {
+    const { node, clusterConfig, features } = this.context.settings;
+    const localNode = {
+      node,
+      process: this.process,
+      ...(features.borrowing === null ? {} : { takesClaimLists: true }),
+      ...(features.replicaGroups === null ? {} : { takesGroupReports: true }),
+    };
+    this.#ownershipsByResource.set(resource, new Ownership(resource, clusterConfig, localNode, acquisitionDelay));
   }
 
   #decide(ownership: Ownership): void {
@@ -100,84 +90,6 @@
     }
   }
 
-  /** Writes the settings of the deployment that hold for ever, as the first controller that ever starts. */
-  async #createDeployment(): Promise<void> {
-    const { context } = this;
-    const tasks = Math.floor(this.#settings.valueBytes * PAGE_SHARE) * TASKS_PER_CHARACTER;
-    const pageTasks = Math.max(LEAST_PAGE_TASKS, tasks);
-    const partitionCount = this.#settings.clusterConfig.controllerCount;
-    const nodes = this.#nodes();
-    const zones = Array.from({ length: partitionCount }, (_, partitionId) =>
-      this.#zoneOf(nodes[partitionId % nodes.length]!),
-    );
-    const meta = { format: FORMAT, partitionCount, zones, pageTasks: pageTasks - (pageTasks % 8) };
-    const changes = [{ put: KEYS.meta, value: metaRecord.write(meta) }];
-    const result = await context.keyValueStore.compareAndSwap(
-      URGENCY.accept,
-      [{ key: KEYS.meta, version: 0 }],
-      changes,
-    );
-    if (result.kind !== 'done') return;
-    context.recordCommit(changes, result.revision);
-  }
-
-  // --- order of takers ---------------------------------------------------------------------------------------------
-
-  /** All controllers, in the order in which partitions have their homes. */
-  #nodes(): string[] {
-    const { node, peers } = this.#settings;
-    return [node, ...peers.map((p) => p.node)].sort();
-  }
-
-  #zoneOf(node: string): string {
-    return this.#settings.peers.find((p) => p.node === node)?.zone ?? this.#settings.zone;
-  }
-
-  /** Who should own the partition, its home first: those in its zone go before the others. */
-  #orderFor(partitionId: number): string[] {
-    const nodes = this.#nodes();
-    const zone = this.context.clusterState.meta?.zones[partitionId];
-    const from = nodes.map((_, i) => nodes[(i + partitionId) % nodes.length]!);
-    return [...from.filter((n) => this.#zoneOf(n) === zone), ...from.filter((n) => this.#zoneOf(n) !== zone)];
-  }
-
-  /** Report intervals to leave to the controllers that come before this one. */
-  #acquisitionDelay(order: readonly string[]): number {
-    let sum = 0;
-    for (const node of order) {
-      if (node === this.#settings.node) break;
-      if (this.peers.isAlive(node)) sum += ACQUISITION_DELAY.alive;
-      else sum += this.peers.wasSeen(node) ? ACQUISITION_DELAY.silent : ACQUISITION_DELAY.unknown;
-    }
-    return sum;
-  }
-
-  #openOwnerships(partitionCount: number): void {
-    const { node, clusterConfig } = this.#settings;
-    const { borrowing, replicaGroups } = this.#settings.features;
-    const localNode = {
-      node,
-      process: this.process,
-      ...(borrowing === null ? {} : { takesClaimLists: true }),
-      ...(replicaGroups === null ? {} : { takesGroupReports: true }),
-    };
-    for (let partitionId = 0; partitionId < partitionCount; partitionId++) {
-      const order = this.#orderFor(partitionId);
-      const resource = String(partitionId);
-      // Given up because its workers do not reach this controller, it is left to others first.
-      const acquisitionDelay = (): number =>
-        this.#acquisitionDelay(order) + (this.#isLeftToOthers(partitionId) ? ACQUISITION_DELAY.cutOff : 0);
-      this.#ownerships.set(resource, new Ownership(resource, clusterConfig, localNode, acquisitionDelay));
-    }
-    const nodes = this.#nodes();
-    this.#ownerships.set(
-      LEADERSHIP,
-      new Ownership(LEADERSHIP, clusterConfig, localNode, () => this.#acquisitionDelay(nodes)),
-    );
-  }
-
-  // --- taking and resuming -----------------------------------------------------------------------------------------
-
   async #acquire(ownership: Ownership, attempt: Acquisition): Promise<void> {
     const { context } = this;
     const { conditions, changes } = attempt.transaction;
@@ -190,8 +102,11 @@
     }
     const ownershipTerm = ownership.acquired(attempt, revision, doneAt, this.#clock.now(), this.#clock.wall());
     if (ownershipTerm === null) return;
-    const fencedForMs = Math.round(ownershipTerm.fencedUntil - this.#clock.now());
-    context.log.info({ resource: ownershipTerm.resource, term: ownershipTerm.term, fencedForMs }, 'partition acquired');
+    const { resource, term, fencedUntil } = ownershipTerm;
+    context.log.info(
+      { resource, term, fencedForMs: Math.round(fencedUntil - this.#clock.now()) },
+      'partition acquired',
+    );
     this.listener.opened(ownershipTerm);
     this.#confirmAcquisition(ownershipTerm);
   }
@@ -203,7 +118,7 @@
       try {
         await watchCache.linearizableRead();
       } catch {
-        await sleep(this.#clock, clusterConfig.heartbeatIntervalMs / 5);
+        await sleep(this.#clock, clusterConfig.heartbeatIntervalMs / READ_RETRIES_PER_HEARTBEAT_INTERVAL);
       }
       if (!isStillWanted()) return false;
     }
@@ -211,8 +126,7 @@
   }
 
   #isOwnRecord(ownership: Ownership, version: number): boolean {
-    const owner: Versioned<OwnerRecord> | undefined = this.context.clusterState.owners.get(ownership.resource);
-    return owner?.version === version;
+    return this.context.clusterState.owners.get(ownership.resource)?.version === version;
   }
 
   #confirmAcquisition(ownershipTerm: OwnershipTerm): void {
@@ -227,103 +141,69 @@
     const isStillWanted = (): boolean => !this.#stopped && ownership.isPending(attempt);
     const revision = await this.context.commitWithRetry(URGENCY.renew, conditions, changes, isStillWanted);
     const { ownershipTerm } = attempt;
+    const { resource, term } = ownershipTerm;
     if (revision === 0) {
       if (ownership.failed(attempt)) this.#ended(ownershipTerm);
     } else if (ownership.resumed(attempt)) {
-      this.context.log.info({ resource: ownershipTerm.resource, term: ownershipTerm.term }, 'ownership resumed');
+      this.context.log.info({ resource, term }, 'ownership resumed');
     }
   }
 
   #ended(ownershipTerm: OwnershipTerm): void {
-    this.context.log.info({ resource: ownershipTerm.resource, term: ownershipTerm.term }, 'ownership ended');
+    const { resource, term } = ownershipTerm;
+    this.context.log.info({ resource, term }, 'ownership ended');
     this.listener.ended(ownershipTerm);
   }
 
-  // --- giving up ---------------------------------------------------------------------------------------------------
-
-  /** A worker has seen the token of a later owner. */
+  /** A worker has seen the fencing token of a later owner: the term is over. */
   superseded(ownershipTerm: OwnershipTerm): void {
-    if (this.#ownerships.get(ownershipTerm.resource)?.stepDown(ownershipTerm) === true) this.#ended(ownershipTerm);
+    if (this.#ownershipsByResource.get(ownershipTerm.resource)?.stepDown(ownershipTerm) === true)
+      this.#ended(ownershipTerm);
   }
 
   /**
-   * A later owner of the given term asks whether the partition is still owned here. Without the state service this controller may
-   * be the last to learn that it was taken over. The answer no holds for ever, for all earlier terms.
+   * Answers a later owner of the given term that asks whether the partition is still owned here, ending an earlier term: without
+   * contact with the store this controller may be the last to learn of the failover. The answer no holds for ever, for all
+   * earlier terms.
    */
   ownsAfterQuery(partitionId: number, term: number): boolean {
-    const ownership = this.#ownerships.get(String(partitionId));
+    const ownership = this.#ownershipsByResource.get(String(partitionId));
     const ended = ownership?.renounceBefore(term) ?? null;
     if (ended !== null) this.#ended(ended);
     return (ownership?.ownershipTerm ?? null) !== null;
   }
 
-  #isLeftToOthers(partitionId: number): boolean {
-    return this.#clock.now() < (this.#leftToOthersUntil.get(partitionId) ?? -Infinity);
-  }
-
   /**
-   * Gives a partition whose workers have long been unable to reach this controller to one that they do reach. Relaying carries them
-   * meanwhile, but each report takes a way that costs it seconds whenever it is tried directly again.
+   * Gives up a partition that is held here. Its term is over when this returns, whatever becomes of the write that lets others
+   * acquire the partition at once. False: it can't be released now, and nothing has changed.
    */
-  releaseUnreachable(owners: Iterable<PartitionOwner>, now: number): void {
-    if (!this.context.fresh() || this.context.watchCache.failures > 0) return;
-    for (const { partitionId, ownershipTerm, claimTable } of owners) {
-      if (
-        ownershipTerm.state !== 'held' ||
-        !claimTable.isFencingOver ||
-        !this.workerConnectivity.isCutOff(partitionId, now)
-      )
-        continue;
-      if (!this.#settings.peers.some(({ node }) => this.peers.isAlive(node))) continue;
-      const ownership = this.#ownerships.get(ownershipTerm.resource)!;
-      const attempt = ownership.release(this.context.clusterState.view(ownershipTerm.resource));
-      if (attempt === null) continue;
-      this.context.log.info({ partitionId }, 'workers can not reach this controller');
-      this.#leftToOthersUntil.set(partitionId, now + this.context.clusterConfig.workerLeaseMs);
-      this.#ended(ownershipTerm);
-      void this.#release(ownership, attempt);
-    }
-  }
-
-  /** Gives up partitions whose terms run out of attempts: whoever takes them, mostly this controller, does so under a new term. */
-  releaseExhausted(owners: Iterable<PartitionOwner>): void {
-    if (!this.context.fresh()) return;
-    for (const { partitionId, ownershipTerm, claimTable } of owners) {
-      if (ownershipTerm.state !== 'held' || !claimTable.needsNewTerm) continue;
-      const ownership = this.#ownerships.get(ownershipTerm.resource)!;
-      const attempt = ownership.release(this.context.clusterState.view(ownershipTerm.resource));
-      if (attempt === null) continue;
-      this.context.log.info({ partitionId, term: ownershipTerm.term }, 'attempt numbers exhausted');
-      this.#ended(ownershipTerm);
-      void this.#release(ownership, attempt);
-    }
+  release(ownershipTerm: OwnershipTerm, reason: ReleaseReason): boolean {
+    const { clusterState } = this.context;
+    const ownership = this.#ownershipsByResource.get(ownershipTerm.resource)!;
+    const attempt = ownership.release(clusterState.view(ownershipTerm.resource));
+    if (attempt === null) return false;
+    this.#logReason(ownershipTerm, reason);
+    this.#ended(ownershipTerm);
+    void this.#writeRelease(ownership, attempt);
+    return true;
   }
 
-  /**
-   * Gives a partition that was taken over back to its home, once that is well again: after rolling restarts one controller
-   * owned most of the fleet, and its end cost the most. One at a time, and not while anything is wrong: workers of the
-   * partition have to find their new owner.
-   */
-  returnToHome(owners: Iterable<PartitionOwner>, now: number): void {
-    const { workerLeaseMs } = this.context.clusterConfig;
-    if (now - this.#releasedAt < workerLeaseMs || !this.context.fresh() || this.context.watchCache.failures > 0) return;
-    for (const { partitionId, ownershipTerm, claimTable } of owners) {
-      const home = this.#orderFor(partitionId)[0]!;
-      if (home === this.#settings.node || ownershipTerm.state !== 'held' || !claimTable.isFencingOver) continue;
-      // What its home gave up itself, for its workers did not reach it, it gets back later.
-      const patienceMs = ownershipTerm.releasedBy === home ? workerLeaseMs * CUT_OFF_RETURN_LEASES : workerLeaseMs;
-      if (now - ownershipTerm.acquiredAt < patienceMs || !this.peers.isHealthy(home, workerLeaseMs)) continue;
-      const ownership = this.#ownerships.get(ownershipTerm.resource)!;
-      const attempt = ownership.release(this.context.clusterState.view(ownershipTerm.resource));
-      if (attempt === null) continue;
-      this.#releasedAt = now;
-      this.#ended(ownershipTerm);
-      void this.#release(ownership, attempt);
-      return;
+  #logReason({ resource, term }: OwnershipTerm, reason: ReleaseReason): void {
+    const { log } = this.context;
+    const partitionId = Number(resource);
+    switch (reason) {
+      case 'workers unreachable':
+        log.info({ partitionId }, 'workers can not reach this controller');
+        return;
+      case 'attempt numbers exhausted':
+        log.info({ partitionId, term }, 'attempt numbers exhausted');
+        return;
+      case 'return to home':
+        return;
     }
   }
 
-  async #release(ownership: Ownership, attempt: Release): Promise<void> {
+  async #writeRelease(ownership: Ownership, attempt: Release): Promise<void> {
     const { conditions, changes } = attempt.transaction;
     const revision = await this.context.commitWithRetry(URGENCY.renew, conditions, changes, () => !this.#stopped);
     ownership.released(attempt);
--- a/packages/daemon/src/ownership/previous-owners.ts
+++ b/packages/daemon/src/ownership/previous-owners.ts
@@ -1,43 +1,55 @@
-// Asks the controllers from which partitions of ours were taken whether they have given them up: if so, no worker has been
+// Asks the controllers from which partitions were acquired whether they have given them up. If so, none of their workers has been
 // answered by them since, and the fencing period ends sooner.
 import type { PeerMessages } from '@gingerlock/peer';
 import type { PartitionOwner } from '../owner/partition-owner';
 import type { PeerChannel } from '../peers/peer-channel';
 
+/** Queries of each owner in a heartbeat interval. */
+const QUERIES_PER_HEARTBEAT_INTERVAL = 2;
+
+/** An answer counts for this many heartbeat intervals after its query. */
+const ANSWER_INTERVALS = 2;
+
 interface OwnerQuery {
   readonly partitionId: number;
   readonly term: number;
-  readonly at: number;
+  readonly sentAt: number;
 }
 
+/** Repeats its queries for as long as a partition's fencing period is not over and its previous owner has not answered no. */
 export class PreviousOwnerQueries {
-  readonly #open = new Map<string, OwnerQuery>();
+  /** Queries that may still be answered, by request id. */
+  readonly #openById = new Map<string, OwnerQuery>();
   #askedAt = -Infinity;
 
   constructor(
-    readonly owners: ReadonlyMap<number, PartitionOwner>,
+    /** The owners of the partitions owned here, by partition. */
+    readonly ownersById: ReadonlyMap<number, PartitionOwner>,
     readonly peers: PeerChannel,
     readonly heartbeatIntervalMs: number,
   ) {}
 
+  /** Sends the queries that are due. */
   tick(now: number): void {
-    if (now - this.#askedAt < this.heartbeatIntervalMs / 2) return;
+    if (now - this.#askedAt < this.heartbeatIntervalMs / QUERIES_PER_HEARTBEAT_INTERVAL) return;
     this.#askedAt = now;
-    for (const [id, query] of this.#open) if (now - query.at > this.heartbeatIntervalMs * 2) this.#open.delete(id);
-    for (const { partitionId, ownershipTerm, claimTable } of this.owners.values()) {
+    const answerMs = this.heartbeatIntervalMs * ANSWER_INTERVALS;
+    for (const [id, query] of this.#openById) if (now - query.sentAt > answerMs) this.#openById.delete(id);
+    for (const { partitionId, ownershipTerm, claimTable } of this.ownersById.values()) {
       const { term, previousOwner } = ownershipTerm;
       if (previousOwner === null || claimTable.isFencingOver) continue;
       const id = this.peers.nextRequestId();
-      this.#open.set(id, { partitionId, term, at: now });
+      this.#openById.set(id, { partitionId, term, sentAt: now });
       this.peers.send(previousOwner.node, { kind: 'OwnershipQuery', id, partitionId, term });
     }
   }
 
-  onAnswer(from: string, { id, owns }: PeerMessages['OwnershipAnswer'], now: number, wall: number): void {
-    const query = this.#open.get(id);
-    const owner = query === undefined ? undefined : this.owners.get(query.partitionId);
+  /** Takes an answer that came at `now` by the steady clock and `wallNow` by the time of day. Answers to old terms are ignored. */
+  onAnswer(from: string, { id, owns }: PeerMessages['OwnershipAnswer'], now: number, wallNow: number): void {
+    const query = this.#openById.get(id);
+    const owner = query === undefined ? undefined : this.ownersById.get(query.partitionId);
     if (query === undefined || owns || owner?.ownershipTerm.term !== query.term) return;
-    owner.ownershipTerm.previousOwnerEnded(from, now, wall);
+    owner.ownershipTerm.previousOwnerEnded(from, now, wallNow);
     owner.claimTable.fencedUntil = owner.ownershipTerm.fencedUntil;
   }
 }
--- a/packages/daemon/src/ownership/worker-connectivity.ts
+++ b/packages/daemon/src/ownership/worker-connectivity.ts
@@ -1,22 +1,24 @@
-// Whether workers can reach this controller. One that is cut off from them keeps its state lease and so its partitions, though every
-// report has to come through another controller: if that lasts, its partitions had better go to one that they reach.
+// Whether workers can reach this controller. One that is cut off from them keeps its store lease and so its partitions, though every
+// heartbeat has to be relayed by another controller: if that lasts, the partitions should go to one that the workers reach.
 import type { ClusterConfig } from '@gingerlock/core';
 
-/** Reports that are relayed for so many worker leases, with none that comes directly, show a cut that lasts. */
-const CUT_LEASES = 1;
+/** Heartbeats that are relayed for this many worker leases, with none that comes directly, show that the cut lasts. */
+const CUT_OFF_LEASES = 1;
 
-/** Reports of a partition that come less often than this, in report intervals, say nothing. */
-const RELAY_GAP_INTERVALS = 3;
+/** Relayed heartbeats of a partition that come further apart than this many heartbeat intervals are no evidence. */
+const MAX_RELAY_GAP_INTERVALS = 3;
 
-interface Relayed {
-  readonly since: number;
-  readonly last: number;
+/** The latest uninterrupted series of relayed heartbeats of a partition. */
+interface RelayedSeries {
+  readonly beganAt: number;
+  readonly lastAt: number;
 }
 
+/** Notes on which way the heartbeats for this controller come. Times are of the steady clock. */
 export class WorkerConnectivity {
+  /** When a heartbeat last came directly from a worker; at first, when this controller started. */
   #directAt: number;
-  /** By partition: since when its reports are relayed without a long gap. */
-  readonly #relayed = new Map<number, Relayed>();
+  readonly #relayedByPartition = new Map<number, RelayedSeries>();
 
   constructor(
     readonly clusterConfig: ClusterConfig,
@@ -28,23 +30,27 @@
   /** A worker, of whichever partition, has reached this controller. */
   recordDirect(now: number): void {
     this.#directAt = now;
-    this.#relayed.clear();
+    this.#relayedByPartition.clear();
   }
 
-  /** Another controller has relayed a report of a worker of the partition. */
+  /** Another controller has relayed a heartbeat of a worker of the partition. */
   recordRelayed(partitionId: number, now: number): void {
-    const known = this.#relayed.get(partitionId);
-    const goesOn =
-      known !== undefined && now - known.last <= this.clusterConfig.heartbeatIntervalMs * RELAY_GAP_INTERVALS;
-    this.#relayed.set(partitionId, { since: goesOn ? known.since : now, last: now });
+    const series = this.#currentSeries(partitionId, now);
+    this.#relayedByPartition.set(partitionId, { beganAt: series?.beganAt ?? now, lastAt: now });
   }
 
-  /** Whether the workers of the partition report, and for long have not been able to do so here. */
+  /** Whether the workers of the partition send heartbeats, and have long been unable to send them here directly. */
   isCutOff(partitionId: number, now: number): boolean {
-    const relayed = this.#relayed.get(partitionId);
-    if (relayed === undefined || now - relayed.last > this.clusterConfig.heartbeatIntervalMs * RELAY_GAP_INTERVALS)
-      return false;
-    const cutMs = this.clusterConfig.workerLeaseMs * CUT_LEASES;
-    return now - relayed.since >= cutMs && now - this.#directAt >= cutMs;
+    const series = this.#currentSeries(partitionId, now);
+    if (series === null) return false;
+    const cutOffMs = this.clusterConfig.workerLeaseMs * CUT_OFF_LEASES;
+    return now - series.beganAt >= cutOffMs && now - this.#directAt >= cutOffMs;
+  }
+
+  /** Null: no heartbeat of the partition was relayed lately. */
+  #currentSeries(partitionId: number, now: number): RelayedSeries | null {
+    const series = this.#relayedByPartition.get(partitionId);
+    const maxGapMs = this.clusterConfig.heartbeatIntervalMs * MAX_RELAY_GAP_INTERVALS;
+    return series === undefined || now - series.lastAt > maxGapMs ? null : series;
   }
 }
