--- a/packages/daemon/src/api/job-api.ts
+++ b/packages/daemon/src/api/job-api.ts
@@ -1,65 +1,45 @@
-// What users ask for: submissions, polls and cancellations.
+// What users ask for: submissions, polls and cancellations of jobs.
 import { type CompareAndSwapResult, URGENCY } from '@gingerlock/clients';
-import { coverPerPartition, assignedUnfinished, type Job, unschedulableReason } from '@gingerlock/core';
+import { assignedUnfinished, type JobTable, unschedulableReason } from '@gingerlock/core';
 import { isGroupSpec } from '@gingerlock/replica-groups';
 import {
   decodeSubmission,
   encodeJobState,
   isJobId,
   jobRecord,
-  type JobRecord,
   type JobSpec,
-  type JobState,
   KEYS,
-  MalformedMessageError,
   mostMembers,
 } from '@gingerlock/wire';
-import { refusal, type Reply } from './reply';
 import type { ControllerContext } from '../controller/controller-context';
+import { cancelledJobValue, jobStateOf, newJobRecord, unfitDependency } from './job-records';
+import { malformed, refusal, type Reply } from './reply';
 
-/** Share of a value that the record of a new job leaves free for the rounds in which its tasks are assigned. */
+/** Share of a value that the record of a new job leaves free for the ranges in which its tasks are assigned. */
 const RANGES_SHARE = 0.25;
 
-/** Why the jobs that a submission names are no jobs it can wait for. */
-function unfitDependency(spec: JobSpec, live: ReadonlyMap<string, Job>): string | null {
-  if (spec.awaits.includes(spec.id)) return 'awaits: the job itself';
-  const service = spec.awaits.find((id) => live.get(id)?.spec.kind === 'service');
-  return service === undefined ? null : `awaits: ${service} is a service, which is never done`;
-}
+/** How long a user's transaction waits for the rate limiter, in milliseconds. */
+const PATIENCE_MS = 2000;
+
+/** How long a cancellation is repeated while others change the job's record, in milliseconds. */
+const CANCEL_RETRY_MS = 3000;
+
+/** Users whose request can't be answered now may ask again after so many seconds. */
+const RETRY_S = 1;
 
+/**
+ * Any controller answers for any job. A reply other than 5xx and 429 shows no older state than any reply that any controller has
+ * given before the request: it rests on a linearizable read, or on a state that can't change any more. A request may be repeated
+ * at will; a submission is identified by its job's id.
+ */
 export class JobApi {
   constructor(
     readonly context: ControllerContext,
-    /** How many tasks of a job run now, as far as we have heard. */
-    readonly running: (id: string) => number,
+    /** How many tasks of a job run now, by the latest statuses of the partitions. */
+    readonly runningTasks: (id: string) => number,
   ) {}
 
-  #jobStateOf(id: string): JobState | null {
-    const final = this.context.clusterState.jobs.finals.get(id);
-    if (final !== undefined) return { id, status: final };
-    const job = this.context.clusterState.jobs.live.get(id);
-    if (job === undefined) return null;
-    if (job.cancelled) return { id, status: 'cancelled' };
-    const running = this.running(id);
-    return { id, status: running > 0 ? 'running' : 'queued', done: job.finishedCount, running };
-  }
-
-  #reply(id: string, status: number): Reply {
-    const state = this.#jobStateOf(id);
-    return state === null ? refusal(404, 'no such job') : { status, body: encodeJobState(state) };
-  }
-
-  /** Whether what the replica says of the job can not change any more. */
-  #isFinal(id: string): boolean {
-    return (
-      this.context.clusterState.jobs.finals.has(id) || this.context.clusterState.jobs.live.get(id)?.cancelled === true
-    );
-  }
-
-  #isKnown(id: string): boolean {
-    return this.context.clusterState.jobs.finals.has(id) || this.context.clusterState.jobs.live.has(id);
-  }
-
+  /** Replies 200 with the state of the job, 404 if it was never accepted, or 503 if the store can't be read. */
   async poll(id: string): Promise<Reply> {
     if (!isJobId(id)) return refusal(404, 'no such job');
     if (!this.#isFinal(id)) {
@@ -72,51 +52,38 @@
     return this.#reply(id, 200);
   }
 
-  #unavailable(): Reply {
-    return refusal(503, 'state service is out of reach', 1);
-  }
-
+  /**
+   * Replies 201 once the job is stored, 200 if it was before, 400 if the body can't be decoded, 422 if the job can never run,
+   * 429 if there are too many requests, or 503 if the outcome is not known or the store can't be reached.
+   */
   async submit(body: Buffer): Promise<Reply> {
     let spec: JobSpec;
     try {
       spec = decodeSubmission(body);
     } catch (error) {
-      return refusal(400, error instanceof MalformedMessageError ? error.message : 'malformed');
+      return malformed(error);
     }
     const { id } = spec;
-    if (this.#isKnown(id)) return this.poll(id);
-    if (this.context.clusterState.types.size === 0) return refusal(503, 'machine types are not known yet', 1);
-    const never = this.#whyNever(spec);
-    if (never !== null) {
-      // Another controller may have accepted it under other settings or types.
-      const known = await this.poll(id);
-      return known.status === 404 ? refusal(422, never) : known;
-    }
+    const { clusterState, clock, keyValueStore, settings } = this.context;
+    if (this.#jobs.isKnown(id)) return this.poll(id);
+    if (clusterState.types.size === 0) return refusal(503, 'machine types are not known yet', RETRY_S);
+    const impossible = this.#impossibleReason(spec);
+    if (impossible !== null) return refusedUnlessKnown(await this.poll(id), impossible);
     const refused = await this.#checkDependencies(spec);
     if (refused !== null) return refused;
-    const wait = this.context.keyValueStore.options.rateLimiter.waitMs(URGENCY.accept);
-    if (wait > 2000) return refusal(429, 'too many requests', Math.ceil(wait / 1000));
+    const waitMs = keyValueStore.options.rateLimiter.waitMs(URGENCY.accept);
+    if (waitMs > PATIENCE_MS) return refusal(429, 'too many requests', Math.ceil(waitMs / 1000));
+    const value = jobRecord.write(newJobRecord(spec, this.#jobs, clock.wall()));
+    if (Buffer.byteLength(JSON.stringify(value)) > settings.valueBytes * (1 - RANGES_SHARE))
+      return refusedUnlessKnown(await this.poll(id), 'the description is too long, or too many jobs to wait for');
     const key = KEYS.job(id);
-    const value = jobRecord.write(this.#newRecord(spec));
-    const remaining = this.context.settings.valueBytes * (1 - RANGES_SHARE);
-    if (Buffer.byteLength(JSON.stringify(value)) > remaining) {
-      const known = await this.poll(id);
-      return known.status === 404 ? refusal(422, 'the description is too long, or too many jobs to wait for') : known;
-    }
     const changes = [{ put: key, value }];
-    const result = await this.context.keyValueStore.compareAndSwap(
-      URGENCY.accept,
-      [{ key, version: 0 }],
-      changes,
-      2000,
-    );
+    const isNew = { key, version: 0 };
+    const result = await keyValueStore.compareAndSwap(URGENCY.accept, [isNew], changes, PATIENCE_MS);
     switch (result.kind) {
       case 'done':
         this.context.recordCommit(changes, result.revision);
-        this.context.log.debug(
-          { job: id, class: spec.jobClass, team: spec.team, tasks: spec.tasks, awaits: spec.awaits },
-          'accepted',
-        );
+        this.#logAccepted(spec);
         return this.#reply(id, 201);
       case 'conflict':
         return this.poll(id);
@@ -125,19 +92,22 @@
     }
   }
 
+  #logAccepted({ id, jobClass, team, tasks, awaits }: JobSpec): void {
+    this.context.log.debug({ job: id, class: jobClass, team, tasks, awaits }, 'accepted');
+  }
+
   /** Why the job can never run; null: it can. */
-  #whyNever(spec: JobSpec): string | null {
+  #impossibleReason(spec: JobSpec): string | null {
     const { clusterConfig, features, valueBytes } = this.context.settings;
-    const most = mostMembers(valueBytes);
-    if (isGroupSpec(features.replicaGroups, spec) && spec.tasks > most)
-      return `a replica group has ${most} members at the most`;
+    const maxMembers = mostMembers(valueBytes);
+    if (isGroupSpec(features.replicaGroups, spec) && spec.tasks > maxMembers)
+      return `a replica group has ${maxMembers} members at the most`;
     return unschedulableReason(spec, clusterConfig, [...this.context.clusterState.types.values()]);
   }
 
-  /** The answer to a submission that names jobs which it can't wait for; null: it can. */
+  /** The reply to a submission that names jobs which it can't wait for; null: it can. */
   async #checkDependencies(spec: JobSpec): Promise<Reply | null> {
-    const { jobs } = this.context.clusterState;
-    if (!spec.awaits.every((id) => jobs.isKnown(id))) {
+    if (!spec.awaits.every((id) => this.#jobs.isKnown(id))) {
       // They may have been accepted elsewhere a moment ago.
       try {
         await this.context.watchCache.linearizableRead();
@@ -145,27 +115,8 @@
         return this.#unavailable();
       }
     }
-    const unknown = spec.awaits.find((id) => !jobs.isKnown(id));
-    const why = unknown === undefined ? unfitDependency(spec, jobs.live) : `awaits: ${unknown} was never accepted`;
-    if (why === null) return null;
-    // Accepted before, the job is never refused now.
-    const known = await this.poll(spec.id);
-    return known.status === 404 ? refusal(422, why) : known;
-  }
-
-  /** Dependencies that are done need not be kept: they remain so. With a cancelled one the job is cancelled at once. */
-  #newRecord(spec: JobSpec): JobRecord {
-    const { finals } = this.context.clusterState.jobs;
-    if (spec.awaits.some((id) => finals.get(id) === 'cancelled')) return { final: 'cancelled' };
-    const awaits = spec.awaits.filter((id) => finals.get(id) !== 'done');
-    return {
-      final: null,
-      spec: { ...spec, awaits },
-      acceptedAt: this.context.clock.wall(),
-      cancelled: false,
-      isCrashLooping: false,
-      assignedRanges: [],
-    };
+    const reason = unfitDependency(spec, this.#jobs);
+    return reason === null ? null : refusedUnlessKnown(await this.poll(spec.id), reason);
   }
 
   async #undecided(id: string, result: CompareAndSwapResult): Promise<Reply> {
@@ -176,60 +127,69 @@
     return reply.status === 200 ? reply : this.#unavailable();
   }
 
-  /** `outgrown`: the record was stored under a larger limit on values, and refused as it is. */
-  #cancelledRecord(job: Job, outgrown: boolean): unknown {
-    const { spec, acceptedAt } = job;
-    // With nothing assigned there is nothing to stop: the record closes at once.
-    if (job.assignedRanges.length === 0) return jobRecord.write({ final: 'cancelled' });
-    const assignedRanges = outgrown ? coverPerPartition(job.assignedRanges) : job.assignedRanges;
-    return jobRecord.write({
-      final: null,
-      spec,
-      acceptedAt,
-      cancelled: true,
-      isCrashLooping: job.isCrashLooping,
-      assignedRanges,
-    });
-  }
-
+  /**
+   * Replies 200 once the cancellation is stored, or the job was over before; 404 if it was never accepted; 503 if the outcome is
+   * not known or the store can't be reached.
+   */
   async cancel(id: string): Promise<Reply> {
     if (!isJobId(id)) return refusal(404, 'no such job');
-    const until = this.context.clock.now() + 3000;
-    let outgrown = false;
+    const { context } = this;
+    const retryUntil = context.clock.now() + CANCEL_RETRY_MS;
+    let isTooLarge = false;
     while (!this.#isFinal(id)) {
-      let job: Job | undefined = this.context.clusterState.jobs.live.get(id);
+      let job = this.#jobs.live.get(id);
       if (job === undefined) {
         const reply = await this.poll(id);
         if (reply.status !== 200) return reply;
-        job = this.context.clusterState.jobs.live.get(id);
+        job = this.#jobs.live.get(id);
         if (job === undefined || job.cancelled) break;
       }
       const key = KEYS.job(id);
-      const changes = [{ put: key, value: this.#cancelledRecord(job, outgrown) }];
-      const result = await this.context.keyValueStore.compareAndSwap(
-        URGENCY.cancel,
-        [{ key, version: job.version }],
-        changes,
-        2000,
-      );
-      if (result.kind === 'invalid' && !outgrown) {
-        outgrown = true;
-        continue;
-      }
+      const changes = [{ put: key, value: cancelledJobValue(job, isTooLarge) }];
+      const isUnchanged = { key, version: job.version };
+      const result = await context.keyValueStore.compareAndSwap(URGENCY.cancel, [isUnchanged], changes, PATIENCE_MS);
       if (result.kind === 'done') {
-        this.context.recordCommit(changes, result.revision);
-        this.context.log.debug({ job: id, assigned: assignedUnfinished(job) }, 'cancelled');
+        context.recordCommit(changes, result.revision);
+        context.log.debug({ job: id, assigned: assignedUnfinished(job) }, 'cancelled');
         break;
       }
-      if (result.kind === 'refused' || result.kind === 'invalid' || this.context.clock.now() > until)
+      if (result.kind === 'invalid' && !isTooLarge) {
+        isTooLarge = true;
+        continue;
+      }
+      if (result.kind === 'refused' || result.kind === 'invalid' || context.clock.now() > retryUntil)
         return this.#unavailable();
       try {
-        await this.context.watchCache.linearizableRead();
+        await context.watchCache.linearizableRead();
       } catch {
         return this.#unavailable();
       }
     }
-    if (this.context.clusterState.jobs.live.get(id)?.cancelled === true) this.context.announcements.jobCancelled(id);
+    if (this.#jobs.live.get(id)?.cancelled === true) context.announcements.jobCancelled(id);
     return this.#reply(id, 200);
   }
+
+  get #jobs(): JobTable {
+    return this.context.clusterState.jobs;
+  }
+
+  /** Whether what the watch cache says of the job can't change any more. */
+  #isFinal(id: string): boolean {
+    return this.#jobs.finals.has(id) || this.#jobs.live.get(id)?.cancelled === true;
+  }
+
+  /** Replies with the job's state in the watch cache and the given status, or 404. */
+  #reply(id: string, status: number): Reply {
+    const state = jobStateOf(id, this.#jobs, this.runningTasks);
+    return state === null ? refusal(404, 'no such job') : { status, body: encodeJobState(state) };
+  }
+
+  #unavailable(): Reply {
+    return refusal(503, 'state service is out of reach', RETRY_S);
+  }
+}
+
+/** The reply to a submission that is to be refused. A job that was accepted before, perhaps elsewhere, is never refused now. */
+function refusedUnlessKnown(polled: Reply, reason: string): Reply {
+  return polled.status === 404 ? refusal(422, reason) : polled;
 }
--- a/packages/daemon/src/api/rendezvous.ts
+++ b/packages/daemon/src/api/rendezvous.ts
@@ -1,4 +1,4 @@
-// Answers members of replica groups: who belongs to the group, and for how long a member may serve without asking again.
+// Answers the members of replica groups: who belongs to the group, and for how long a member may serve without asking again.
 import { type ReplicaGroupSettings, serveLeaseMs } from '@gingerlock/replica-groups';
 import {
   decodeRendezvousQuestion,
@@ -6,15 +6,15 @@
   encodeRendezvousRefusal,
   type GroupRecord,
   hostOf,
-  MalformedMessageError,
   type RendezvousQuestion,
 } from '@gingerlock/wire';
-import { refusal, type Reply } from './reply';
+import { malformed, refusal, type Reply } from './reply';
 import type { ControllerContext } from '../controller/controller-context';
 
-/** Members whose controller can't answer ask again after so many seconds. */
+/** Members that can't be answered now ask again after so many seconds. */
 const RETRY_S = 1;
 
+/** Grants serve leases to the members of a group of the current generation. */
 export class Rendezvous {
   constructor(
     readonly context: ControllerContext,
@@ -22,16 +22,19 @@
   ) {}
 
   /**
-   * Any controller answers, whoever owns the member's partition. A lease is given only behind a read that began after the question: what
-   * it shows held after the question was sent, from which the lease counts. So all leases of a generation have run out one lease after
-   * its end was stored.
+   * Replies 200 with the group and a serve lease, 409 if the asking attempt does not belong to the serving generation, 400 if the
+   * body can't be decoded, or 503.
+   *
+   * Any controller answers, whoever owns the member's partition. A lease is granted only after a read that began after the
+   * question came: what it shows held after the question was sent, from which the member counts its lease. So all leases of a
+   * generation have expired one lease after its end was stored.
    */
   async ask(body: Buffer): Promise<Reply> {
     let question: RendezvousQuestion;
     try {
       question = decodeRendezvousQuestion(body);
     } catch (error) {
-      return refusal(400, error instanceof MalformedMessageError ? error.message : 'malformed');
+      return malformed(error);
     }
     try {
       await this.context.watchCache.linearizableRead();
@@ -46,23 +49,23 @@
     const job = clusterState.jobs.live.get(id);
     const record = job?.isGroup === true ? clusterState.groups.get(id)?.record : undefined;
     const isServing = record?.state === 'serving' && record.members[rank]?.attempt === attempt;
-    if (record === undefined || !isServing || job!.cancelled) return this.#refuse(record);
-    const members = record.members.map(({ partitionId, machine }) =>
+    if (record === undefined || !isServing || job!.cancelled) return this.#notServing(record);
+    const hosts = record.members.map(({ partitionId, machine }) =>
       hostOf(clusterState.addressOf(partitionId, machine) ?? ''),
     );
-    if (!isComplete(members)) return refusal(503, 'the address of a member is not known', RETRY_S);
+    if (!areAllKnown(hosts)) return refusal(503, 'the address of a member is not known', RETRY_S);
     const { generation } = record;
     const serveMs = serveLeaseMs(this.settings, clusterConfig);
-    const answer = { generation, rank, worldSize: members.length, members, serveMs };
+    const answer = { generation, rank, worldSize: hosts.length, members: hosts, serveMs };
     return { status: 200, body: encodeRendezvousAnswer(answer) };
   }
 
-  #refuse(record: GroupRecord | undefined): Reply {
-    const stands = { generation: record?.generation ?? 0, state: record?.state ?? null };
-    return { status: 409, body: encodeRendezvousRefusal(stands) };
+  #notServing(record: GroupRecord | undefined): Reply {
+    const current = { generation: record?.generation ?? 0, state: record?.state ?? null };
+    return { status: 409, body: encodeRendezvousRefusal(current) };
   }
 }
 
-function isComplete(hosts: readonly (string | null)[]): hosts is readonly string[] {
+function areAllKnown(hosts: readonly (string | null)[]): hosts is readonly string[] {
   return hosts.every((host) => host !== null);
 }
--- a/packages/daemon/src/api/server.ts
+++ b/packages/daemon/src/api/server.ts
@@ -1,33 +1,24 @@
+// The HTTP interface of a controller for users, workers and members of replica groups. It knows HTTP and nothing else.
 import { fastify, type FastifyInstance, type FastifyReply } from 'fastify';
 import { MAX_BODY_BYTES, RENDEZVOUS_PATH } from '@gingerlock/wire';
 import type { Controller } from '../controller/controller';
 import type { Log } from '../controller/log';
 import type { Reply } from './reply';
 
-/** Share of the sockets for users and workers: some stay free for the state service, the cloud and the peers. */
+/** Share of the sockets for users and workers: some stay free for the store, the cloud and the peers. */
 const SOCKETS_SHARE = 0.85;
 
-/** Above this share of the connections that it takes, the server keeps none of workers open between two reports. */
+/** Above this share of the connections that it accepts, the server keeps none of workers open between two heartbeats. */
 const CROWDED_SHARE = 0.75;
 
-/** The users' and workers' interface. It knows HTTP and nothing else. */
+/**
+ * Creates the server, which does not listen yet. `sockets`: how many the process may have open. Requests that are no valid HTTP
+ * or too large get 400 without a body; an exception in the controller is logged and gets 503.
+ */
 export function openServer(controller: Controller, log: Log, sockets: number): FastifyInstance {
   const app = fastify({ logger: false, bodyLimit: MAX_BODY_BYTES, exposeHeadRoutes: false, trustProxy: false });
-  const mostConnections = Math.floor(sockets * SOCKETS_SHARE);
-  app.server.maxConnections = mostConnections;
-  let connections = 0;
-  app.server.on('connection', (socket) => {
-    connections++;
-    socket.once('close', () => connections--);
-  });
-
-  const send = (reply: FastifyReply, answer: Reply): FastifyReply => {
-    void reply.code(answer.status);
-    if (answer.retryAfterS !== undefined) void reply.header('retry-after', String(answer.retryAfterS));
-    if (answer.body === null) return reply.send();
-    return reply.header('content-type', 'application/msgpack').send(answer.body);
-  };
-
+  const isCrowded = limitConnections(app, Math.floor(sockets * SOCKETS_SHARE));
+  // Bodies are handed on as they come, whatever their content type says.
   app.removeAllContentTypeParsers();
   app.addContentTypeParser('*', { parseAs: 'buffer' }, (_request, body, done) => done(null, body));
   app.setErrorHandler((error: Error & { statusCode?: number }, _request, reply) => {
@@ -37,24 +28,51 @@
     log.error({ error: error.stack }, 'request failed');
     return send(reply, { status: 503, body: null });
   });
+  addRoutes(app, controller, isCrowded);
+  return app;
+}
 
-  const body = (value: unknown): Buffer => (Buffer.isBuffer(value) ? value : Buffer.alloc(0));
-  const id = (params: unknown): string => (params as { id: string }).id;
+/** Limits the connections of the server. Returns whether so many are open now that none is to be kept open when idle. */
+function limitConnections(app: FastifyInstance, maxConnections: number): () => boolean {
+  let connections = 0;
+  app.server.maxConnections = maxConnections;
+  app.server.on('connection', (socket) => {
+    connections++;
+    socket.once('close', () => connections--);
+  });
+  return () => connections > maxConnections * CROWDED_SHARE;
+}
 
+function addRoutes(app: FastifyInstance, controller: Controller, isCrowded: () => boolean): void {
   app.get('/up', (_request, reply) => send(reply, controller.up()));
   app.post('/checkin', async (request, reply) => {
-    const answer = await controller.checkin(body(request.body));
-    // With more workers than sockets each keeps its connection for one report only: else those that come last never get one.
-    if (connections > mostConnections * CROWDED_SHARE) void reply.header('connection', 'close');
+    const answer = await controller.checkin(bodyOf(request.body));
+    // With more workers than sockets each keeps its connection for one heartbeat only: else the last ones never get one.
+    if (isCrowded()) void reply.header('connection', 'close');
     return send(reply, answer);
   });
-  app.post('/submissions', async (request, reply) => send(reply, await controller.submit(body(request.body))));
-  app.get('/submissions/:id', async (request, reply) => send(reply, await controller.poll(id(request.params))));
+  app.post('/submissions', async (request, reply) => send(reply, await controller.submit(bodyOf(request.body))));
+  app.get('/submissions/:id', async (request, reply) => send(reply, await controller.poll(idIn(request.params))));
   app.post('/submissions/:id/cancel', async (request, reply) =>
-    send(reply, await controller.cancel(id(request.params))),
+    send(reply, await controller.cancel(idIn(request.params))),
   );
   const { rendezvous } = controller;
   if (rendezvous !== null)
-    app.post(RENDEZVOUS_PATH, async (request, reply) => send(reply, await rendezvous.ask(body(request.body))));
-  return app;
+    app.post(RENDEZVOUS_PATH, async (request, reply) => send(reply, await rendezvous.ask(bodyOf(request.body))));
+}
+
+/** The body of a request; empty if it has none. */
+function bodyOf(body: unknown): Buffer {
+  return Buffer.isBuffer(body) ? body : Buffer.alloc(0);
+}
+
+function idIn(params: unknown): string {
+  return (params as { id: string }).id;
+}
+
+function send(reply: FastifyReply, answer: Reply): FastifyReply {
+  void reply.code(answer.status);
+  if (answer.retryAfterS !== undefined) void reply.header('retry-after', String(answer.retryAfterS));
+  if (answer.body === null) return reply.send();
+  return reply.header('content-type', 'application/msgpack').send(answer.body);
 }
--- a/packages/daemon/src/controller/worker-endpoint.ts
+++ b/packages/daemon/src/controller/worker-endpoint.ts
@@ -1,6 +1,6 @@
 // Takes the heartbeats that workers send to this controller, whichever controller owns their partition.
-import { decodeHeartbeat, type Heartbeat, MalformedMessageError } from '@gingerlock/wire';
-import { refusal, type Reply } from '../api/reply';
+import { decodeHeartbeat, type Heartbeat } from '@gingerlock/wire';
+import { malformed, refusal, type Reply } from '../api/reply';
 import type { WorkerConnectivity } from '../ownership/worker-connectivity';
 import type { HeartbeatRelay } from '../peers/heartbeat-relay';
 import type { ControllerContext } from './controller-context';
@@ -27,7 +27,7 @@
     try {
       heartbeat = decodeHeartbeat(body);
     } catch (error) {
-      return refusal(400, error instanceof MalformedMessageError ? error.message : 'malformed');
+      return malformed(error);
     }
     workerConnectivity.recordDirect(context.clock.now());
     const { partitioner } = context.clusterState;
