--- a/packages/daemon/src/controller/log.ts
+++ b/packages/daemon/src/controller/log.ts
@@ -1,14 +1,19 @@
+// The log of a controller: JSON lines on standard error.
 import { pino } from 'pino';
 
+/** Takes events with their fields. Messages are fixed texts that operators search for; what varies is in the fields. */
 export interface Log {
+  /** Something that this software should never meet: it needs a person. */
   error(detail: object, message: string): void;
+  /** Something that on-call should find later: changes of ownership, failures of others. */
   info(detail: object, message: string): void;
+  /** Every single request, transaction or task. */
   debug(detail: object, message: string): void;
 }
 
-const LEVELS = ['error', 'info', 'debug'];
+const LEVELS: readonly string[] = ['error', 'info', 'debug'];
 
-/** Logs go to standard error, in the amount that LOG_LEVEL sets. */
+/** Opens the log of a controller. `level` is `error`, `info` or `debug`; anything else counts as `info`. */
 export function openLog(node: string, level = process.env.LOG_LEVEL): Log {
   return pino(
     { level: level !== undefined && LEVELS.includes(level) ? level : 'info', base: { node } },
@@ -16,4 +21,5 @@
   );
 }
 
+/** Drops everything. */
 export const SILENT: Log = { error: () => undefined, info: () => undefined, debug: () => undefined };
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,3 +1,4 @@
+// The command line: `gingerlock serve` and `gingerlock borrowing`.
 import { Command } from 'commander';
 import type { BorrowingOptions } from './cli/borrowing-command';
 import { loadSettings, SettingsError } from './settings/settings';
--- a/packages/daemon/src/serve.ts
+++ b/packages/daemon/src/serve.ts
@@ -1,3 +1,4 @@
+// Runs a controller on the real clock, network and log.
 import { nodeHttp, type Clock } from '@gingerlock/clients';
 import { TcpLink } from '@gingerlock/peer';
 import { Controller } from './controller/controller';
@@ -18,7 +19,10 @@
 /** Share of the sockets for connections to other hosts that are kept open between two requests. */
 const KEEP_ALIVE_HOSTS_SHARE = 0.12;
 
-/** Runs one controller until the process is killed. */
+/** A peer that was silent for this many heartbeat intervals counts as not alive. */
+const PEER_SILENCE_INTERVALS = 2;
+
+/** Starts one controller, which runs until the process is killed. Resolves once it serves; rejects if it can't listen. */
 export async function serve(settings: Settings): Promise<void> {
   const log = openLog(settings.node);
   process.on('unhandledRejection', (error) => log.error({ error: String(error) }, 'unhandled rejection'));
@@ -26,7 +30,7 @@
     node: settings.node,
     listen: settings.peerListen,
     peers: settings.peers,
-    silenceMs: settings.clusterConfig.heartbeatIntervalMs * 2,
+    silenceMs: settings.clusterConfig.heartbeatIntervalMs * PEER_SILENCE_INTERVALS,
     log: (message, detail) => log.debug(detail, message),
   });
   const controller = new Controller({
@@ -36,13 +40,15 @@
     link,
     log,
   });
-  const app = openServer(controller, log, settings.sockets);
-  const colon = settings.clientListen.lastIndexOf(':');
+  const server = openServer(controller, log, settings.sockets);
   await link.start();
   controller.start();
-  await app.listen({
-    host: settings.clientListen.slice(0, colon),
-    port: Number(settings.clientListen.slice(colon + 1)),
-  });
+  await server.listen(listenOptions(settings.clientListen));
   log.info({ clients: settings.clientListen, peers: settings.peerListen }, 'serving');
 }
+
+/** Splits `host:port` at the last colon. */
+function listenOptions(address: string): { host: string; port: number } {
+  const colon = address.lastIndexOf(':');
+  return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
+}
--- a/packages/daemon/src/state/transaction-size-limit.ts
+++ b/packages/daemon/src/state/transaction-size-limit.ts
@@ -1,10 +1,10 @@
-// What one transaction may hold: the state service bounds its changes and its bytes.
+// What one transaction may hold: the key-value store bounds its changes and its bytes.
 import { type Change, type Condition, MAX_BODY_BYTES } from '@gingerlock/wire';
 
-/** Bytes of a condition or a change beside its key and value, rounded up. */
+/** Upper bound of the bytes of a condition or a change beside its key and value. */
 const ENTRY_BYTES = 40;
 
-/** Bytes of the frame around all of them, rounded up. */
+/** Upper bound of the bytes around all conditions and changes. */
 const FRAME_BYTES = 64;
 
 function jsonBytes(value: unknown): number {
@@ -21,8 +21,8 @@
 }
 
 /**
- * Twelve records that each are as large as a value may be do not fit one transaction: it was refused for good, and tried again
- * for ever.
+ * Counts the conditions and changes of one transaction that is being put together. Changes that each fit may not fit together:
+ * a transaction beyond a limit would be rejected for good, however often it is tried.
  */
 export class TransactionSizeLimit {
   #changes = 0;
@@ -30,10 +30,11 @@
 
   constructor(
     readonly maxChanges: number,
+    /** Of the whole request. */
     readonly maxBytes: number = MAX_BODY_BYTES,
   ) {}
 
-  /** Counts these in if there is room for all of them; false: there is not, and nothing is counted. */
+  /** Adds these if the transaction stays within its limits with all of them; false: it does not, and none is added. */
   add(conditions: readonly Condition[], changes: readonly Change[]): boolean {
     let bytes = this.#bytes;
     for (const condition of conditions) bytes += conditionBytes(condition);
