--- /dev/null
+++ b/packages/daemon/src/leader/crash-loop-probes.ts
@@ -0,0 +1,56 @@
+// Crash-looping jobs at the leader: one probe task at a time is assigned of them, and the mark in the job's record is
+// removed once a probe has run for long enough.
+import { type Assignment, type Job, mustBeProbed, type PartitionStatus, ProbeSchedule } from '@gingerlock/core';
+import type { ControllerContext } from '../controller/controller-context';
+import { type JobBatch, recordWith } from './job-batch';
+
+/** Feeds the probe schedule from statuses and committed transactions. */
+export class CrashLoopProbes {
+  readonly schedule: ProbeSchedule;
+
+  constructor(readonly context: ControllerContext) {
+    this.schedule = new ProbeSchedule(context.clusterConfig);
+  }
+
+  /** Updates the schedule from the jobs that are marked and the tasks that run now. */
+  review(statuses: readonly PartitionStatus[], now: number): void {
+    const { live } = this.context.clusterState.jobs;
+    const crashLooping = [...live.values()].filter((job) => job.isCrashLooping && !job.cancelled).map((job) => job.id);
+    const runningByJob = new Map<string, number>();
+    for (const { running } of statuses)
+      for (const [job, tasks] of running) runningByJob.set(job, (runningByJob.get(job) ?? 0) + tasks);
+    this.schedule.review(
+      (job) => live.has(job),
+      crashLooping,
+      (job) => runningByJob.get(job) ?? 0,
+      now,
+    );
+  }
+
+  /** See `mustBeProbed` of the core. */
+  mustBeProbed(job: Job): boolean {
+    return mustBeProbed(job, this.schedule);
+  }
+
+  /**
+   * Removes the mark from jobs whose probe has succeeded and of which the batch assigns nothing: an assignment removes
+   * it too.
+   */
+  removeMarks(batch: JobBatch): void {
+    const { clusterState, settings } = this.context;
+    for (const job of clusterState.jobs.live.values()) {
+      if (batch.changes.length >= settings.txnOps) return;
+      if (!job.isCrashLooping || job.cancelled || batch.jobs.has(job.id) || this.mustBeProbed(job)) continue;
+      if (!batch.put(job, recordWith(job, false, []))) return;
+    }
+  }
+
+  /** Records the probes that a committed batch has started and the marks that it has removed. */
+  recordCommitted(assignments: readonly Assignment[], batch: JobBatch, now: number): void {
+    for (const { job, added } of assignments) {
+      if (!batch.jobs.has(job.id) || !job.isMarkedCrashLooping) continue;
+      if (this.mustBeProbed(job)) this.schedule.probeStarted(job.id, added[0]!.partitionId, now);
+    }
+    for (const id of batch.jobs) if (this.schedule.isProven(id)) this.schedule.markRemoved(id);
+  }
+}
--- a/packages/daemon/src/leader/job-batch.ts
+++ b/packages/daemon/src/leader/job-batch.ts
@@ -1,14 +1,14 @@
-// Changes of job records that the leader writes together.
-import { assignedUnfinished, type Job, mergeRanges } from '@gingerlock/core';
-import { type Change, type Condition, jobRecord, KEYS, type AssignedRange } from '@gingerlock/wire';
+// Changes of job records that the leader commits in one transaction.
+import { type Job, mergeRanges, type Versioned } from '@gingerlock/core';
+import { type AssignedRange, type Change, type Condition, jobRecord, KEYS, type OwnerRecord } from '@gingerlock/wire';
 import type { TransactionSizeLimit } from '../state/transaction-size-limit';
 
-/** The record of a job with rounds added to it. */
+/** The record of a job with ranges added to its own. */
 export function recordWith(job: Job, isCrashLooping: boolean, added: readonly AssignedRange[]): unknown {
   return recordOf(job, isCrashLooping, [...job.assignedRanges, ...added]);
 }
 
-/** The record of a job with these rounds in place of its own. */
+/** The record of a job with these ranges in place of its own. */
 export function recordOf(job: Job, isCrashLooping: boolean, assignedRanges: readonly AssignedRange[]): unknown {
   return jobRecord.write({
     final: null,
@@ -20,26 +20,24 @@
   });
 }
 
-/** How the job's record is to end now: all tasks are finished or, of a job that is cancelled, gone; null: not yet. */
-export function finalOf(job: Job): 'done' | 'cancelled' | null {
-  if (job.cancelled) return assignedUnfinished(job) === 0 ? 'cancelled' : null;
-  return job.spec.kind === 'array' && job.complete ? 'done' : null;
-}
-
 /** Changes of job records in one transaction, each against the version that was read. */
 export class JobBatch {
   readonly conditions: Condition[] = [];
   readonly changes: Change[] = [];
+  /** Ids of the jobs whose records it changes. */
   readonly jobs = new Set<string>();
-  readonly #owners = new Set<string>();
+  /** Partitions on whose owners it rests already. */
+  readonly #requiredOwners = new Set<number>();
 
   constructor(
-    entitlement: Condition,
+    /** The condition that this controller is still the leader. */
+    leadership: Condition,
     readonly sizeLimit: TransactionSizeLimit,
   ) {
-    this.#add([entitlement], []);
+    this.#add([leadership], []);
   }
 
+  /** Adds all of these or none; false: the transaction has no space for them. */
   #add(conditions: readonly Condition[], changes: readonly Change[]): boolean {
     if (!this.sizeLimit.add(conditions, changes)) return false;
     this.conditions.push(...conditions);
@@ -47,7 +45,7 @@
     return true;
   }
 
-  /** Writes the record of a job, and other changes that belong to it; false: the transaction has no room for them. */
+  /** Writes the record of a job, and other changes that belong to it; false: the transaction has no space for them. */
   put(job: Job, record: unknown, ...others: readonly Change[]): boolean {
     const key = KEYS.job(job.id);
     if (!this.#add([{ key, version: job.version }], [{ put: key, value: record }, ...others])) return false;
@@ -55,31 +53,40 @@
     return true;
   }
 
-  /** Writes another record if it has that version, resting on one more condition; false: the transaction has no room for it. */
+  /**
+   * Writes another record if it has that version, resting on one more condition; false: the transaction has no space
+   * for it.
+   */
   putIf(change: { readonly put: string; readonly value: unknown }, version: number, other: Condition): boolean {
     return this.#add([{ key: change.put, version }, other], [change]);
   }
 
-  /** Makes the transaction rest on the version of a key; false: it has no room for that. */
+  /** Makes the transaction rest on the version of a key; false: it has no space for that. */
   requireVersion(condition: Condition): boolean {
     return this.#add([condition], []);
   }
 
-  /** False: the transaction has no room for it. */
+  /** Removes the key whatever its version; false: the transaction has no space for it. */
   remove(key: string): boolean {
     return this.#add([], [{ remove: key }]);
   }
 
-  /** Removes the key if it still has that version; false: the transaction has no room for it. */
+  /** Removes the key if it still has that version; false: the transaction has no space for it. */
   removeIf(key: string, version: number): boolean {
     return this.#add([{ key, version }], [{ remove: key }]);
   }
 
-  /** Makes the transaction rest on the partition's owner; false: it has no room for that. */
-  requireOwner(condition: Condition): boolean {
-    if (this.#owners.has(condition.key)) return true;
-    if (!this.#add([condition], [])) return false;
-    this.#owners.add(condition.key);
+  /**
+   * Makes the transaction rest on the owners of the partitions, as far as they have one; false: it has no space for
+   * that.
+   */
+  requireOwners(owners: ReadonlyMap<string, Versioned<OwnerRecord>>, partitionIds: Iterable<number>): boolean {
+    for (const partitionId of partitionIds) {
+      const owner = owners.get(String(partitionId));
+      if (owner === undefined || this.#requiredOwners.has(partitionId)) continue;
+      if (!this.#add([{ key: KEYS.owner(String(partitionId)), version: owner.version }], [])) return false;
+      this.#requiredOwners.add(partitionId);
+    }
     return true;
   }
 }
--- a/packages/daemon/src/leader/leader-borrowing.ts
+++ b/packages/daemon/src/leader/leader-borrowing.ts
@@ -1,5 +1,5 @@
-// The leader's part in borrowing: has reclaims planned, puts them into its transactions with the rounds of the tasks that get the room,
-// and says in the log how teams stand and why some get nothing.
+// The leader's part in borrowing: has reclaims planned, puts them into its transactions with the rounds of the tasks
+// that get the room, and says in the log how teams stand and why some get nothing.
 import {
   ABANDONED_BOUNDS,
   type BorrowingSettings,
@@ -21,7 +21,6 @@
   type PartitionStatus,
   STOP_MS,
   type OwnershipTerm,
-  type UnschedulableDemand,
 } from '@gingerlock/core';
 import { KEYS, type ReclaimRecord, parseTaskName } from '@gingerlock/wire';
 import type { ClaimLists } from '../peers/claim-lists';
@@ -210,15 +209,3 @@
     lent: lent(account, 'gpus'),
   };
 }
-
-/** What is left unmet once the decisions are carried out. */
-export function unschedulableWithout(
-  unschedulable: readonly UnschedulableDemand[],
-  decisions: readonly Decision[],
-): UnschedulableDemand[] {
-  const taken = new Map<string, number>();
-  for (const { job, tasks } of decisions) taken.set(job.id, (taken.get(job.id) ?? 0) + tasks.length);
-  return unschedulable
-    .map((entry) => ({ ...entry, count: entry.count - (taken.get(entry.job.id) ?? 0) }))
-    .filter(({ count }) => count > 0);
-}
--- a/packages/daemon/src/leader/leader-groups.ts
+++ b/packages/daemon/src/leader/leader-groups.ts
@@ -81,7 +81,10 @@
     return choice;
   }
 
-  /** The one zone in which room is asked for: another one only once the cloud has none there, or machines would be rented in each by turns. */
+  /**
+   * The one zone in which room is asked for: another one only once the cloud has none there, or machines would be
+   * rented in each by turns.
+   */
   #preferredZone(job: Job, chooseIn: (zones: readonly string[]) => GroupChoice): string {
     const { zone: asked } = job.spec;
     const known = this.#preferredZones.get(job.id);
@@ -133,8 +136,8 @@
   }
 
   /**
-   * Machines that members are on, are to be on or were on a moment ago, and those with room for some members of a group that waits for
-   * more: they are not emptied, nor given back while idle.
+   * Machines that members are on, are to be on or were on a moment ago, and those with room for some members of a group
+   * that waits for more: they are not emptied, nor given back while idle.
    */
   pinnedMachines(): Set<string> {
     const pinned = new Set([...this.#partlyFittingMachines, ...this.#inFlight]);
@@ -193,12 +196,8 @@
     const next = nextRecord(job, stored?.record ?? null, this.#contextOf(job));
     if (next === null || batch.jobs.has(job.id)) return true;
     // Members are admitted for the owners that keep their room now: a later one would start none of them.
-    const owners = next.state === 'admitted' ? new Set(next.members.map(({ partitionId }) => partitionId)) : [];
-    for (const partitionId of owners) {
-      const owner = this.context.clusterState.owners.get(String(partitionId));
-      if (owner !== undefined && !batch.requireOwner({ key: KEYS.owner(String(partitionId)), version: owner.version }))
-        return false;
-    }
+    const owners = next.state === 'admitted' ? next.members.map(({ partitionId }) => partitionId) : [];
+    if (!batch.requireOwners(this.context.clusterState.owners, owners)) return false;
     const change = { put: KEYS.group(job.id), value: groupRecord.write(next) };
     if (!batch.putIf(change, stored?.version ?? 0, { key: KEYS.job(job.id), version: job.version })) return false;
     this.#logOnceStored(job, next);
@@ -237,11 +236,8 @@
       this.context.log.error({ job: job.id, members: members.length }, 'group record too large, not placed');
       return false;
     }
-    for (const partitionId of new Set(members.map((member) => member.partitionId))) {
-      const owner = clusterState.owners.get(String(partitionId));
-      if (owner !== undefined && !batch.requireOwner({ key: KEYS.owner(String(partitionId)), version: owner.version }))
-        return false;
-    }
+    const owners = members.map(({ partitionId }) => partitionId);
+    if (!batch.requireOwners(clusterState.owners, owners)) return false;
     if (!batch.requireVersion({ key: KEYS.group(job.id), version: stored?.version ?? 0 })) return false;
     if (!batch.put(job, record, { put: KEYS.group(job.id), value })) return false;
     this.#logOnceStored(job, next);
--- /dev/null
+++ b/packages/daemon/src/leader/pending-assignments.ts
@@ -0,0 +1,36 @@
+// Assignments that are committed and that the owners' statuses do not show yet: the free resources that a status gives
+// do not account for them.
+import type { PartitionStatus, Resources } from '@gingerlock/core';
+
+/** The resources that one assigned task is going to use of a machine. */
+export interface PlannedUse {
+  readonly partitionId: number;
+  readonly machine: string;
+  readonly need: Resources;
+}
+
+/** A planned use with the revision at which the assignment was committed. */
+export interface PendingAssignment extends PlannedUse {
+  readonly revision: number;
+}
+
+/** The pending assignments of one leader. */
+export class PendingAssignments {
+  #all: PendingAssignment[] = [];
+
+  get all(): readonly PendingAssignment[] {
+    return this.#all;
+  }
+
+  /** Keeps those whose partition has a status that is older than the assignment: every later status shows it. */
+  dropShown(statuses: readonly PartitionStatus[]): void {
+    this.#all = this.#all.filter((pending) =>
+      statuses.some((status) => status.partitionId === pending.partitionId && status.revision < pending.revision),
+    );
+  }
+
+  /** Adds what a transaction that was committed at `revision` has assigned. */
+  add(uses: readonly PlannedUse[], revision: number): void {
+    for (const use of uses) this.#all.push({ ...use, revision });
+  }
+}
