--- a/packages/daemon/src/owner/combined-reservations.ts
+++ b/packages/daemon/src/owner/combined-reservations.ts
@@ -1,11 +1,12 @@
-// Room that is kept for reclaims and for replica groups, as one.
-import { type Resources, NO_RESOURCES, addResources, type Reservations } from '@gingerlock/core';
+// Resources that several features keep on machines for certain tasks, as one view.
+import { addResources, NO_RESERVATIONS, NO_RESOURCES, type Reservations, type Resources } from '@gingerlock/core';
 
-export class CombinedReservations implements Reservations {
+/** Several reservations as one: of a task that more than one of them names, the first decides. */
+class CombinedReservations implements Reservations {
   constructor(readonly all: readonly Reservations[]) {}
 
   reservedOn(machine: string): Resources {
-    // Where nothing is kept, granting does not look at tasks one by one.
+    // Granting compares with NO_RESOURCES by identity: where nothing is reserved it does not look at tasks one by one.
     const reserved = this.all
       .map((reservations) => reservations.reservedOn(machine))
       .filter((resources) => resources !== NO_RESOURCES);
@@ -20,3 +21,9 @@
     return null;
   }
 }
+
+/** The reservations as one; a single one is returned as it is. */
+export function combineReservations(all: readonly Reservations[]): Reservations {
+  if (all.length === 0) return NO_RESERVATIONS;
+  return all.length === 1 ? all[0]! : new CombinedReservations(all);
+}
--- /dev/null
+++ b/packages/daemon/src/owner/membership-writes.ts
@@ -0,0 +1,77 @@
+// Writes of a partition's membership: the names and addresses of the machines that may run tasks of it. The membership
+// tells the partition's next owner which machines it has to hear.
+import type { ClaimTable, Machine } from '@gingerlock/core';
+import { KEYS, membershipRecord } from '@gingerlock/wire';
+import type { ControllerContext } from '../controller/controller-context';
+import type { Write } from './write';
+
+/** Plans the membership's changes of one ownership term. */
+export class MembershipWrites {
+  /** Machines whose names are to leave the membership. */
+  readonly removals = new Set<string>();
+
+  constructor(
+    readonly context: ControllerContext,
+    readonly partitionId: number,
+    readonly claimTable: ClaimTable,
+  ) {}
+
+  /** The membership as it was read last, with addresses by name; the map is updated in place. */
+  get #membership(): ReadonlyMap<string, string> {
+    return this.context.clusterState.membership(this.partitionId);
+  }
+
+  /**
+   * Marks machines that the membership names already: heard only after the fencing period, or again before their
+   * removal. No change of their entries is under way.
+   */
+  markKnownMembers(): void {
+    for (const machine of this.#nonMembers())
+      if (this.#membership.has(machine.name)) this.claimTable.setMember(machine.name, true);
+  }
+
+  /**
+   * A name enters the membership before its first grant, so that a new owner knows to wait for the machine's heartbeat.
+   */
+  planAdditions(): Write[] {
+    return this.#nonMembers().map(({ name, addr }) => {
+      const key = KEYS.membership(this.partitionId, name);
+      return {
+        conditions: [{ key, version: this.context.watchCache.version(key) }],
+        change: { put: key, value: membershipRecord.write(addr) },
+      };
+    });
+  }
+
+  /** Machines that are answered and could be granted tasks once they are members. */
+  #nonMembers(): Machine[] {
+    return [...this.claimTable.machines.values()].filter(
+      ({ name, hasCurrentToken, answeredAt, isMember }) =>
+        hasCurrentToken && answeredAt !== null && !isMember && !this.removals.has(name),
+    );
+  }
+
+  /** Forgets the removals of machines that have come back or have no entry any more. */
+  dropObsoleteRemovals(): void {
+    for (const name of this.removals) {
+      const machine = this.claimTable.machines.get(name);
+      const isBack = machine !== undefined && machine.answeredAt !== null;
+      if (isBack || !this.#membership.has(name)) this.removals.delete(name);
+    }
+  }
+
+  /** While a removal is under way, its machine is no member and so is granted nothing. */
+  planRemovals(): Write[] {
+    return [...this.removals].map((name) => {
+      const key = KEYS.membership(this.partitionId, name);
+      return {
+        conditions: [{ key, version: this.context.watchCache.version(key) }],
+        change: { remove: key },
+        prepare: () => this.claimTable.setMember(name, false),
+        // If the entry is still there, a machine that has come back meanwhile has to be a member again to be granted
+        // tasks.
+        failed: () => this.claimTable.setMember(name, this.#membership.has(name)),
+      };
+    });
+  }
+}
--- a/packages/daemon/src/owner/owner-groups.ts
+++ b/packages/daemon/src/owner/owner-groups.ts
@@ -1,29 +1,46 @@
-// The owner's part in replica groups: what its claim table asks of them, and what its leader is told.
+// Replica groups at the owner of a partition: the rules that its claim table applies to members, and the report
+// on them that the leader gets.
 import type { ClaimTable, TaskEntry } from '@gingerlock/core';
 import { PartitionGroups, type PartitionGroupReport } from '@gingerlock/replica-groups';
 import type { ControllerContext } from '../controller/controller-context';
+import type { OwnerFeature } from './owner-feature';
+import type { Write } from './write';
 
-export class OwnerGroups {
+/** The owner's hooks while replica groups are on. */
+export class OwnerGroups implements OwnerFeature {
   readonly members: PartitionGroups;
 
   constructor(readonly context: ControllerContext) {
     this.members = new PartitionGroups(context.clusterState.groups);
   }
 
+  get reservations(): PartitionGroups {
+    return this.members;
+  }
+
+  get claimTableOptions(): OwnerFeature['claimTableOptions'] {
+    return { members: this.members };
+  }
+
   attach(table: ClaimTable): void {
     this.members.table = table;
+    this.members.sync();
   }
 
-  /** A job or the record of its group has changed. */
-  changed(): void {
-    this.members.sync();
+  jobChanged(id: string): void {
+    if (this.context.clusterState.groups.has(id)) this.members.sync();
   }
 
-  /** Returns the members that are to be told to stop now. */
+  /** Returns the members whose generation ends: they are to be stopped now. */
   step(): readonly TaskEntry[] {
     return this.members.step();
   }
 
+  removals(): readonly Write[] {
+    return [];
+  }
+
+  /** How the members that the partition has are now. */
   report({ partitionId, term }: ClaimTable, now: number): PartitionGroupReport {
     return { partitionId, term, revision: this.context.watchCache.revision, groups: this.members.reports(now) };
   }
--- a/packages/daemon/src/owner/owner-reclaims.ts
+++ b/packages/daemon/src/owner/owner-reclaims.ts
@@ -1,17 +1,17 @@
-// The owner's part in borrowing: carries the reclaims of one partition out and has the records of those that are over removed.
+// Borrowing at the owner of a partition: carries out the reclaims that the leader has decided, and removes the records
+// of those that are over.
 import { PartitionReclaims, type Reclaim } from '@gingerlock/borrowing';
 import type { ClaimTable, TaskEntry } from '@gingerlock/core';
-import { type Change, type Condition, KEYS } from '@gingerlock/wire';
+import { KEYS } from '@gingerlock/wire';
 import type { ControllerContext } from '../controller/controller-context';
+import type { OwnerFeature } from './owner-feature';
+import type { Write } from './write';
 
-/** The removal of one record, if it is still the one that was carried out. */
-export interface ReclaimRemoval {
-  readonly conditions: readonly Condition[];
-  readonly change: Change;
-}
-
-export class OwnerReclaims {
+/** The owner's hooks while borrowing is on. */
+export class OwnerReclaims implements OwnerFeature {
   readonly reservations: PartitionReclaims;
+  /** Work is stopped for other work by reclaims alone. */
+  readonly claimTableOptions = { preempts: false };
 
   constructor(
     readonly context: ControllerContext,
@@ -24,7 +24,11 @@
     this.reservations.table = table;
   }
 
-  /** Returns the tasks that are to be told to stop now. */
+  jobChanged(): void {
+    return;
+  }
+
+  /** Returns the victims that are to be stopped now. */
   step(table: ClaimTable, now: number): readonly TaskEntry[] {
     const { clusterState, clock } = this.context;
     const records = new Map([...clusterState.reclaimsOf(this.partitionId)].map(([id, { record }]) => [id, record]));
@@ -34,13 +38,14 @@
     return stopped;
   }
 
-  removals(): ReclaimRemoval[] {
-    const known = this.context.clusterState.reclaimsOf(this.partitionId);
+  /** The removal of each record whose reclaim is over, if it is still the one that was carried out. */
+  removals(): readonly Write[] {
+    const stored = this.context.clusterState.reclaimsOf(this.partitionId);
     return this.reservations.over.flatMap(({ id }) => {
-      const stored = known.get(id);
-      if (stored === undefined) return [];
+      const entry = stored.get(id);
+      if (entry === undefined) return [];
       const key = KEYS.reclaim(this.partitionId, id);
-      return { conditions: [{ key, version: stored.version }], change: { remove: key } };
+      return { conditions: [{ key, version: entry.version }], change: { remove: key } };
     });
   }
 
--- a/packages/daemon/src/owner/partition-status.ts
+++ b/packages/daemon/src/owner/partition-status.ts
@@ -1,21 +1,23 @@
-// How a partition stands, as its owner tells the leader and the others.
+// How a partition stands, as its owner publishes it to the leader and the other controllers.
 import {
-  type Resources,
+  addResources,
+  advertisedPriority,
   type ClaimTable,
   type Machine,
   type MachineStatus,
   NO_RESOURCES,
+  type PartitionStatus,
   plannedByPriority,
-  addResources,
-  advertisedPriority,
+  type Resources,
 } from '@gingerlock/core';
-import type { PartitionStatus } from '@gingerlock/core';
 import { PRIORITIES } from '@gingerlock/wire';
 
-/** What a summary says of a machine that has no lease with its owner: longer than any time that is compared with it. */
+/**
+ * Reported as the silence of a machine that has no lease with its owner: longer than any time that it is compared with.
+ */
 const NEVER_HEARD_MS = 1e9;
 
-/** `rooms`: what the last packing left of each machine that takes work. */
+/** The status of a partition; `freeByMachine`: what the last placement has left of each machine that takes work. */
 export function partitionStatusOf(
   claimTable: ClaimTable,
   freeByMachine: ReadonlyMap<Machine, Resources>,
@@ -23,15 +25,10 @@
   now: number,
 ): PartitionStatus {
   const planned = plannedByPriority(claimTable);
-  const machines = [...claimTable.machines.values()].map((machine) =>
-    machineStatusOf(
-      claimTable,
-      machine,
-      freeByMachine.get(machine),
-      planned.get(machine) ?? PRIORITIES.map(() => NO_RESOURCES),
-      now,
-    ),
-  );
+  const machines = [...claimTable.machines.values()].map((machine) => {
+    const plannedHere = planned.get(machine) ?? PRIORITIES.map(() => NO_RESOURCES);
+    return machineStatusOf(claimTable, machine, freeByMachine.get(machine), plannedHere, now);
+  });
   return {
     partitionId: claimTable.partitionId,
     term: claimTable.term,
@@ -42,33 +39,48 @@
   };
 }
 
+/**
+ * `free`: undefined for a machine that takes no work. `planned`: what waiting tasks of each priority are going to use
+ * of it.
+ */
 function machineStatusOf(
   claimTable: ClaimTable,
-  m: Machine,
-  available: Resources | undefined,
+  machine: Machine,
+  free: Resources | undefined,
   planned: readonly Resources[],
   now: number,
 ): MachineStatus {
-  const byPriority = [...planned];
-  for (const task of m.claims.values()) {
-    const priority = advertisedPriority(task.job);
-    if (task.claim!.stopGraceS === null) byPriority[priority] = addResources(byPriority[priority]!, task.job.spec);
-  }
+  const { name, type, zone, spot, agentEpoch, draining, evictionNotice } = machine;
   return {
-    name: m.name,
-    type: m.type,
-    zone: m.zone,
-    spot: m.spot,
-    agentEpoch: m.agentEpoch,
-    free: available ?? NO_RESOURCES,
-    byPriority,
-    images: m.cache.images(),
-    takesWork: claimTable.takesWork(m, now) && available !== undefined,
-    draining: m.draining,
-    evictionNotice: m.evictionNotice,
-    isQuarantined: claimTable.isQuarantined(m),
-    empty: m.claims.size === 0 && m.hasCurrentToken && m.reportedTasks.length === 0 && m.answeredAt !== null,
-    emptyMs: now - m.emptySince,
-    silentMs: Math.min(claimTable.silentMs(m, now), NEVER_HEARD_MS),
+    name,
+    type,
+    zone,
+    spot,
+    agentEpoch,
+    free: free ?? NO_RESOURCES,
+    byPriority: usedByPriority(machine, planned),
+    images: machine.cache.images(),
+    takesWork: claimTable.takesWork(machine, now) && free !== undefined,
+    draining,
+    evictionNotice,
+    isQuarantined: claimTable.isQuarantined(machine),
+    empty: isKnownEmpty(machine),
+    emptyMs: now - machine.emptySince,
+    silentMs: Math.min(claimTable.silentMs(machine, now), NEVER_HEARD_MS),
   };
 }
+
+/** By priority: what the machine's tasks use, without those that are being stopped, and what is planned for it. */
+function usedByPriority(machine: Machine, planned: readonly Resources[]): Resources[] {
+  const byPriority = [...planned];
+  for (const { job, claim } of machine.claims.values()) {
+    const priority = advertisedPriority(job);
+    if (claim!.stopGraceS === null) byPriority[priority] = addResources(byPriority[priority]!, job.spec);
+  }
+  return byPriority;
+}
+
+/** Whether the machine holds no task, by its own heartbeat too. */
+function isKnownEmpty({ claims, hasCurrentToken, reportedTasks, answeredAt }: Machine): boolean {
+  return claims.size === 0 && hasCurrentToken && reportedTasks.length === 0 && answeredAt !== null;
+}
--- /dev/null
+++ b/packages/daemon/src/owner/task-writes.ts
@@ -0,0 +1,106 @@
+// Writes of a partition's tasks: those that are finished, and those that are returned to the leader because no machine
+// of the partition can take them.
+import {
+  type BitSet,
+  type ClaimTable,
+  finishedPageFor,
+  type Job,
+  mergeRanges,
+  type TaskEntry,
+  withoutTasks,
+} from '@gingerlock/core';
+import { finishedRecord, jobRecord, KEYS } from '@gingerlock/wire';
+import { type ControllerContext, DISPLAY_LAG_MS } from '../controller/controller-context';
+import type { Write } from './write';
+
+/**
+ * While the free share of the write rate is smaller than this, completed tasks wait for others, to be written together.
+ */
+const MIN_SPARE_WRITE_SHARE = 0.9;
+
+/** How long they then wait at most, in heartbeat intervals. */
+const SHORT_FINISH_INTERVALS = 2;
+
+/** Plans the changes of jobs' records and finished pages of one ownership term. */
+export class TaskWrites {
+  /** Waiting tasks that no machine of the partition can take, by the last bin packing. */
+  unschedulable: readonly TaskEntry[] = [];
+
+  constructor(
+    readonly context: ControllerContext,
+    readonly partitionId: number,
+    readonly claimTable: ClaimTable,
+  ) {}
+
+  /** Finished tasks first; of a job that has some, tasks are returned by a later transaction. */
+  plan(now: number): Write[] {
+    const finishedByJob = this.claimTable.tasksToFinish(now, this.#finishPatienceMs());
+    const returnableByJob = this.claimTable.returnable(this.unschedulable, now);
+    const finishes = [...finishedByJob.values()].flatMap((tasks) => this.#planFinish(tasks[0]!.job, tasks));
+    const returns = [...returnableByJob]
+      .filter(([id]) => !finishedByJob.has(id))
+      .flatMap(([, tasks]) => this.#planReturn(tasks[0]!.job, tasks));
+    return [...finishes, ...returns];
+  }
+
+  /** How long a completed task may wait for others of its job before it is written. */
+  #finishPatienceMs(): number {
+    const { keyValueStore, clusterConfig } = this.context;
+    const isRateShort = keyValueStore.options.rateLimiter.spareWriteShare() < MIN_SPARE_WRITE_SHARE;
+    return isRateShort ? clusterConfig.heartbeatIntervalMs * SHORT_FINISH_INTERVALS : DISPLAY_LAG_MS / 2;
+  }
+
+  /** Writes the finished tasks of one job; the last ones close it. */
+  #planFinish(job: Job, tasks: readonly TaskEntry[]): Write[] {
+    if (job.finishedCount + tasks.length < job.spec.tasks) return this.#planFinishedPages(job, tasks);
+    const key = KEYS.job(job.id);
+    // The job's version as condition makes its cancellation and its completion exclude each other.
+    const conditions = [{ key, version: job.version }];
+    return [{ conditions, change: { put: key, value: jobRecord.write({ final: 'done' }) } }];
+  }
+
+  #planFinishedPages(job: Job, tasks: readonly TaskEntry[]): Write[] {
+    const { clusterState, settings, watchCache } = this.context;
+    const limits = { pageTasks: clusterState.meta!.pageTasks, valueBytes: settings.valueBytes };
+    const bitsByKey = new Map<string, BitSet>();
+    for (const task of tasks) {
+      const { key, first, bits } = finishedPageFor(job, this.partitionId, task.index, limits);
+      bitsByKey.set(key, (bitsByKey.get(key) ?? bits).with(task.index - first));
+    }
+    return [...bitsByKey].map(([key, bits]) => ({
+      conditions: [{ key, version: watchCache.version(key) }],
+      change: { put: key, value: finishedRecord.write(bits.bytes) },
+    }));
+  }
+
+  /** Returns as many of the tasks as the record without them fits a value; no write if it fits with none. */
+  #planReturn(job: Job, tasks: readonly TaskEntry[]): Write[] {
+    const { clock } = this.context;
+    const byIndex = [...tasks].sort((a, b) => a.index - b.index);
+    for (let count = byIndex.length; count > 0; count = Math.floor(count / 2)) {
+      const returned = byIndex.slice(0, count);
+      const value = this.#recordWithout(job, returned);
+      if (!this.context.fitsValue(value)) continue;
+      const key = KEYS.job(job.id);
+      const write: Write = {
+        conditions: [{ key, version: job.version }],
+        change: { put: key, value },
+        prepare: () => this.claimTable.beginReturn(returned, clock.now()),
+        failed: () => this.claimTable.cancelReturn(returned, clock.now()),
+      };
+      return [write];
+    }
+    return [];
+  }
+
+  #recordWithout(job: Job, tasks: readonly TaskEntry[]): unknown {
+    const { spec, acceptedAt, cancelled } = job;
+    const returnedIndexes = new Set(tasks.map(({ index }) => index));
+    const left = withoutTasks(job.assignedRanges, this.partitionId, returnedIndexes);
+    // Finished tasks are off their machines: a cancelled job of which only they remain has nothing left to wait for.
+    const assignedRanges = mergeRanges(left, (taskIndex) => job.isFinished(taskIndex));
+    if (cancelled && assignedRanges.length === 0) return jobRecord.write({ final: 'cancelled' });
+    const isCrashLooping = this.claimTable.marksCrashLoopOnReturn(job, tasks, this.context.clock.now());
+    return jobRecord.write({ final: null, spec, acceptedAt, cancelled, isCrashLooping, assignedRanges });
+  }
+}
--- a/packages/daemon/src/owner/worker-command-sender.ts
+++ b/packages/daemon/src/owner/worker-command-sender.ts
@@ -1,8 +1,12 @@
-// What an owner sends straight to the workers of its partition, beside the answers to their reports.
+// What an owner sends straight to the workers of its partition, beside the answers to their heartbeats.
 import type { ClaimTable, Machine, TaskEntry } from '@gingerlock/core';
 import { decodeHeartbeat, encodeDirectCommands } from '@gingerlock/wire';
 import type { ControllerContext } from '../controller/controller-context';
 
+/** For how many heartbeat intervals a stop may be unanswered. */
+const STOP_TIMEOUT_INTERVALS = 2;
+
+/** Sends direct commands. None of them is repeated: the answer to the worker's next heartbeat says the same. */
 export class WorkerCommandSender {
   constructor(
     readonly context: ControllerContext,
@@ -10,58 +14,53 @@
   ) {}
 
   /**
-   * Sends stops straight to the worker, to win the wait for its next report. Only stops ever go this way: a start that
-   * was held back on the way could be carried out minutes later.
+   * Sends stops straight to the worker, to save the wait for its next heartbeat. Only stops are sent this way: a start
+   * that was delayed on the way could be carried out minutes later.
    */
   stop(machine: Machine, tasks: readonly TaskEntry[]): void {
-    const commands = tasks.map((s) => ({
+    const commands = tasks.map(({ name, claim }) => ({
       op: 'stop' as const,
-      task: s.name,
-      attempt: s.claim!.attempt,
-      graceS: s.claim!.stopGraceS ?? 0,
+      task: name,
+      attempt: claim!.attempt,
+      graceS: claim!.stopGraceS ?? 0,
     }));
     const body = encodeDirectCommands(this.claimTable.fencingToken(machine), machine.agentEpoch, commands);
-    const { http, clusterConfig, log } = this.context;
-    http(machine.addr, 'POST', '/commands', body, clusterConfig.heartbeatIntervalMs * 2).catch((error: unknown) => {
-      // The answer to its next report says the same.
-      log.debug({ machine: machine.name, error: String(error) }, 'direct stop unanswered');
-    });
+    this.#post(machine, body, STOP_TIMEOUT_INTERVALS, 'direct stop unanswered');
   }
 
   /**
-   * Has a machine report now rather than in its own time, by showing it a higher token of the same term: a waiting task
-   * is planned for it. It still is the report that claims the task, and the start rides in the answer.
+   * Solicits a heartbeat from a machine for which a waiting task is planned, by sending it a higher token of the same
+   * term. It still is the heartbeat that claims the task, and the start is sent in its answer.
    */
   requestHeartbeat(machine: Machine, now: number): void {
     const body = encodeDirectCommands(this.claimTable.requestHeartbeat(machine, now), machine.agentEpoch, []);
-    const { http, clusterConfig, log } = this.context;
-    http(machine.addr, 'POST', '/commands', body, clusterConfig.heartbeatIntervalMs).catch((error: unknown) => {
-      // Then it reports in its own time.
-      log.debug({ machine: machine.name, error: String(error) }, 'heartbeat request unanswered');
-    });
+    this.#post(machine, body, 1, 'heartbeat request unanswered');
   }
 
   /**
-   * Shows our term to a machine of the membership that has not reported to us: it then reports the higher token, upon which
-   * an old owner that still answers it steps down. Neither answer is taken as proof of anything: it can overtake a start
-   * that is under way.
+   * Sends the fencing token of our term to a machine of the membership that has sent us no heartbeat: it then reports
+   * the higher token, upon which a former owner that still answers it steps down. Neither answer is taken as proof of
+   * anything: it can overtake a start that is under way.
    */
   async announceTerm(name: string, addr: string, knownAgentEpoch: number | undefined): Promise<void> {
     const { http, clusterConfig, log } = this.context;
+    const timeoutMs = clusterConfig.heartbeatIntervalMs;
     try {
       const agentEpoch =
-        knownAgentEpoch ??
-        decodeHeartbeat((await http(addr, 'GET', '/inspect', null, clusterConfig.heartbeatIntervalMs)).body).agentEpoch;
+        knownAgentEpoch ?? decodeHeartbeat((await http(addr, 'GET', '/inspect', null, timeoutMs)).body).agentEpoch;
       const fencingToken = this.claimTable.fencingToken(this.claimTable.machines.get(name));
-      await http(
-        addr,
-        'POST',
-        '/commands',
-        encodeDirectCommands(fencingToken, agentEpoch, []),
-        clusterConfig.heartbeatIntervalMs,
-      );
+      await http(addr, 'POST', '/commands', encodeDirectCommands(fencingToken, agentEpoch, []), timeoutMs);
     } catch (error) {
       log.debug({ machine: name, error: String(error) }, 'member machine unreachable');
     }
   }
+
+  /** Logs `unanswered` if the worker does not answer. */
+  #post({ name, addr }: Machine, body: Buffer, timeoutIntervals: number, unanswered: string): void {
+    const { http, clusterConfig, log } = this.context;
+    const timeoutMs = clusterConfig.heartbeatIntervalMs * timeoutIntervals;
+    http(addr, 'POST', '/commands', body, timeoutMs).catch((error: unknown) => {
+      log.debug({ machine: name, error: String(error) }, unanswered);
+    });
+  }
 }
