--- a/packages/daemon/src/leader/borrowing-feature.ts
+++ b/packages/daemon/src/leader/borrowing-feature.ts
@@ -49,12 +49,12 @@
 
   /** The ranges that get the reclaimed resources and the record of the reclaim go into one transaction. */
   addPlacements(batch: JobBatch, { result, statuses }: AssignmentOutcome): AddedPlacements {
-    const maxReclaims = Math.floor((this.context.settings.txnOps - batch.changes.length) / CHANGES_PER_RECLAIM);
+    const freeChanges = this.context.settings.txnOps - batch.changes.length;
     const decisions = this.borrowing.plan({
       result: { ...result, unschedulable: result.unschedulable.filter(({ job }) => !job.isGroup) },
       statuses,
-      taken: batch.jobs,
-      most: maxReclaims,
+      changedJobs: batch.jobs,
+      maxReclaims: Math.floor(freeChanges / CHANGES_PER_RECLAIM),
       scaleOutMs: this.scaleOutMs,
     });
     for (const decision of decisions) this.#addReclaim(batch, decision);
--- a/packages/daemon/src/leader/leader-borrowing.ts
+++ b/packages/daemon/src/leader/leader-borrowing.ts
@@ -1,33 +1,22 @@
-// The leader's part in borrowing: has reclaims planned, puts them into its transactions with the rounds of the tasks
-// that get the room, and says in the log how teams stand and why some get nothing.
+// Borrowing at the leader: has reclaims planned from what partitions hold, names their records, and finds those that
+// were abandoned.
 import {
   ABANDONED_BOUNDS,
   type BorrowingSettings,
-  borrowed,
   type Decision,
   heldBackGpus,
-  lent,
   type PartitionClaims,
   planReclaims,
   reclaimBoundMs,
-  type Refused,
   saveGraceS,
-  type TeamAccount,
 } from '@gingerlock/borrowing';
-import {
-  type Resources,
-  type AssignmentResult,
-  type Job,
-  type PartitionStatus,
-  STOP_MS,
-  type OwnershipTerm,
-} from '@gingerlock/core';
+import { type AssignmentResult, type Job, type PartitionStatus, STOP_MS, type OwnershipTerm } from '@gingerlock/core';
 import { KEYS, type ReclaimRecord, parseTaskName } from '@gingerlock/wire';
+import { BorrowingLog } from './borrowing-log';
 import type { ClaimLists } from '../peers/claim-lists';
-import { guaranteedGpus } from '../settings/features';
 import type { ControllerContext } from '../controller/controller-context';
 
-/** A list of claims counts for so many report intervals. */
+/** For how many heartbeat intervals a list of claims counts as current. */
 const CLAIMS_INTERVALS = 2;
 
 /** A reclaim that may be abandoned, with what its removal rests on. */
@@ -42,21 +31,22 @@
   readonly record: ReclaimRecord;
 }
 
-export interface LeaderView {
+/** What reclaims are planned from, for one transaction of the leader. */
+export interface ReclaimView {
   readonly result: AssignmentResult;
   readonly statuses: readonly PartitionStatus[];
   /** Jobs that the transaction changes already. */
-  readonly taken: ReadonlySet<string>;
-  readonly most: number;
+  readonly changedJobs: ReadonlySet<string>;
+  readonly maxReclaims: number;
+  /** How long until a machine that is scaled out now could run a task of the job, in milliseconds. */
   readonly scaleOutMs: (job: Job) => number;
 }
 
+/** The decisions on reclaims of one term of leadership. */
 export class LeaderBorrowing {
+  readonly #log: BorrowingLog;
+  /** Numbers the reclaims of this term. */
   #counter = 0;
-  /** By job: why nothing is got for it, since when, and whether the log says so. */
-  #refusals = new Map<string, { readonly why: string; readonly since: number; isLogged: boolean }>();
-  #loggedAt = -Infinity;
-  #hasLoggedExcess = false;
   /** By partition: the revision at which the last of its reclaims ended. Older lists of claims show what it stopped. */
   readonly #endedAt = new Map<number, number>();
 
@@ -65,7 +55,9 @@
     readonly ownershipTerm: OwnershipTerm,
     readonly settings: BorrowingSettings,
     readonly lists: ClaimLists,
-  ) {}
+  ) {
+    this.#log = new BorrowingLog(context);
+  }
 
   /** A reclaim of the partition has ended. */
   reclaimEnded(partitionId: number, revision: number): void {
@@ -78,32 +70,34 @@
     return heldBackGpus(clusterConfig, clusterState.jobs.live, this.#claims(statuses));
   }
 
-  plan(view: LeaderView): readonly Decision[] {
+  /** Decides which tasks are stopped for unschedulable ones of teams that are below their guarantees. */
+  plan(view: ReclaimView): readonly Decision[] {
     const { clusterState, clusterConfig, clock } = this.context;
-    const plan = planReclaims({
+    const { decisions, refused, accounts } = planReclaims({
       clusterConfig,
       settings: this.settings,
       jobs: clusterState.jobs.live,
-      unschedulable: view.result.unschedulable.filter(({ job }) => !view.taken.has(job.id)),
+      unschedulable: view.result.unschedulable.filter(({ job }) => !view.changedJobs.has(job.id)),
       statuses: view.statuses,
       free: view.result.free,
       claims: this.#claims(view.statuses),
       pending: this.#pending(),
-      most: view.most,
+      most: view.maxReclaims,
       scaleOutMs: view.scaleOutMs,
       stopMs: STOP_MS + clusterConfig.heartbeatIntervalMs / 2,
     });
-    this.#logChanges(plan.refused, plan.accounts, clock.now());
-    return plan.decisions;
+    this.#log.record(refused, accounts, clock.now());
+    return decisions;
   }
 
+  /** The reclaims that are stored and not over. */
   #pending(): ReclaimRecord[] {
     return [...this.context.clusterState.reclaims.values()].flatMap((ofPartition) =>
-      [...ofPartition.values()].map((r) => r.record),
+      [...ofPartition.values()].map(({ record }) => record),
     );
   }
 
-  /** What machines hold, of the partitions of which that is known as it stands after all reclaims that have ended. */
+  /** What machines hold, of the partitions whose list of claims is current and shows all reclaims that have ended. */
   #claims(statuses: readonly PartitionStatus[]): PartitionClaims[] {
     const { clock, clusterConfig } = this.context;
     const terms = new Map(statuses.map(({ partitionId, term }) => [partitionId, term]));
@@ -125,14 +119,18 @@
     };
   }
 
+  /** The decision was committed, with the reclaim's record at `key`. */
   decided(decision: Decision, key: string): void {
     const { job, machine, tasks, victims, reason, loss } = decision;
     const detail = { reclaim: key, job: job.id, team: job.spec.team, machine, tasks: tasks.length, reason };
     const lostWorkS = Math.round(loss.work);
-    this.context.log.info({ ...detail, victims: victims.map((v) => v.task), lostWorkS }, 'reclaim decided');
+    this.context.log.info(
+      { ...detail, victims: victims.map(({ task: taskName }) => taskName), lostWorkS },
+      'reclaim decided',
+    );
   }
 
-  /** Reclaims that their owners have left standing for far longer than any may take. */
+  /** Reclaims that have been stored for far longer than carrying them out may take: their owners do not. */
   abandoned(): AbandonedReclaim[] {
     const { clusterState, clock } = this.context;
     const wall = clock.wall();
@@ -146,66 +144,13 @@
     return found;
   }
 
+  /** How long carrying the reclaim out may take, with the longest save of its victims. */
   #boundMs({ victims }: ReclaimRecord): number {
     const { clusterState, clusterConfig } = this.context;
-    const graces = victims.map(({ task: taskName }) => {
+    const gracesS = victims.map(({ task: taskName }) => {
       const job = clusterState.jobs.live.get(parseTaskName(taskName)?.job ?? '');
       return job === undefined ? 0 : saveGraceS(job.spec);
     });
-    return reclaimBoundMs(clusterConfig, Math.max(0, ...graces));
-  }
-
-  // --- the log -----------------------------------------------------------------------------------------------------
-
-  #logChanges(refused: readonly Refused[], accounts: readonly TeamAccount[], now: number): void {
-    const before = this.#refusals;
-    this.#refusals = new Map();
-    for (const refusal of refused) {
-      const { job, why } = refusal;
-      const known = before.get(job.id);
-      const entry = known?.why === why ? known : { why, since: now, isLogged: false };
-      this.#refusals.set(job.id, entry);
-      // What changes within moments says nothing to anybody.
-      if (entry.isLogged || now - entry.since < this.context.clusterConfig.heartbeatIntervalMs) continue;
-      entry.isLogged = true;
-      this.#logRefused(refusal);
-    }
-    if (now - this.#loggedAt < this.context.clusterConfig.workerLeaseMs) return;
-    this.#loggedAt = now;
-    for (const account of accounts) this.context.log.info(accountFigures(account), 'team account');
-    this.#logExcessGuarantees();
+    return reclaimBoundMs(clusterConfig, Math.max(0, ...gracesS));
   }
-
-  #logRefused({ job, tasks, why, account }: Refused): void {
-    const detail = { job: job.id, tasks, gpus: job.spec.gpus, why, ...accountFigures(account) };
-    this.context.log.info(detail, 'nothing reclaimed');
-  }
-
-  /** Guarantees that no fleet within the operators' bounds can keep. */
-  #logExcessGuarantees(): void {
-    const { clusterConfig, clusterState, settings, log } = this.context;
-    const { maxOrdinaryMachines, maxSpotMachines } = settings.operators;
-    const largest = Math.max(0, ...[...clusterState.types.values()].map((type) => type.gpus));
-    const most = (maxOrdinaryMachines + maxSpotMachines) * largest;
-    const guaranteed = guaranteedGpus(clusterConfig);
-    if (this.#hasLoggedExcess || largest === 0 || guaranteed <= most) return;
-    this.#hasLoggedExcess = true;
-    log.error({ field: 'facts.teams.gpus', guaranteed, most }, 'guarantees exceed the largest possible fleet');
-  }
-}
-
-/** How a team stands, for a line of the log. */
-export function accountFigures(account: TeamAccount): Record<string, number | string> {
-  const { team, low, high, waiting } = account;
-  const gpusOf = (resources: Resources): number => Math.round(resources.gpus * 1000) / 1000;
-  return {
-    team: team.name,
-    guarantee: team.gpus,
-    limit: team.gpusMax,
-    runs: gpusOf(low),
-    mayRun: gpusOf(high),
-    waits: gpusOf(waiting),
-    borrowed: borrowed(account, 'gpus'),
-    lent: lent(account, 'gpus'),
-  };
 }
--- a/packages/daemon/src/leader/machine-type-catalog.ts
+++ b/packages/daemon/src/leader/machine-type-catalog.ts
@@ -1,8 +1,8 @@
-// What the cloud offers, as the leader read it last, and what is odd about it.
+// The machine types that the cloud offers, as the leader read them last, without what this deployment can't use.
 import type { CloudMachine, MachineType, MachineTypeList } from '@gingerlock/wire';
 import type { Log } from '../controller/log';
 
-/** Takes the cloud's lists of types and machines, and logs each odd field of them once. */
+/** Validates the cloud's lists of types and machines, and logs each invalid field of them once. */
 export class MachineTypeCatalog {
   #current: ReadonlyMap<string, MachineType> = new Map();
   readonly #logged = new Set<string>();
@@ -18,8 +18,8 @@
   }
 
   /**
-   * Takes a list of types. Of those that were known before and are not offered any more the ones that are still used are kept,
-   * without a price: nothing more is rented of them, and their machines are served.
+   * Validates a list of types. Types that were known before, are not offered any more and are still used stay in the
+   * catalog without a price: no machines of them are scaled out, and the existing ones go on working.
    */
   read(
     { types, invalid }: MachineTypeList,
@@ -43,7 +43,7 @@
     return { ...type, zones: type.zones.filter((zone) => this.zones.includes(zone)) };
   }
 
-  /** The machines of a list that this deployment can have, and those that are known already. */
+  /** The listed machines whose type and zone belong to this deployment, and those that are known already. */
   knownKinds(listed: readonly CloudMachine[], isKnown: (machine: string) => boolean): CloudMachine[] {
     return listed.filter((machine) => {
       const field = this.#unknownField(machine);
@@ -53,7 +53,7 @@
     });
   }
 
-  /** The field of a listed machine that names no type or zone of the deployment; null: there is none. */
+  /** The cloud's name of the field in which a machine names no type or zone of the deployment; null: there is none. */
   #unknownField({ type, zone }: CloudMachine): 'breed' | 'yard' | null {
     if (this.#current.size > 0 && !this.#current.has(type)) return 'breed';
     return this.zones.includes(zone) ? null : 'yard';
