--- a/packages/daemon/src/peers/claim-lists.ts
+++ b/packages/daemon/src/peers/claim-lists.ts
@@ -1,8 +1,9 @@
-// What machines hold, as owners tell the leader while borrowing is on: one or several messages, and back.
+// Lists of what machines hold, as owners publish them to the leader while borrowing is on.
 import type { HeldTask, MachineClaims, PartitionClaims } from '@gingerlock/borrowing';
-import type { ClaimTable } from '@gingerlock/core';
+import type { ClaimTable, Machine } from '@gingerlock/core';
 import type { PeerMessage, PeerMessages } from '@gingerlock/peer';
-import { fragmentContents, SenderReassemblers } from './fragments';
+import { fragmentsOf, SenderReassemblers } from './fragments';
+import { NewestByPartition } from './newest-by-partition';
 
 /** Bytes of the numbers of one task, rounded up. */
 const TASK_BYTES = 32;
@@ -12,70 +13,58 @@
 
 /** What the machines of the partition hold, as its owner knows it. */
 export function claimsOf(table: ClaimTable, revision: number, now: number): PartitionClaims {
-  const machines: MachineClaims[] = [];
-  for (const machine of table.machines.values()) {
-    if (machine.claims.size === 0) continue;
-    const held = [...machine.claims.values()].map(({ name, claim }): HeldTask => {
-      const { attempt, stage, runningSince, stopGraceS } = claim!;
-      const runMs = runningSince === null ? 0 : now - runningSince;
-      return { task: name, attempt, stage, runMs, stopping: stopGraceS !== null };
-    });
-    machines.push({ machine: machine.name, held });
-  }
+  const machines = [...table.machines.values()]
+    .filter(({ claims }) => claims.size > 0)
+    .map((machine) => ({ machine: machine.name, held: heldTasks(machine, now) }));
   return { partitionId: table.partitionId, term: table.term, revision, machines };
 }
 
+function heldTasks({ claims }: Machine, now: number): HeldTask[] {
+  return [...claims.values()].map(({ name, claim }) => {
+    const { attempt, stage, runningSince, stopGraceS } = claim!;
+    const runMs = runningSince === null ? 0 : now - runningSince;
+    return { task: name, attempt, stage, runMs, stopping: stopGraceS !== null };
+  });
+}
+
 function machineBytes({ machine, held }: MachineClaims): number {
   const taskBytes = held.reduce((sum, { task: taskName }) => sum + TASK_BYTES + Buffer.byteLength(taskName), 0);
   return MACHINE_BYTES + Buffer.byteLength(machine) + taskBytes;
 }
 
+/** The messages that publish a list, each within a frame of the link. */
 export function claimListMessages(claims: PartitionClaims, sequence: number, frameBytes: number): PeerMessage[] {
-  const { partitionId, term, revision } = claims;
-  const contents = fragmentContents(claims.machines, machineBytes, frameBytes);
-  return contents.map((run, index) => ({
+  return fragmentsOf(claims, claims.machines, machineBytes, sequence, frameBytes).map(({ fragment, items }) => ({
     kind: 'ClaimList',
-    partitionId,
-    term,
-    revision,
-    sequence,
-    index,
-    fragmentCount: contents.length,
-    machines: run.map(({ machine, held }) => ({ machine, held: held.map((task) => ({ ...task })) })),
+    ...fragment,
+    machines: items.map(({ machine, held }) => ({ machine, held: held.map((task) => ({ ...task })) })),
   }));
 }
 
-interface SeenClaims {
-  readonly claims: PartitionClaims;
-  readonly at: number;
+interface ReceivedClaims extends PartitionClaims {
+  readonly receivedAt: number;
 }
 
-/** The newest list of each partition. */
+/** The newest list of each partition, as the leader has received them. */
 export class ClaimLists {
-  readonly #seen = new Map<number, SeenClaims>();
+  readonly #newest = new NewestByPartition<ReceivedClaims>();
   readonly #reassemblers = new SenderReassemblers<PeerMessages['ClaimList']>();
 
-  /** Takes a piece from another controller. */
+  /** Takes a fragment from another controller. */
   onFragment(from: string, fragment: PeerMessages['ClaimList'], now: number): void {
-    const all = this.#reassemblers.add(from, fragment);
-    if (all === null) return;
+    const fragments = this.#reassemblers.add(from, fragment);
+    if (fragments === null) return;
     const { partitionId, term, revision } = fragment;
-    this.note({ partitionId, term, revision, machines: all.flatMap((p) => p.machines) }, now);
+    this.note({ partitionId, term, revision, machines: fragments.flatMap(({ machines }) => machines) }, now);
   }
 
-  /** Takes a whole list, unless a later one is known. */
+  /** Takes a whole list, unless a newer one is known. */
   note(claims: PartitionClaims, now: number): void {
-    const known = this.#seen.get(claims.partitionId)?.claims;
-    if (known !== undefined && (claims.term < known.term || isOlder(claims, known))) return;
-    this.#seen.set(claims.partitionId, { claims, at: now });
+    this.#newest.put({ ...claims, receivedAt: now });
   }
 
-  /** The lists that were told since `since`. */
+  /** The lists that were received at `since` or later. */
   since(since: number): PartitionClaims[] {
-    return [...this.#seen.values()].filter((seen) => seen.at >= since).map((seen) => seen.claims);
+    return [...this.#newest.values()].filter(({ receivedAt }) => receivedAt >= since);
   }
 }
-
-function isOlder(claims: PartitionClaims, than: PartitionClaims): boolean {
-  return claims.term === than.term && claims.revision < than.revision;
-}
--- a/packages/daemon/src/peers/fragments.ts
+++ b/packages/daemon/src/peers/fragments.ts
@@ -1,4 +1,6 @@
-// Content that is too large for one frame of the link, cut into pieces and put together again.
+// Content that is too large for one frame of the link: split into fragments that are sent as one message each, and
+// reassembled.
+import type { PartitionRevision } from './newest-by-partition';
 
 /** Share of a frame that the estimated size of one message may take: the estimates leave out small things. */
 export const FRAME_SHARE = 0.5;
@@ -19,29 +21,61 @@
   return runs;
 }
 
-/** What names a piece: all of one whole have the same numbers but for `index`. */
+/** What identifies a fragment: those of one message have the same numbers but for `index`. */
 export interface Fragment {
   readonly term: number;
   readonly revision: number;
+  /** Numbers the messages of one process. */
   readonly sequence: number;
   readonly index: number;
   readonly fragmentCount: number;
 }
 
-/** Puts the pieces together that one controller sends, in order; the first of another whole makes it begin anew. */
+/** A fragment of what an owner publishes of a partition. */
+export interface PartitionFragment extends Fragment {
+  readonly partitionId: number;
+}
+
+/** The numbers of a fragment, and the items that it holds. */
+export interface FragmentContent<T> {
+  readonly fragment: PartitionFragment;
+  readonly items: readonly T[];
+}
+
+/** Splits what is published of a partition; there is one fragment at least, so that an empty list is published too. */
+export function fragmentsOf<T>(
+  { partitionId, term, revision }: PartitionRevision,
+  items: readonly T[],
+  sizeOf: (item: T) => number,
+  sequence: number,
+  frameBytes: number,
+): FragmentContent<T>[] {
+  const runs = splitBySize(items, sizeOf, frameBytes * FRAME_SHARE);
+  const contents = runs.length === 0 ? [[]] : runs;
+  const fragmentCount = contents.length;
+  return contents.map((run, index) => ({
+    fragment: { partitionId, term, revision, sequence, index, fragmentCount },
+    items: run,
+  }));
+}
+
+/**
+ * Reassembles messages from one sender, one at a time: the first fragment of another message drops those of the one
+ * before.
+ */
 export class FragmentReassembler<P extends Fragment> {
   #first: P | null = null;
-  readonly #fragments = new Map<number, P>();
+  readonly #byIndex = new Map<number, P>();
 
-  /** Takes a piece; returns all pieces of the whole once they are there. */
+  /** Takes a fragment; returns all of its message, in order, once they are there. */
   add(fragment: P): readonly P[] | null {
     if (this.#first === null || !isSameMessage(this.#first, fragment)) {
       this.#first = fragment;
-      this.#fragments.clear();
+      this.#byIndex.clear();
     }
-    if (fragment.index >= 0 && fragment.index < fragment.fragmentCount) this.#fragments.set(fragment.index, fragment);
-    if (this.#fragments.size < fragment.fragmentCount) return null;
-    return [...this.#fragments.values()].sort((a, b) => a.index - b.index);
+    if (fragment.index >= 0 && fragment.index < fragment.fragmentCount) this.#byIndex.set(fragment.index, fragment);
+    if (this.#byIndex.size < fragment.fragmentCount) return null;
+    return [...this.#byIndex.values()].sort((a, b) => a.index - b.index);
   }
 }
 
@@ -51,18 +85,12 @@
   );
 }
 
-/** The runs of content that go into one message each: one at the least, so that nothing is told too. */
-export function fragmentContents<T>(items: readonly T[], sizeOf: (item: T) => number, frameBytes: number): T[][] {
-  const runs = splitBySize(items, sizeOf, frameBytes * FRAME_SHARE);
-  return runs.length === 0 ? [[]] : runs;
-}
-
-/** What several controllers send in pieces, of several partitions each. */
-export class SenderReassemblers<P extends Fragment & { readonly partitionId: number }> {
-  /** By sender and partition: a whole of which not all pieces have come yet. */
+/** Reassembles messages from several senders, of several partitions each. */
+export class SenderReassemblers<P extends PartitionFragment> {
+  /** By sender and partition: a message of which not all fragments have come yet. */
   readonly #reassemblers = new Map<string, FragmentReassembler<P>>();
 
-  /** Takes a piece; returns all pieces of the whole once they are there. */
+  /** Takes a fragment; returns all of its message, in order, once they are there. */
   add(from: string, fragment: P): readonly P[] | null {
     const key = `${from} ${fragment.partitionId}`;
     const reassembler = this.#reassemblers.get(key) ?? new FragmentReassembler<P>();
--- a/packages/daemon/src/peers/group-reports.ts
+++ b/packages/daemon/src/peers/group-reports.ts
@@ -1,11 +1,14 @@
-// What owners tell the leader of the members of replica groups: one or several messages, and back.
+// Reports on the members of replica groups, as owners publish them to the leader.
 import type { GroupReport, PartitionGroupReport } from '@gingerlock/replica-groups';
 import type { PeerGroupReport, PeerMessage, PeerMessages } from '@gingerlock/peer';
 import { GROUP_REASONS } from '@gingerlock/wire';
-import { fragmentContents, SenderReassemblers } from './fragments';
+import { fragmentsOf, SenderReassemblers } from './fragments';
+import { NewestByPartition } from './newest-by-partition';
 
-/** Bytes of the numbers of one member, and of the lengths around one group, rounded up. */
+/** Bytes of the numbers of one member, rounded up. */
 const MEMBER_BYTES = 24;
+
+/** Bytes of the lengths around one group, rounded up. */
 const GROUP_BYTES = 16;
 
 /** The number that stands for no reason. */
@@ -34,48 +37,43 @@
   };
 }
 
+/** The messages that publish a report, each within a frame of the link. */
 export function groupReportMessages(report: PartitionGroupReport, sequence: number, frameBytes: number): PeerMessage[] {
-  const { partitionId, term, revision } = report;
-  const contents = fragmentContents(report.groups, groupBytes, frameBytes);
-  return contents.map((run, index) => ({
+  return fragmentsOf(report, report.groups, groupBytes, sequence, frameBytes).map(({ fragment, items }) => ({
     kind: 'GroupReports',
-    partitionId,
-    term,
-    revision,
-    sequence,
-    index,
-    fragmentCount: contents.length,
-    groups: run.map(toPeer),
+    ...fragment,
+    groups: items.map(toPeer),
   }));
 }
 
-/** The newest report of each partition. */
+interface IndexedGroupReport extends PartitionGroupReport {
+  readonly byJob: ReadonlyMap<string, GroupReport>;
+}
+
+/** The newest report of each partition, as the leader has received them. */
 export class GroupReports {
-  readonly #seen = new Map<number, PartitionGroupReport & { readonly byJob: ReadonlyMap<string, GroupReport> }>();
+  readonly #newest = new NewestByPartition<IndexedGroupReport>();
   readonly #reassemblers = new SenderReassemblers<PeerMessages['GroupReports']>();
 
-  /** Takes a piece from another controller. */
+  /** Takes a fragment from another controller. */
   onFragment(from: string, fragment: PeerMessages['GroupReports']): void {
-    const all = this.#reassemblers.add(from, fragment);
-    if (all === null) return;
+    const fragments = this.#reassemblers.add(from, fragment);
+    if (fragments === null) return;
     const { partitionId, term, revision } = fragment;
-    this.note({ partitionId, term, revision, groups: all.flatMap(({ groups }) => groups.map(fromPeer)) });
+    this.note({ partitionId, term, revision, groups: fragments.flatMap(({ groups }) => groups.map(fromPeer)) });
   }
 
-  /** Takes a whole report, unless a later one is known. */
+  /** Takes a whole report, unless a newer one is known. */
   note(report: PartitionGroupReport): void {
-    const known = this.#seen.get(report.partitionId);
-    if (known !== undefined && report.term < known.term) return;
-    if (known !== undefined && report.term === known.term && report.revision < known.revision) return;
-    this.#seen.set(report.partitionId, { ...report, byJob: new Map(report.groups.map((group) => [group.job, group])) });
+    this.#newest.put({ ...report, byJob: new Map(report.groups.map((group) => [group.job, group])) });
   }
 
   /**
-   * What the owner of that term tells of the group, once it has read the group's record at that version; null: nothing. Nothing is told of
-   * a group that serves well.
+   * What the owner of that term reports of the group, once it has read the group's record at that version; null:
+   * nothing. A group that serves well is not reported.
    */
   of(partitionId: number, term: number, job: string, version: number): GroupReport | null {
-    const report = this.#seen.get(partitionId);
+    const report = this.#newest.get(partitionId);
     if (report === undefined || report.term !== term || report.revision < version) return null;
     return report.byJob.get(job) ?? null;
   }
--- a/packages/daemon/src/peers/heartbeat-relay.ts
+++ b/packages/daemon/src/peers/heartbeat-relay.ts
@@ -1,5 +1,5 @@
-// Reports of workers whose partition belongs to another controller: sent there, or relayed for workers that can't reach it.
-// The owner is still the only one who decides.
+// Reports of workers whose partition belongs to another controller: sent there, or relayed for workers that can't reach
+// it. The owner is still the only one who decides.
 import { type Clock, sleep } from '@gingerlock/clients';
 import type { PeerMessage, PeerMessages } from '@gingerlock/peer';
 import { decodeHeartbeat, encodeRedirect, type Heartbeat } from '@gingerlock/wire';
@@ -67,8 +67,8 @@
 
   /**
    * The worker belongs to a partition of another controller, or of none now. Sent away without an owner's name it would
-   * try the next controller, which may be dead or cut off too: that costs it seconds of its lease at each. So its report
-   * waits here for as long as it waits itself, until the partition has an owner that it can be sent to.
+   * try the next controller, which may be dead or cut off too: that costs it seconds of its lease at each. So its
+   * report waits here for as long as it waits itself, until the partition has an owner that it can be sent to.
    */
   async forward(partitionId: number, heartbeat: Heartbeat, body: Buffer): Promise<Reply> {
     const { clock, routing } = this;
@@ -101,9 +101,9 @@
   }
 
   /**
-   * Whether the worker can't reach the owner, but we may. It is back within its lease after it was sent there, or the owner
-   * says that it has not heard it for a while. The same when we ourselves hear nothing of the owner though others are
-   * there: sent to a dead owner, a worker would lose several seconds of its lease.
+   * Whether the worker can't reach the owner, but we may. It is back within its lease after it was sent there, or the
+   * owner says that it has not heard it for a while. The same when we ourselves hear nothing of the owner though others
+   * are there: sent to a dead owner, a worker would lose several seconds of its lease.
    */
   #isCutOff(owner: string, partitionId: number, machine: string, last: Redirection | undefined, now: number): boolean {
     if (last?.owner === owner && now - last.at < this.settings.clusterConfig.workerLeaseMs) return true;
--- a/packages/daemon/src/peers/peer-confirmation.ts
+++ b/packages/daemon/src/peers/peer-confirmation.ts
@@ -1,5 +1,6 @@
-// During an outage of the state service: whether the peers confirm that they too lack it and know of nothing newer. Then no
-// cancellation and no takeover exists that this controller has not seen, and it may go on answering its workers.
+// During an outage of the state service: whether the peers confirm that they too lack it and know of nothing newer.
+// Then no cancellation and no takeover exists that this controller has not seen, and it may go on answering its
+// workers.
 import type { WatchCache, KeyValueStore } from '@gingerlock/clients';
 import type { PeerMessages } from '@gingerlock/peer';
 import type { PeerChannel } from './peer-channel';
--- a/packages/daemon/src/peers/peer-failure-detector.ts
+++ b/packages/daemon/src/peers/peer-failure-detector.ts
@@ -1,4 +1,5 @@
-// Which controllers this process hears, since when without a gap, and what they say of their contact with the state service.
+// Which controllers this process hears, since when without a gap, and what they say of their contact with the state
+// service.
 import type { Clock } from '@gingerlock/clients';
 import type { PeerLink } from '@gingerlock/peer';
 
--- a/packages/daemon/src/peers/status-fragments.ts
+++ b/packages/daemon/src/peers/status-fragments.ts
@@ -1,21 +1,21 @@
-// Summaries of partitions of any size as messages that each fit a frame of the link, and back.
+// Statuses of partitions, of any size, as messages that each fit a frame of the link, and back.
 import type { MachineStatus, PartitionStatus } from '@gingerlock/core';
 import type { PeerMachineStatus, PeerMessage, PeerMessages, PeerPartitionStatus } from '@gingerlock/peer';
 import { FRAME_SHARE, FragmentReassembler, splitBySize } from './fragments';
 
-/** Bytes of the numbers and flags of one machine, rounded up: eight for each number, and lengths before texts and lists. */
+/** Bytes of the numbers and flags of one machine, rounded up: eight for each number, and the lengths of its lists. */
 const MACHINE_BYTES = 80;
 
-/** Bytes of the three numbers of an amount. */
+/** Bytes of the three numbers of resources. */
 const RESOURCES_BYTES = 24;
 
-/** Bytes of one job that runs, beside its name. */
+/** Bytes of one running job, beside its name. */
 const RUNNING_BYTES = 12;
 
 /** Bytes of the length that stands before a text. */
 const LENGTH_BYTES = 2;
 
-type Running = PeerPartitionStatus['running'][number];
+type RunningJob = PeerPartitionStatus['running'][number];
 
 function machineBytes(machine: MachineStatus): number {
   const texts = [machine.name, machine.type, machine.zone, ...machine.images];
@@ -23,11 +23,11 @@
   return MACHINE_BYTES + textBytes + RESOURCES_BYTES * (machine.byPriority.length + 1);
 }
 
-function runningBytes({ job }: Running): number {
+function runningBytes({ job }: RunningJob): number {
   return RUNNING_BYTES + Buffer.byteLength(job);
 }
 
-/** One message with all of it where that fits a frame, as ever; otherwise several pieces. */
+/** One message with the whole status if that fits a frame, otherwise fragments. */
 export function statusMessages(
   status: PartitionStatus,
   owner: string,
@@ -62,17 +62,23 @@
   }));
 }
 
-/** Puts the pieces of summaries together that one controller sends. */
+/** The status of which `fragment` came last and `all` are all fragments, in order. */
+export function statusFrom(
+  { owner, partitionId, term, revision, missing }: PeerMessages['PartitionStatusFragment'],
+  all: readonly PeerMessages['PartitionStatusFragment'][],
+): PeerPartitionStatus {
+  const machines = all.flatMap((fragment) => fragment.machines);
+  const running = all.flatMap((fragment) => fragment.running);
+  return { owner, partitionId, term, revision, missing, machines, running };
+}
+
+/** Reassembles the statuses of one partition that one controller sends. */
 export class StatusReassembler {
   readonly #fragments = new FragmentReassembler<PeerMessages['PartitionStatusFragment']>();
 
-  /** Takes a piece; returns the summary once all of its pieces are there. */
+  /** Takes a fragment; returns the status once all of its fragments are there. */
   add(fragment: PeerMessages['PartitionStatusFragment']): PeerPartitionStatus | null {
     const all = this.#fragments.add(fragment);
-    if (all === null) return null;
-    const { owner, partitionId, term, revision, missing } = fragment;
-    const machines = all.flatMap((p) => p.machines);
-    const running = all.flatMap((p) => p.running);
-    return { owner, partitionId, term, revision, missing, machines, running };
+    return all === null ? null : statusFrom(fragment, all);
   }
 }
