--- a/packages/daemon/src/leader/autoscaling-loop.ts
+++ b/packages/daemon/src/leader/autoscaling-loop.ts
@@ -214,7 +214,10 @@
     }
   }
 
-  /** Whether all partitions, machines and types are known: otherwise free resources would be taken for missing. */
+  /**
+   * Whether all partitions, machines and types are known: otherwise machines would be scaled out for resources that are
+   * free.
+   */
   #mayPlan(statuses: readonly PartitionStatus[], now: number): boolean {
     const { clusterConfig, clusterState } = this.context;
     const isEveryPartitionKnown = statuses.length === (clusterState.meta?.partitionCount ?? Infinity);
--- a/packages/daemon/src/leader/leader-borrowing.ts
+++ b/packages/daemon/src/leader/leader-borrowing.ts
@@ -25,7 +25,7 @@
   readonly version: number;
 }
 
-/** What a decision puts into the state service beside the job's record. */
+/** What a decision adds to the key-value store beside the job's record. */
 export interface StoredReclaim {
   readonly key: string;
   readonly record: ReclaimRecord;
--- a/packages/daemon/src/leader/leader-groups.ts
+++ b/packages/daemon/src/leader/leader-groups.ts
@@ -30,7 +30,7 @@
 /** A reservation changes the record of its job and that of its group. */
 const CHANGES_PER_RESERVATION = 2;
 
-/** A log line that is written once the change that it tells of is committed. */
+/** A log line on a change, written once the change is committed. */
 interface PendingLine {
   readonly detail: Record<string, unknown>;
   readonly message: string;
--- a/packages/daemon/src/owner/membership-writes.ts
+++ b/packages/daemon/src/owner/membership-writes.ts
@@ -1,5 +1,5 @@
 // Writes of a partition's membership: the names and addresses of the machines that may run tasks of it. The membership
-// tells the partition's next owner which machines it has to hear.
+// tells the partition's next owner from which machines it has to get a heartbeat.
 import type { ClaimTable, Machine } from '@gingerlock/core';
 import { KEYS, membershipRecord } from '@gingerlock/wire';
 import type { ControllerContext } from '../controller/controller-context';
@@ -22,8 +22,8 @@
   }
 
   /**
-   * Marks machines that the membership names already: heard only after the fencing period, or again before their
-   * removal. No change of their entries is under way.
+   * Marks machines that the membership names already: their heartbeat came only after the fencing period, or again
+   * before their removal. No change of their entries is under way.
    */
   markKnownMembers(): void {
     for (const machine of this.#nonMembers())
--- a/packages/daemon/src/owner/term-announcements.ts
+++ b/packages/daemon/src/owner/term-announcements.ts
@@ -1,5 +1,5 @@
-// Announces a new owner's term to the machines of its membership that it has not heard: each then reports the higher
-// fencing token, and a former owner that still answers it steps down.
+// Announces a new owner's term to the machines of its membership that have sent it no heartbeat: each then reports the
+// higher fencing token, and a former owner that still answers it steps down.
 import type { ClaimTable, MachineStatus } from '@gingerlock/core';
 import type { ControllerContext } from '../controller/controller-context';
 import type { WorkerCommandSender } from './worker-command-sender';
--- a/packages/daemon/src/peers/claim-lists.ts
+++ b/packages/daemon/src/peers/claim-lists.ts
@@ -41,6 +41,7 @@
   }));
 }
 
+/** A list of claims with when it was received. */
 interface ReceivedClaims extends PartitionClaims {
   readonly receivedAt: number;
 }
--- a/packages/daemon/src/peers/group-reports.ts
+++ b/packages/daemon/src/peers/group-reports.ts
@@ -46,6 +46,7 @@
   }));
 }
 
+/** A report with its groups by job. */
 interface IndexedGroupReport extends PartitionGroupReport {
   readonly byJob: ReadonlyMap<string, GroupReport>;
 }
--- a/packages/daemon/src/peers/heartbeat-relay.ts
+++ b/packages/daemon/src/peers/heartbeat-relay.ts
@@ -1,5 +1,5 @@
-// Reports of workers whose partition belongs to another controller: sent there, or relayed for workers that can't reach
-// it. The owner is still the only one who decides.
+// Heartbeats of workers whose partition belongs to another controller: the workers are redirected to it, or their
+// heartbeats are relayed if they can't reach it. The owner alone decides on the answer.
 import { type Clock, sleep } from '@gingerlock/clients';
 import type { PeerMessage, PeerMessages } from '@gingerlock/peer';
 import { decodeHeartbeat, encodeRedirect, type Heartbeat } from '@gingerlock/wire';
@@ -7,23 +7,29 @@
 import { refusal, type Reply } from '../api/reply';
 import type { Settings } from '../settings/settings';
 
-/** A worker waits this long for an answer, says the protocol. */
+/** How long a worker waits for an answer, by the protocol. */
 const WORKER_PATIENCE_MS = 4000;
 
-/** Of that, how much a report may wait for its partition to get an owner: the answer has to get there in time. */
+/** The share of it for which a heartbeat may wait for its partition to get an owner: the answer takes time too. */
 const HOLD_SHARE = 0.7;
 
-/** After how many leases it is forgotten where a worker was sent. */
+/** The share of it for which a relayed heartbeat may wait for the owner's answer. */
+const RELAY_SHARE = 0.5;
+
+/** While a heartbeat waits for an owner, it is looked for so many times in a heartbeat interval. */
+const OWNER_CHECKS_PER_HEARTBEAT = 10;
+
+/** After how many worker leases a redirection is forgotten. */
 const FORGET_LEASES = 4;
 
-/** For how many leases a worker's reports are relayed before it is sent to the owner once more. */
+/** For how many worker leases heartbeats are relayed before the worker is redirected once more. */
 const RELAY_LEASES = 2;
 
-/** Where a worker was sent. */
+/** Where a worker's last heartbeat went. */
 interface Redirection {
   readonly owner: string;
   readonly at: number;
-  /** Since when its reports are relayed; null: they are not. */
+  /** Since when its heartbeats are relayed; null: the worker was redirected. */
   readonly relayedSince: number | null;
 }
 
@@ -35,19 +41,20 @@
   ownerOf(partitionId: number): string | null;
   /** Whether this controller owns it. */
   owns(partitionId: number): boolean;
-  /** Answers a report as the owner. */
+  /** Answers a heartbeat as the owner. */
   answer(partitionId: number, heartbeat: Heartbeat): Reply;
-  /** A report has come for a partition of ours that its worker could not bring here itself. */
+  /** A heartbeat for a partition of ours was relayed: its worker can't reach us. */
   onRelayed(partitionId: number): void;
-  /** Whether the owner says that it has not heard the machine for a while. */
+  /** Whether, by the owner's status, it has had no heartbeat of the machine for a while. */
   missedByOwner(partitionId: number, machine: string): boolean;
 }
 
+/** Redirects and relays for one controller. */
 export class HeartbeatRelay {
-  readonly #redirected = new Map<string, Redirection>();
-  /** Relayed reports that wait for the owner's answer. */
-  readonly #waiting = new Map<string, (reply: Reply) => void>();
-  #stopped = false;
+  readonly #redirectionByMachine = new Map<string, Redirection>();
+  /** By id of the request: resolves a relayed heartbeat that waits for the owner's answer. */
+  readonly #pendingRelays = new Map<string, (reply: Reply) => void>();
+  #isStopped = false;
 
   constructor(
     readonly settings: Settings,
@@ -56,87 +63,100 @@
     readonly routing: PartitionRouting,
   ) {}
 
+  /** Heartbeats that wait for an owner are refused at their next check. */
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
   }
 
+  /** Forgets old redirections. */
   tick(now: number): void {
     const forgetMs = this.settings.clusterConfig.workerLeaseMs * FORGET_LEASES;
-    for (const [machine, { at }] of this.#redirected) if (now - at > forgetMs) this.#redirected.delete(machine);
+    for (const [machine, { at }] of this.#redirectionByMachine)
+      if (now - at > forgetMs) this.#redirectionByMachine.delete(machine);
   }
 
   /**
-   * The worker belongs to a partition of another controller, or of none now. Sent away without an owner's name it would
-   * try the next controller, which may be dead or cut off too: that costs it seconds of its lease at each. So its
-   * report waits here for as long as it waits itself, until the partition has an owner that it can be sent to.
+   * Answers a heartbeat for a partition of another controller, or of none now. Refused without an owner's name, the
+   * worker would try the next controller, which may be dead or cut off too: that costs it seconds of its lease at each.
+   * So its heartbeat waits here, for as long as the worker waits, until the partition has an owner that the worker can
+   * be redirected to.
    */
   async forward(partitionId: number, heartbeat: Heartbeat, body: Buffer): Promise<Reply> {
     const { clock, routing } = this;
-    const until = clock.now() + WORKER_PATIENCE_MS * HOLD_SHARE;
+    const waitUntil = clock.now() + WORKER_PATIENCE_MS * HOLD_SHARE;
     for (;;) {
-      const before = routing.ownerOf(partitionId);
-      const reply = await this.#pointTo(before, partitionId, heartbeat, body);
+      const owner = routing.ownerOf(partitionId);
+      const reply = await this.#redirectOrRelay(owner, partitionId, heartbeat, body);
       if (reply.status !== 503) return reply;
       do {
-        if (clock.now() >= until || this.#stopped) return reply;
-        await sleep(clock, this.settings.clusterConfig.heartbeatIntervalMs / 10);
+        if (clock.now() >= waitUntil || this.#isStopped) return reply;
+        await sleep(clock, this.settings.clusterConfig.heartbeatIntervalMs / OWNER_CHECKS_PER_HEARTBEAT);
         if (routing.owns(partitionId)) return routing.answer(partitionId, heartbeat);
-      } while (routing.ownerOf(partitionId) === before);
+      } while (routing.ownerOf(partitionId) === owner);
     }
   }
 
-  async #pointTo(owner: string | null, partitionId: number, heartbeat: Heartbeat, body: Buffer): Promise<Reply> {
+  /** Status 503: there is no owner, or it can't be reached. */
+  async #redirectOrRelay(
+    owner: string | null,
+    partitionId: number,
+    heartbeat: Heartbeat,
+    body: Buffer,
+  ): Promise<Reply> {
     const { clusterConfig, node } = this.settings;
     if (owner === null || owner === node) return refusal(503, 'part has no owner now');
     const now = this.clock.now();
-    const last = this.#redirected.get(heartbeat.machine);
+    const last = this.#redirectionByMachine.get(heartbeat.machine);
     const relayedSince = last?.relayedSince ?? null;
-    const relayed = relayedSince === null || now - relayedSince < clusterConfig.workerLeaseMs * RELAY_LEASES;
-    if (relayed && this.#isCutOff(owner, partitionId, heartbeat.machine, last, now)) {
-      this.#redirected.set(heartbeat.machine, { owner, at: now, relayedSince: relayedSince ?? now });
+    const mayRelay = relayedSince === null || now - relayedSince < clusterConfig.workerLeaseMs * RELAY_LEASES;
+    if (mayRelay && this.#isCutOff(owner, partitionId, heartbeat.machine, last, now)) {
+      this.#redirectionByMachine.set(heartbeat.machine, { owner, at: now, relayedSince: relayedSince ?? now });
       return this.#relay(owner, body);
     }
-    this.#redirected.set(heartbeat.machine, { owner, at: now, relayedSince: null });
+    this.#redirectionByMachine.set(heartbeat.machine, { owner, at: now, relayedSince: null });
     return { status: 421, body: encodeRedirect(owner) };
   }
 
   /**
-   * Whether the worker can't reach the owner, but we may. It is back within its lease after it was sent there, or the
-   * owner says that it has not heard it for a while. The same when we ourselves hear nothing of the owner though others
-   * are there: sent to a dead owner, a worker would lose several seconds of its lease.
+   * Whether the worker can't reach the owner, but we may: it is back within its lease after it was redirected, or the
+   * owner's status says that it has had no heartbeat of it for a while. Also if the owner seems dead while other
+   * controllers are alive: redirected to a dead owner, a worker would lose several seconds of its lease.
    */
   #isCutOff(owner: string, partitionId: number, machine: string, last: Redirection | undefined, now: number): boolean {
     if (last?.owner === owner && now - last.at < this.settings.clusterConfig.workerLeaseMs) return true;
     const { peers } = this;
-    const dead = !peers.alive(owner) && peers.nodes.some((node) => peers.alive(node));
-    return dead || this.routing.missedByOwner(partitionId, machine);
+    const seemsDead = !peers.alive(owner) && peers.nodes.some((node) => peers.alive(node));
+    return seemsDead || this.routing.missedByOwner(partitionId, machine);
   }
 
+  /** Sends the heartbeat to the owner, through another controller if need be. */
   #relay(owner: string, body: Buffer): Promise<Reply> {
-    const { peers, clock } = this;
+    const { peers } = this;
     const id = peers.nextRequestId();
     const message: PeerMessage = { kind: 'Relay', id, from: this.settings.node, to: owner, body };
     const via = peers.alive(owner) ? owner : peers.nodes.find((node) => node !== owner && peers.alive(node));
     if (via === undefined || !peers.send(via, message)) {
       return Promise.resolve(refusal(503, 'owner is out of reach'));
     }
+    return this.#awaitAnswer(id);
+  }
+
+  #awaitAnswer(id: string): Promise<Reply> {
+    const timeoutMs = Math.min(this.settings.clusterConfig.heartbeatIntervalMs, WORKER_PATIENCE_MS * RELAY_SHARE);
     return new Promise((resolve) => {
-      const cancel = clock.after(
-        Math.min(this.settings.clusterConfig.heartbeatIntervalMs, WORKER_PATIENCE_MS / 2),
-        () => {
-          this.#waiting.delete(id);
-          resolve(refusal(503, 'owner did not answer'));
-        },
-      );
-      this.#waiting.set(id, (reply) => {
+      const cancel = this.clock.after(timeoutMs, () => {
+        this.#pendingRelays.delete(id);
+        resolve(refusal(503, 'owner did not answer'));
+      });
+      this.#pendingRelays.set(id, (reply) => {
         cancel();
-        this.#waiting.delete(id);
+        this.#pendingRelays.delete(id);
         resolve(reply);
       });
     });
   }
 
-  /** A report that another controller relays: to us as the owner, or through us. */
+  /** Another controller relays a heartbeat: to us as the owner, or through us. */
   onRelay(from: string, message: PeerMessages['Relay']): void {
     const { peers } = this;
     if (message.to === this.settings.node) {
@@ -147,9 +167,10 @@
     }
   }
 
+  /** The owner's answer to a relayed heartbeat: for us, or to be passed on. */
   onAnswer(message: PeerMessages['RelayAnswer']): void {
     if (message.to !== this.settings.node) this.peers.send(message.to, { kind: 'RelayAnswer', ...message });
-    else this.#waiting.get(message.id)?.({ status: message.status, body: Buffer.from(message.body) });
+    else this.#pendingRelays.get(message.id)?.({ status: message.status, body: Buffer.from(message.body) });
   }
 
   #replyAsOwner(body: Buffer): Reply {
--- a/packages/daemon/src/peers/peer-confirmation.ts
+++ b/packages/daemon/src/peers/peer-confirmation.ts
@@ -1,18 +1,22 @@
-// During an outage of the state service: whether the peers confirm that they too lack it and know of nothing newer.
-// Then no cancellation and no takeover exists that this controller has not seen, and it may go on answering its
-// workers.
+// During an outage of the key-value store: whether all peers confirm that they can't reach it either and know of
+// nothing newer. Then no cancellation and no failover exists that this controller has not seen, and it may go on
+// answering its workers.
 import type { WatchCache, KeyValueStore } from '@gingerlock/clients';
 import type { PeerMessages } from '@gingerlock/peer';
 import type { PeerChannel } from './peer-channel';
 
+/** The last request to all peers. */
 interface ConfirmationRequest {
   readonly id: string;
-  readonly at: number;
+  readonly sentAt: number;
   readonly confirmedBy: Set<string>;
 }
 
+/** Asks the peers for their confirmation, and gives them ours. */
 export class PeerConfirmation {
-  /** Up to when all peers have confirmed that nothing has happened that this controller has not seen. */
+  /**
+   * The last moment at which, by all peers, nothing had happened that this controller has not seen; by our own clock.
+   */
   confirmedAt = -Infinity;
   #request: ConfirmationRequest | null = null;
 
@@ -20,44 +24,48 @@
     readonly keyValueStore: KeyValueStore,
     readonly watchCache: WatchCache,
     readonly peers: PeerChannel,
-    /** Time between two requests. */
+    /** Time between two requests, in milliseconds. */
     readonly intervalMs: number,
   ) {}
 
-  /** `needed`: there is something that a confirmation could keep going. */
-  tick(now: number, needed: boolean): void {
+  /** Sends the next request if it is due. `isNeeded`: something depends on a confirmation. */
+  tick(now: number, isNeeded: boolean): void {
     const { watchCache, peers } = this;
-    if (!needed || watchCache.failures === 0 || watchCache.lastContactAt === null) {
+    if (!isNeeded || watchCache.failures === 0 || watchCache.lastContactAt === null) {
       this.#request = null;
       return;
     }
-    if (this.#request !== null && now - this.#request.at < this.intervalMs) return;
-    this.#request = { id: peers.nextRequestId(), at: now, confirmedBy: new Set() };
+    if (this.#request !== null && now - this.#request.sentAt < this.intervalMs) return;
+    this.#request = { id: peers.nextRequestId(), sentAt: now, confirmedBy: new Set() };
     peers.broadcast({ kind: 'ConfirmationRequest', id: this.#request.id, revision: watchCache.revision });
   }
 
+  /** A peer asks whether we know of anything past its revision. */
   onRequest(from: string, { id, revision }: PeerMessages['ConfirmationRequest'], contactAgeMs: number): void {
     this.peers.send(from, { kind: 'Confirmation', id, confirms: this.#canConfirm(revision), contactAgeMs });
   }
 
+  /** A peer has answered; what matters is when it was asked. */
   onAnswer(from: string, { id, confirms }: PeerMessages['Confirmation']): void {
     const request = this.#request;
     if (request === null || request.id !== id || !confirms) return;
     request.confirmedBy.add(from);
     if (!this.peers.nodes.every((node) => request.confirmedBy.has(node))) return;
-    this.confirmedAt = Math.max(this.confirmedAt, request.at);
+    this.confirmedAt = Math.max(this.confirmedAt, request.sentAt);
   }
 
   /**
-   * Whether we know of nothing past that revision. A process that has not reached the state service since its start
-   * can't say what its predecessor has told users; nor can one that may have changed something without knowing.
+   * Whether we know of nothing past that revision. A process that has not reached the store since its start can't say
+   * what the controller's earlier process has promised users; nor can one with a transaction whose outcome it does not
+   * know.
    */
   #canConfirm(revision: number): boolean {
     const { keyValueStore, watchCache } = this;
     const { lastContactAt } = watchCache;
     if (!watchCache.loaded || lastContactAt === null || watchCache.failures === 0) return false;
-    const doubt = keyValueStore.outcomeUnknownSince;
-    const clean = keyValueStore.pendingTransactions === 0 && (doubt === null || lastContactAt > doubt);
-    return clean && keyValueStore.highestRevision <= revision;
+    const unknownSince = keyValueStore.outcomeUnknownSince;
+    const areOutcomesKnown =
+      keyValueStore.pendingTransactions === 0 && (unknownSince === null || lastContactAt > unknownSince);
+    return areOutcomesKnown && keyValueStore.highestRevision <= revision;
   }
 }
--- a/packages/daemon/src/peers/peer-failure-detector.ts
+++ b/packages/daemon/src/peers/peer-failure-detector.ts
@@ -1,20 +1,24 @@
-// Which controllers this process hears, since when without a gap, and what they say of their contact with the state
-// service.
+// Which controllers are alive, since when without a gap, and how recently each of them has read the key-value store.
 import type { Clock } from '@gingerlock/clients';
 import type { PeerLink } from '@gingerlock/peer';
 
-/** What a peer last said of its contact with the state service. */
+/** For how many heartbeat intervals a peer's statement of its contact counts. */
+const CONTACT_INTERVALS = 2;
+
+/** A peer's contact with the key-value store, by its last heartbeat. */
 interface PeerContact {
+  /** How long before its heartbeat it had read the store. */
   readonly ageMs: number;
-  readonly at: number;
-  /** Since when it has had contact without a gap; now, if it has none. */
-  readonly since: number;
+  readonly receivedAt: number;
+  /** Since when it has had contact without a gap; when the heartbeat came, if it has none. */
+  readonly contactSince: number;
 }
 
+/** Observes the other controllers for one process. */
 export class PeerFailureDetector {
-  /** Controllers that this process has heard of, and since when without a gap; null: silent now. */
-  readonly #heardSince = new Map<string, number | null>();
-  readonly #contact = new Map<string, PeerContact>();
+  /** By controller that was ever alive: since when it has been so without a gap; null: it is silent now. */
+  readonly #aliveSince = new Map<string, number | null>();
+  readonly #contactByNode = new Map<string, PeerContact>();
 
   constructor(
     readonly link: PeerLink,
@@ -22,46 +26,53 @@
     readonly heartbeatIntervalMs: number,
   ) {}
 
-  /** Whether this process has ever heard the controller. */
+  /** Whether this process has ever had a heartbeat from the controller. */
   wasSeen(node: string): boolean {
-    return this.#heardSince.has(node);
+    return this.#aliveSince.has(node);
   }
 
+  /** A heartbeat of the controller has come. */
   recordHeartbeat(node: string, now: number): void {
-    if ((this.#heardSince.get(node) ?? null) === null) this.#heardSince.set(node, now);
+    if ((this.#aliveSince.get(node) ?? null) === null) this.#aliveSince.set(node, now);
   }
 
-  /** Notes which connections have fallen silent. */
+  /** Records which controllers have fallen silent. */
   tick(): void {
-    for (const node of this.#heardSince.keys()) if (!this.link.alive(node)) this.#heardSince.set(node, null);
+    for (const node of this.#aliveSince.keys()) if (!this.link.alive(node)) this.#aliveSince.set(node, null);
   }
 
-  /** This process stood still: nobody was heard without a gap. */
+  /** This process has stalled: the gap counts for every controller. */
   resumedAfterStall(): void {
-    for (const node of this.#heardSince.keys()) this.#heardSince.set(node, null);
+    for (const node of this.#aliveSince.keys()) this.#aliveSince.set(node, null);
   }
 
-  /** Notes what a peer says of its contact with the state service, and since when it has had that without a gap. */
+  /** The controller says that it read the store `ageMs` ago. */
   recordContact(node: string, ageMs: number, now: number): void {
-    const known = this.#contact.get(node);
+    const known = this.#contactByNode.get(node);
     const hasContact = ageMs <= this.heartbeatIntervalMs;
-    this.#contact.set(node, { ageMs, at: now, since: hasContact && known !== undefined ? known.since : now });
+    this.#contactByNode.set(node, {
+      ageMs,
+      receivedAt: now,
+      contactSince: hasContact && known !== undefined ? known.contactSince : now,
+    });
   }
 
-  /** Whether the controller has been heard of for so long without a gap, and has just read the state service. */
+  /** Whether the controller has been alive and in contact with the store for `forMs` without a gap, and still is. */
   isHealthy(node: string, forMs: number): boolean {
     const now = this.clock.now();
-    const heardSince = this.#heardSince.get(node) ?? now;
-    const contact = this.#contact.get(node);
-    if (contact === undefined || now - heardSince < forMs || now - contact.since < forMs) return false;
-    return now - contact.at <= this.heartbeatIntervalMs && contact.ageMs <= this.heartbeatIntervalMs;
+    const aliveSince = this.#aliveSince.get(node) ?? now;
+    const contact = this.#contactByNode.get(node);
+    if (contact === undefined || now - aliveSince < forMs || now - contact.contactSince < forMs) return false;
+    return now - contact.receivedAt <= this.heartbeatIntervalMs && contact.ageMs <= this.heartbeatIntervalMs;
   }
 
-  /** Whether any peer that is heard has contact with the state service. */
+  /** Whether any controller that is alive has contact with the store. */
   anyHasContact(now: number): boolean {
-    return [...this.#contact].some(
-      ([node, c]) =>
-        this.link.alive(node) && now - c.at < this.heartbeatIntervalMs * 2 && c.ageMs < this.heartbeatIntervalMs,
+    return [...this.#contactByNode].some(
+      ([node, { receivedAt, ageMs }]) =>
+        this.link.alive(node) &&
+        now - receivedAt < this.heartbeatIntervalMs * CONTACT_INTERVALS &&
+        ageMs < this.heartbeatIntervalMs,
     );
   }
 }
