--- a/packages/clients/src/cloud.ts
+++ b/packages/clients/src/cloud.ts
@@ -1,8 +1,11 @@
+// The client of the cloud's API (PROTOCOL, "Controller nodes -> cloud").
 import {
   CLOUD_PATHS,
   type CloudMachine,
   decode,
   encode,
+  errorMessage,
+  GingerlockError,
   machineListOf,
   type MachineTypeList,
   readMachineTypes,
@@ -14,38 +17,59 @@
 } from '@gingerlock/wire';
 import type { Http } from './ports';
 
+/** The outcome of a rental request. */
 export type RentResult =
   | { readonly kind: 'rented'; readonly names: string[] }
   | { readonly kind: 'no capacity' }
-  /** To be asked again under the same name. */
+  /** It may have been executed; repeated under the same request id, it is executed once. */
   | { readonly kind: 'unknown'; readonly why: string };
 
-export class CloudRequestError extends Error {
-  constructor(what: string, status: number) {
-    super(`${what}: status ${status}`);
-    this.name = 'CloudRequestError';
+/** The cloud answered a request with a status other than 200. */
+export class CloudRequestError extends GingerlockError {
+  override readonly name = 'CloudRequestError';
+  override readonly code = 'CLOUD_REQUEST_FAILED';
+
+  /**
+   * @param request what was requested, as method and path
+   * @param status the status of the response
+   */
+  constructor(
+    request: string,
+    readonly status: number,
+  ) {
+    super(`cloud: ${request}: status ${status}, expected 200`);
   }
 }
 
+/** The cloud's API. Methods that read throw `NoResponseError`, `CloudRequestError` or `MalformedMessageError`. */
 export class Cloud {
+  /**
+   * @param addr `HOST:PORT` of the cloud's API
+   * @param timeoutMs time limit of each request
+   */
   constructor(
     readonly http: Http,
     readonly addr: string,
     readonly timeoutMs: number,
   ) {}
 
+  /** The body of a response with status 200. */
+  async #get(path: string): Promise<unknown> {
+    const response = await this.http(this.addr, 'GET', path, null, this.timeoutMs);
+    if (response.status !== 200) throw new CloudRequestError(`GET ${path}`, response.status);
+    return decode(response.body);
+  }
+
+  /** The machine types that the cloud offers, at their current prices. */
   async types(): Promise<MachineTypeList> {
-    const answer = await this.http(this.addr, 'GET', CLOUD_PATHS.types, null, this.timeoutMs);
-    if (answer.status !== 200) throw new CloudRequestError('machine types', answer.status);
-    return readMachineTypes(decode(answer.body));
+    return readMachineTypes(await this.#get(CLOUD_PATHS.types));
   }
 
+  /** All machines that are rented, page after page. The list lags behind (`cloud.list_lag_s` in the settings). */
   async list(): Promise<CloudMachine[]> {
     const machines: CloudMachine[] = [];
     for (let after = '', more = true; more;) {
-      const answer = await this.http(this.addr, 'GET', CLOUD_PATHS.list(after), null, this.timeoutMs);
-      if (answer.status !== 200) throw new CloudRequestError('machine list', answer.status);
-      const page = machineListOf(decode(answer.body));
+      const page = machineListOf(await this.#get(CLOUD_PATHS.list(after)));
       machines.push(...page.machines);
       after = page.machines.at(-1)?.name ?? after;
       more = page.more && page.machines.length > 0;
@@ -53,22 +77,23 @@
     return machines;
   }
 
+  /** Rents machines. Never rejects: an outcome that is not known is a result, to be settled by repeating the request. */
   async rent(request: RentRequest): Promise<RentResult> {
     try {
-      const answer = await this.http(this.addr, 'POST', CLOUD_PATHS.rent, encode(rentMap(request)), this.timeoutMs);
-      if (answer.status === 200) return { kind: 'rented', names: rentedNamesOf(decode(answer.body)) };
-      if (answer.status === 503 && JSON.stringify(decode(answer.body)).includes('no capacity'))
+      const response = await this.http(this.addr, 'POST', CLOUD_PATHS.rent, encode(rentMap(request)), this.timeoutMs);
+      if (response.status === 200) return { kind: 'rented', names: rentedNamesOf(decode(response.body)) };
+      if (response.status === 503 && JSON.stringify(decode(response.body)).includes('no capacity'))
         return { kind: 'no capacity' };
-      return { kind: 'unknown', why: `status ${answer.status}` };
+      return { kind: 'unknown', why: `status ${response.status}` };
     } catch (error) {
-      return { kind: 'unknown', why: error instanceof Error ? error.message : 'failed' };
+      return { kind: 'unknown', why: errorMessage(error, 'failed') };
     }
   }
 
-  /** True: they are gone, with everything on them. */
+  /** Returns at most `RETURN_MOST` machines, the first ones. True: they are gone, with everything on them. */
   async scaleIn(names: readonly string[]): Promise<boolean> {
     const body = encode(returnMap(names.slice(0, RETURN_MOST)));
-    const answer = await this.http(this.addr, 'POST', CLOUD_PATHS.giveBack, body, this.timeoutMs);
-    return answer.status === 200;
+    const response = await this.http(this.addr, 'POST', CLOUD_PATHS.giveBack, body, this.timeoutMs);
+    return response.status === 200;
   }
 }
--- a/packages/clients/src/http.ts
+++ b/packages/clients/src/http.ts
@@ -1,37 +1,39 @@
-import { Agent, request } from 'node:http';
+// The HTTP port over node:http.
+import { Agent, type IncomingMessage, request } from 'node:http';
 import { ResponseTooLargeError, type Http, type HttpResponse, NoResponseError } from './ports';
 
 /**
- * Largest answer that is read. A page of a list holds 512 KiB; changes to follow have no limit, and when they are more than this, all is
- * read again by pages.
+ * Largest response that is read. A page of a list has at most 512 KiB. The changes that `/follow` returns have no limit;
+ * if they exceed this, everything is read again by pages.
  */
 const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
-/** A connection that is kept is given up for that to another host once it has not been used for so long. */
+/** A host that has not been used for this long gives up its keep-alive connections to another one. */
 const KEEP_ALIVE_IDLE_MS = 30_000;
 
-/** To how many hosts connections are kept where nothing else is said. */
+/** To how many hosts connections are kept alive by default. */
 const KEEP_ALIVE_HOSTS = 72;
 
-/** Chooses the hosts to which connections are kept: with thousands of machines they would take every socket that there is. */
+/** Chooses the hosts to which connections are kept alive: kept to thousands of machines, they would use up all sockets. */
 export class KeepAliveHosts {
-  /** By host: when it was last asked for, the longest ago first. */
-  readonly #usedAt = new Map<string, number>();
+  /** By host: when it was last used, in steady milliseconds; the least recently used first. */
+  readonly #usedAtByHost = new Map<string, number>();
 
+  /** @param maxHosts how many hosts may keep connections at a time */
   constructor(
-    readonly most: number,
+    readonly maxHosts: number,
     readonly now: () => number = () => performance.now(),
   ) {}
 
-  /** Whether the connection of a request that begins now is to be kept. */
+  /** Notes a request that begins now; returns whether its connection is to be kept alive. */
   use(host: string): boolean {
     const now = this.now();
-    if (!this.#usedAt.delete(host) && this.#usedAt.size >= this.most) {
-      const [oldest, usedAt] = this.#usedAt.entries().next().value ?? [null, now];
+    if (!this.#usedAtByHost.delete(host) && this.#usedAtByHost.size >= this.maxHosts) {
+      const [oldest, usedAt] = this.#usedAtByHost.entries().next().value ?? [null, now];
       if (oldest === null || now - usedAt < KEEP_ALIVE_IDLE_MS) return false;
-      this.#usedAt.delete(oldest);
+      this.#usedAtByHost.delete(oldest);
     }
-    this.#usedAt.set(host, now);
+    this.#usedAtByHost.set(host, now);
     return true;
   }
 }
@@ -41,15 +43,31 @@
  * memory that a controller does not have.
  */
 export function nodeHttp(keepAliveHosts: number = KEEP_ALIVE_HOSTS): Http {
-  const keeping = new Agent({ keepAlive: true, maxSockets: 8, maxFreeSockets: 4, scheduling: 'lifo' });
-  const closing = new Agent({ keepAlive: false, maxSockets: 8 });
-  const kept = new KeepAliveHosts(keepAliveHosts);
+  const keepAliveAgent = new Agent({ keepAlive: true, maxSockets: 8, maxFreeSockets: 4, scheduling: 'lifo' });
+  const closingAgent = new Agent({ keepAlive: false, maxSockets: 8 });
+  const hosts = new KeepAliveHosts(keepAliveHosts);
   return (addr, method, path, body, timeoutMs) =>
     new Promise<HttpResponse>((resolve, reject) => {
+      const what = `${method} ${addr}${path}`;
+      const onResponse = (res: IncomingMessage): void => {
+        const chunks: Buffer[] = [];
+        let receivedBytes = 0;
+        res.on('data', (chunk: Buffer) => {
+          receivedBytes += chunk.length;
+          if (receivedBytes > MAX_RESPONSE_BYTES) req.destroy(new ResponseTooLargeError(what, MAX_RESPONSE_BYTES));
+          else chunks.push(chunk);
+        });
+        res.on('end', () => {
+          clearTimeout(timer);
+          resolve({ status: res.statusCode ?? 0, body: chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks) });
+        });
+        res.on('error', fail);
+        res.on('aborted', () => fail(new NoResponseError(`${what}: connection closed within the response`)));
+      };
       const colon = addr.lastIndexOf(':');
       const req = request(
         {
-          agent: kept.use(addr) ? keeping : closing,
+          agent: hosts.use(addr) ? keepAliveAgent : closingAgent,
           host: addr.slice(0, colon),
           port: Number(addr.slice(colon + 1)),
           method,
@@ -57,27 +75,17 @@
           headers:
             body === null ? {} : { 'content-type': 'application/msgpack', 'content-length': String(body.length) },
         },
-        (res) => {
-          const chunks: Buffer[] = [];
-          let size = 0;
-          res.on('data', (chunk: Buffer) => {
-            size += chunk.length;
-            if (size > MAX_RESPONSE_BYTES) req.destroy(new ResponseTooLargeError(MAX_RESPONSE_BYTES));
-            else chunks.push(chunk);
-          });
-          res.on('end', () => {
-            clearTimeout(timer);
-            resolve({ status: res.statusCode ?? 0, body: chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks) });
-          });
-          res.on('error', fail);
-          res.on('aborted', () => fail(new NoResponseError('answer cut off')));
-        },
+        onResponse,
       );
       const fail = (error: Error): void => {
         clearTimeout(timer);
-        reject(error instanceof NoResponseError ? error : new NoResponseError(error.message));
+        const isTyped = error instanceof NoResponseError;
+        reject(isTyped ? error : new NoResponseError(`${what}: ${error.message}`, { cause: error }));
       };
-      const timer = setTimeout(() => req.destroy(new NoResponseError('no answer in time')), timeoutMs);
+      const timer = setTimeout(
+        () => req.destroy(new NoResponseError(`${what}: no complete response within ${timeoutMs} ms`)),
+        timeoutMs,
+      );
       req.on('error', fail);
       req.end(body ?? undefined);
     });
--- a/packages/clients/src/index.ts
+++ b/packages/clients/src/index.ts
@@ -1,3 +1,4 @@
+// What a controller needs of the world outside: time, HTTP, the cloud and the key-value store.
 export * from './ports';
 export * from './http';
 export * from './rate-limiter';
--- a/packages/clients/src/ports.ts
+++ b/packages/clients/src/ports.ts
@@ -1,21 +1,28 @@
-/** What a controller needs of the world; the testkit has stand-ins of it in simulated time. */
+// The ports through which a controller reaches the world: time, chance and HTTP. The testkit implements them in simulated time.
+import { GingerlockError } from '@gingerlock/wire';
+
+/** Time and randomness. */
 export interface Clock {
   /** Steady time, in milliseconds. */
   now(): number;
   /** Time of day, in milliseconds. */
   wall(): number;
-  /** Calls back once after so many milliseconds; returns a function that gives that up. */
+  /** Calls back once after `ms` milliseconds; returns a function that cancels the call. */
   after(ms: number, callback: () => void): () => void;
-  /** From 0 up to but excluding 1. */
+  /** A random number from 0 up to but excluding 1. */
   random(): number;
 }
 
+/** A complete response. */
 export interface HttpResponse {
   readonly status: number;
   readonly body: Buffer;
 }
 
-/** One HTTP request. Rejects with `NoAnswer` if no complete answer came in time: it may have been carried out. */
+/**
+ * Sends one HTTP request to `addr` (`HOST:PORT`) and resolves with the response, whatever its status.
+ * Rejects with a `NoResponseError` if no complete response arrives in time: the request may have been executed.
+ */
 export type Http = (
   addr: string,
   method: 'GET' | 'POST' | 'DELETE',
@@ -24,21 +31,27 @@
   timeoutMs: number,
 ) => Promise<HttpResponse>;
 
-export class NoResponseError extends Error {
-  constructor(reason: string) {
-    super(reason);
-    this.name = 'NoResponseError';
-  }
+/** A request without a complete response; it may have been executed. */
+export class NoResponseError extends GingerlockError {
+  override readonly name: string = 'NoResponseError';
+  override readonly code: 'NO_RESPONSE' | 'RESPONSE_TOO_LARGE' = 'NO_RESPONSE';
 }
 
-/** The answer is larger than is read: asked again, it would be as large. */
+/** The response is larger than is read. Repeating the request would bring one as large. */
 export class ResponseTooLargeError extends NoResponseError {
-  constructor(bytes: number) {
-    super(`answer of more than ${bytes} bytes`);
-    this.name = 'ResponseTooLargeError';
+  override readonly name = 'ResponseTooLargeError';
+  override readonly code = 'RESPONSE_TOO_LARGE';
+
+  /**
+   * @param request what was requested, as `METHOD HOST:PORT/PATH`
+   * @param maxBytes the largest response that is read
+   */
+  constructor(request: string, maxBytes: number) {
+    super(`${request}: response of more than ${maxBytes} bytes`);
   }
 }
 
+/** Resolves after `ms` milliseconds of the clock. */
 export function sleep(clock: Clock, ms: number): Promise<void> {
   return new Promise((resolve) => {
     clock.after(ms, resolve);
--- a/packages/clients/test/http.test.ts
+++ b/packages/clients/test/http.test.ts
@@ -3,7 +3,8 @@
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { test } from 'node:test';
-import { KeepAliveHosts, nodeHttp } from '../src/index';
+import { GingerlockError } from '@gingerlock/wire';
+import { KeepAliveHosts, nodeHttp, NoResponseError, ResponseTooLargeError } from '../src/index';
 
 test('connections are kept to so many hosts only, however many are asked', async () => {
   const server = createServer((_request, response) => response.end('x')).listen(0, '127.0.0.1');
@@ -53,3 +54,39 @@
     [true, false, true],
   );
 });
+
+test('a request without a response is rejected with what was requested, a stable code and the cause', async () => {
+  const server = createServer((request, response) => {
+    if (request.url === '/huge') response.end(Buffer.alloc(9 * 1024 * 1024));
+    else if (request.url === '/cut')
+      response.writeHead(200, { 'content-length': '10' }).write('x', () => response.destroy());
+  }).listen(0, '127.0.0.1');
+  await once(server, 'listening');
+  const addr = `127.0.0.1:${(server.address() as AddressInfo).port}`;
+  const http = nodeHttp();
+  const failureOf = async (path: string): Promise<NoResponseError> => {
+    const error: unknown = await http(addr, 'GET', path, null, 300).then(
+      () => null,
+      (reason: unknown) => reason,
+    );
+    assert.ok(error instanceof NoResponseError && error instanceof GingerlockError, String(error));
+    assert.ok(error.message.startsWith(`GET ${addr}${path}: `), error.message);
+    return error;
+  };
+  try {
+    const silent = await failureOf('/silent');
+    assert.deepEqual([silent.name, silent.code, silent.cause], ['NoResponseError', 'NO_RESPONSE', undefined]);
+    assert.match(silent.message, /no complete response within 300 ms$/);
+    const cut = await failureOf('/cut');
+    assert.equal(cut.code, 'NO_RESPONSE');
+    const huge = await failureOf('/huge');
+    assert.ok(huge instanceof ResponseTooLargeError);
+    assert.deepEqual([huge.name, huge.code], ['ResponseTooLargeError', 'RESPONSE_TOO_LARGE']);
+  } finally {
+    server.closeAllConnections();
+    server.close();
+  }
+  const refused = await failureOf('/');
+  assert.equal(refused.code, 'NO_RESPONSE');
+  assert.equal((refused.cause as NodeJS.ErrnoException).code, 'ECONNREFUSED');
+});
--- a/packages/wire/src/index.ts
+++ b/packages/wire/src/index.ts
@@ -1,3 +1,4 @@
+export * from './errors';
 export * from './codec';
 export * from './users';
 export * from './workers';
