--- a/packages/daemon/src/settings/features.ts
+++ b/packages/daemon/src/settings/features.ts
@@ -1,10 +1,13 @@
-// What is built on the scheduler and switched on by name in a file of its own (deploy/features.yaml). Absent or off, nothing differs.
+// The features that are built on the scheduler and switched on by name in a file of their own (deploy/features.yaml): its
+// schema, and the mapping of its keys to the code's names. Without the file, or with a feature off, nothing differs.
 import { BORROWING_DEFAULTS, type BorrowingSettings } from '@gingerlock/borrowing';
 import { REPLICA_GROUP_DEFAULTS, type ReplicaGroupSettings } from '@gingerlock/replica-groups';
 import { type Static, Type } from '@sinclair/typebox';
 import type { ClusterConfig } from '@gingerlock/core';
+import type { PlatformFile } from './platform-settings';
+import { checkSettings, SettingsError } from './settings-error';
 
-export const FeaturesFile = Type.Object(
+const FeaturesFile = Type.Object(
   {
     borrowing: Type.Optional(
       Type.Object(
@@ -32,29 +35,46 @@
   { additionalProperties: false },
 );
 
-type FeaturesInput = Static<typeof FeaturesFile>;
+/** The file of features as it is written. */
+type FeaturesFile = Static<typeof FeaturesFile>;
 
+type Teams = PlatformFile['facts']['teams'];
+
+/** The settings of each feature; null: it is off. */
 export interface Features {
-  /** Null: off. */
   readonly borrowing: BorrowingSettings | null;
-  /** Null: off. */
   readonly replicaGroups: ReplicaGroupSettings | null;
 }
 
-export const NO_FEATURES: Features = { borrowing: null, replicaGroups: null };
+/**
+ * Checks the file of features against its schema and against the platform's settings; null and undefined are an empty file.
+ * @param knownClasses the classes of jobs that the platform names; null: it names none
+ * @throws SettingsError naming the first key that is wrong
+ */
+export function checkFeatures(value: unknown, teams: Teams, knownClasses: ReadonlySet<string> | null): Features {
+  const file = checkSettings(FeaturesFile, value ?? {}, 'features');
+  const features = featuresOf(file);
+  const declaredClasses = features.replicaGroups === null ? [] : file.replica_groups!.classes;
+  const classFault = findClassFault(declaredClasses, knownClasses);
+  if (classFault !== null) throw new SettingsError(`features: ${classFault}`);
+  const teamFault = features.borrowing === null ? null : findTeamFault(teams);
+  if (teamFault !== null) throw new SettingsError(`settings: ${teamFault}, which borrowing can not work with`);
+  return features;
+}
 
-export function featuresOf({ borrowing, replica_groups: replicaGroups }: FeaturesInput): Features {
+/** Maps the file of features to the code's names, and fills in the defaults. */
+export function featuresOf({ borrowing, replica_groups: replicaGroups }: FeaturesFile): Features {
   return {
     borrowing: borrowing?.enabled === true ? borrowingOf(borrowing) : null,
     replicaGroups: replicaGroups?.enabled === true ? replicaGroupsOf(replicaGroups) : null,
   };
 }
 
-function borrowingOf({ max_share: maxShare }: NonNullable<FeaturesInput['borrowing']>): BorrowingSettings {
+function borrowingOf({ max_share: maxShare }: NonNullable<FeaturesFile['borrowing']>): BorrowingSettings {
   return { maxShare: maxShare ?? BORROWING_DEFAULTS.maxShare };
 }
 
-function replicaGroupsOf(file: NonNullable<FeaturesInput['replica_groups']>): ReplicaGroupSettings {
+function replicaGroupsOf(file: NonNullable<FeaturesFile['replica_groups']>): ReplicaGroupSettings {
   return {
     classes: new Set(file.classes),
     holdReports: file.hold_reports ?? REPLICA_GROUP_DEFAULTS.holdReports,
@@ -64,20 +84,19 @@
   };
 }
 
-/** What is wrong with the classes that are declared as replica groups, as path and reason; null: nothing. `known`: null: not listed. */
-export function unfitClasses(classes: readonly string[], known: ReadonlySet<string> | null): string | null {
+/** What is wrong with the classes that are declared as replica groups, as path and reason; null: nothing. */
+function findClassFault(classes: readonly string[], knownClasses: ReadonlySet<string> | null): string | null {
   for (const [i, name] of classes.entries()) {
     const path = `replica_groups.classes.${i}`;
     if (classes.indexOf(name) !== i) return `${path}: ${name} stands twice`;
-    if (known !== null && !known.has(name)) return `${path}: the platform's settings have no class ${name}`;
+    if (knownClasses !== null && !knownClasses.has(name))
+      return `${path}: the platform's settings have no class ${name}`;
   }
   return null;
 }
 
-/** What of the platform's settings borrowing can not work with, as path and reason; null: nothing. */
-export function unfitForBorrowing(
-  teams: readonly { name: string; cpus: number; cpus_max: number; gpus: number; gpus_max: number }[],
-): string | null {
+/** Which of the platform's teams borrowing can't work with, as path and reason; null: none. */
+function findTeamFault(teams: Teams): string | null {
   const names = new Set<string>();
   for (const [i, team] of teams.entries()) {
     const path = `facts.teams.${i}`;
@@ -89,7 +108,7 @@
   return null;
 }
 
-/** What all teams together are guaranteed. */
+/** The GPUs that all teams together are guaranteed. */
 export function guaranteedGpus({ teams }: ClusterConfig): number {
   return [...teams.values()].reduce((sum, team) => sum + team.gpus, 0);
 }
