--- a/packages/daemon/src/cli/borrowing-command.ts
+++ b/packages/daemon/src/cli/borrowing-command.ts
@@ -1,21 +1,28 @@
-// The subcommand `gingerlock borrowing`.
+// The subcommand `gingerlock borrowing`: shows operators what teams lend and borrow, read from the logs of controllers.
 import { createReadStream } from 'node:fs';
 import type { Readable } from 'node:stream';
+import { errorMessage } from '@gingerlock/wire';
 import { formatBorrowing, readBorrowing } from './borrowing-report';
 
-/** Exit statuses of commands that ask for something. */
+/** Exit statuses of commands that query. `refused`: there is nothing to show; `usage`: an option can't be used. */
 export const EXIT = { done: 0, refused: 1, usage: 2 } as const;
 
+/** The options of the command line. */
 export interface BorrowingOptions {
   /** File with the logs; undefined: standard input. */
   readonly log?: string;
+  /** Show the account of this team alone. */
   readonly team?: string;
+  /** Print one JSON object instead of tables. */
   readonly json?: boolean;
 }
 
+/** What a command prints, and its exit status. */
 export interface CommandOutput {
   readonly status: (typeof EXIT)[keyof typeof EXIT];
+  /** For standard output. */
   readonly out: string;
+  /** For standard error; empty unless the command failed. */
   readonly error: string;
 }
 
@@ -23,7 +30,7 @@
   return { status, out: '', error: `gingerlock: ${reason}\n` };
 }
 
-/** Shows accounts and reclaims as the logs have them. */
+/** Shows accounts and reclaims as the logs have them. Never rejects: failures are part of the output. */
 export async function borrowingCommand(options: BorrowingOptions, standardInput: Readable): Promise<CommandOutput> {
   const { log, team, json } = options;
   const input = log === undefined ? standardInput : createReadStream(log);
@@ -39,6 +46,6 @@
       error: '',
     };
   } catch (error) {
-    return failed(EXIT.usage, `--log: ${error instanceof Error ? error.message : 'can not be read'}`);
+    return failed(EXIT.usage, `--log: ${errorMessage(error, 'can not be read')}`);
   }
 }
--- a/packages/daemon/src/cli/borrowing-report.ts
+++ b/packages/daemon/src/cli/borrowing-report.ts
@@ -1,8 +1,9 @@
-// What operators are shown of borrowing: accounts and reclaims, read from the lines that controllers write to their logs.
+// What operators are shown of borrowing: accounts and reclaims, read from the lines that controllers write to their logs. The
+// messages and fields read here are written by `LeaderBorrowing` and `OwnerReclaims`; logs of all versions have the same ones.
 import { createInterface } from 'node:readline';
 import type { Readable } from 'node:stream';
 
-/** How one team stood when the leader last said so. */
+/** The latest account of a team, in GPUs, as the leader logged it; see `TeamAccount`. */
 export interface AccountLine {
   readonly team: string;
   readonly guarantee: number;
@@ -14,18 +15,23 @@
   readonly lent: number;
 }
 
+/** The latest state of a reclaim. */
 export interface ReclaimLine {
+  /** Key of its record in the key-value store. */
   readonly reclaim: string;
+  /** A `ReclaimState`. */
   readonly state: string;
   readonly job: string;
   readonly machine: string;
+  /** How many tasks get its capacity. */
   readonly tasks: number;
+  /** A `ReclaimReason`. */
   readonly reason: string;
   /** Why it was withdrawn; empty: it was not. */
   readonly why: string;
 }
 
-/** Why a job got nothing of others. */
+/** Why nothing was reclaimed for a job, as the leader logged it last. */
 export interface RefusalLine {
   readonly team: string;
   readonly job: string;
@@ -33,17 +39,28 @@
   readonly why: string;
 }
 
+/** Everything that the logs say about borrowing. */
 export interface BorrowingReport {
-  /** Time of day (ms) of the newest line; null: none has one. */
+  /** Time of day (ms) of the newest line about borrowing; null: there is no such line. */
   readonly asOf: number | null;
   readonly accounts: readonly AccountLine[];
   readonly reclaims: readonly ReclaimLine[];
   readonly refusals: readonly RefusalLine[];
 }
 
+/** A line, and the time of day (ms) at which it was written. */
+interface Timed<L> {
+  readonly line: L;
+  readonly time: number;
+}
+
 type Fields = Readonly<Record<string, unknown>>;
 
-const RECLAIM = 'reclaim ';
+/** Messages about reclaims have the state after this. */
+const RECLAIM_PREFIX = 'reclaim ';
+
+/** What `AccountLine` has besides the team, under the names that the log uses. */
+const ACCOUNT_FIGURES = ['guarantee', 'limit', 'runs', 'mayRun', 'waits', 'borrowed', 'lent'] as const;
 
 function textOf(fields: Fields, name: string): string {
   const value = fields[name];
@@ -55,7 +72,7 @@
   return typeof value === 'number' ? value : 0;
 }
 
-/** Null: the line is none that a controller writes. */
+/** The fields of a line of a log; null: the line is none that a controller writes. */
 function parseLine(line: string): Fields | null {
   try {
     const value: unknown = JSON.parse(line);
@@ -65,13 +82,14 @@
   }
 }
 
-/** Collects lines of the logs of any controllers, in the order of their times. */
+/** Collects lines of the logs of any controllers, in any order: of each team, job and reclaim the latest line counts. */
 export class BorrowingReader {
   #asOf: number | null = null;
-  readonly #accounts = new Map<string, { readonly line: AccountLine; readonly time: number }>();
-  readonly #reclaims = new Map<string, { readonly line: ReclaimLine; readonly time: number }>();
-  readonly #refusals = new Map<string, { readonly line: RefusalLine; readonly time: number }>();
+  readonly #accountByTeam = new Map<string, Timed<AccountLine>>();
+  readonly #reclaimById = new Map<string, Timed<ReclaimLine>>();
+  readonly #refusalByJob = new Map<string, Timed<RefusalLine>>();
 
+  /** Takes one line of a log; lines that aren't about borrowing are skipped. */
   add(text: string): void {
     const fields = parseLine(text);
     if (fields === null) return;
@@ -79,29 +97,29 @@
     const time = numberOf(fields, 'time');
     if (message === 'team account') this.#addAccount(fields, time);
     else if (message === 'nothing reclaimed') this.#addRefusal(fields, time);
-    else if (message.startsWith(RECLAIM)) this.#addReclaim(fields, message.slice(RECLAIM.length), time);
+    else if (message.startsWith(RECLAIM_PREFIX)) this.#addReclaim(fields, message.slice(RECLAIM_PREFIX.length), time);
     else return;
     this.#asOf = Math.max(this.#asOf ?? 0, time);
   }
 
   #addAccount(fields: Fields, time: number): void {
     const team = textOf(fields, 'team');
-    if (time < (this.#accounts.get(team)?.time ?? 0)) return;
-    const figures = ['guarantee', 'limit', 'runs', 'mayRun', 'waits', 'borrowed', 'lent'] as const;
-    const line = { team, ...Object.fromEntries(figures.map((name) => [name, numberOf(fields, name)])) } as AccountLine;
-    this.#accounts.set(team, { line, time });
+    if (time < (this.#accountByTeam.get(team)?.time ?? 0)) return;
+    const figures = Object.fromEntries(ACCOUNT_FIGURES.map((name) => [name, numberOf(fields, name)]));
+    const line = { team, ...figures } as AccountLine;
+    this.#accountByTeam.set(team, { line, time });
   }
 
   #addRefusal(fields: Fields, time: number): void {
     const job = textOf(fields, 'job');
-    if (time < (this.#refusals.get(job)?.time ?? 0)) return;
+    if (time < (this.#refusalByJob.get(job)?.time ?? 0)) return;
     const line = { team: textOf(fields, 'team'), job, tasks: numberOf(fields, 'tasks'), why: textOf(fields, 'why') };
-    this.#refusals.set(job, { line, time });
+    this.#refusalByJob.set(job, { line, time });
   }
 
   #addReclaim(fields: Fields, state: string, time: number): void {
     const reclaim = textOf(fields, 'reclaim');
-    const known = this.#reclaims.get(reclaim);
+    const known = this.#reclaimById.get(reclaim);
     if (known !== undefined && time < known.time) return;
     const line: ReclaimLine = {
       reclaim,
@@ -112,52 +130,63 @@
       reason: textOf(fields, 'reason') || (known?.line.reason ?? ''),
       why: textOf(fields, 'why'),
     };
-    this.#reclaims.set(reclaim, { line, time });
+    this.#reclaimById.set(reclaim, { line, time });
   }
 
+  /** What the lines so far say; with a team, accounts and refusals of that team alone. */
   report(team: string | null = null): BorrowingReport {
-    const isAsked = (entry: { readonly team: string }): boolean => team === null || entry.team === team;
+    const isOfTeam = (entry: { readonly team: string }): boolean => team === null || entry.team === team;
     return {
       asOf: this.#asOf,
-      accounts: [...this.#accounts.values()].map(({ line }) => line).filter(isAsked),
-      reclaims: [...this.#reclaims.values()].map(({ line }) => line),
-      refusals: [...this.#refusals.values()].map(({ line }) => line).filter(isAsked),
+      accounts: [...this.#accountByTeam.values()].map(({ line }) => line).filter(isOfTeam),
+      reclaims: [...this.#reclaimById.values()].map(({ line }) => line),
+      refusals: [...this.#refusalByJob.values()].map(({ line }) => line).filter(isOfTeam),
     };
   }
 }
 
+/** Reads a whole log. Rejects if the input can't be read. */
 export async function readBorrowing(input: Readable): Promise<BorrowingReader> {
   const reader = new BorrowingReader();
   for await (const line of createInterface({ input, crlfDelay: Infinity })) reader.add(line);
   return reader;
 }
 
-/** Columns that are as wide as their widest cell. */
+/** A table whose columns are as wide as their widest cell. */
 function table(header: readonly string[], rows: readonly (readonly (string | number)[])[]): string {
   const cells = [header, ...rows].map((row) => row.map(String));
   const widths = header.map((_, column) => Math.max(...cells.map((row) => row[column]!.length)));
   return cells
     .map((row) =>
       row
-        .map((cell, i) => cell.padEnd(widths[i]!))
+        .map((cell, column) => cell.padEnd(widths[column]!))
         .join('  ')
         .trimEnd(),
     )
     .join('\n');
 }
 
+/** The report as tables, for a terminal. */
 export function formatBorrowing({ asOf, accounts, reclaims, refusals }: BorrowingReport): string {
-  const parts = [`as of ${asOf === null ? 'an unknown time' : new Date(asOf).toISOString()}, in GPUs`];
+  const sections = [`as of ${asOf === null ? 'an unknown time' : new Date(asOf).toISOString()}, in GPUs`];
   const header = ['team', 'guarantee', 'limit', 'runs', 'may run', 'waits', 'borrowed', 'lent'];
-  const figures = accounts.map((a) => [a.team, a.guarantee, a.limit, a.runs, a.mayRun, a.waits, a.borrowed, a.lent]);
-  parts.push(table(header, figures));
+  const figures = accounts.map((account) => [account.team, ...ACCOUNT_FIGURES.map((name) => account[name])]);
+  sections.push(table(header, figures));
   if (reclaims.length > 0) {
-    const rows = reclaims.map((r) => [r.reclaim, r.state, r.job, r.machine, r.tasks, r.reason, r.why]);
-    parts.push(table(['reclaim', 'state', 'job', 'machine', 'tasks', 'reason', 'why'], rows));
+    const rows = reclaims.map(({ reclaim, state, job, machine, tasks, reason, why }) => [
+      reclaim,
+      state,
+      job,
+      machine,
+      tasks,
+      reason,
+      why,
+    ]);
+    sections.push(table(['reclaim', 'state', 'job', 'machine', 'tasks', 'reason', 'why'], rows));
   }
   if (refusals.length > 0) {
-    const rows = refusals.map((r) => [r.team, r.job, r.tasks, r.why]);
-    parts.push(table(['team', 'job', 'tasks', 'why nothing was reclaimed'], rows));
+    const rows = refusals.map(({ team, job, tasks, why }) => [team, job, tasks, why]);
+    sections.push(table(['team', 'job', 'tasks', 'why nothing was reclaimed'], rows));
   }
-  return `${parts.join('\n\n')}\n`;
+  return `${sections.join('\n\n')}\n`;
 }
--- a/packages/daemon/test/borrowing-command.test.ts
+++ b/packages/daemon/test/borrowing-command.test.ts
@@ -1,5 +1,6 @@
 // `gingerlock borrowing`: what it prints of a log, and how it ends.
 import assert from 'node:assert/strict';
+import { readFileSync } from 'node:fs';
 import { Readable } from 'node:stream';
 import { test } from 'node:test';
 import { runScenario, World } from '@gingerlock/testkit';
@@ -81,6 +82,24 @@
   assert.deepEqual(stateOf(reversed), stateOf(straight));
 });
 
+/** Lines that one controller of version 6c8b998 wrote on such a day, and what that version's command printed of them. */
+const RECORDED_LOG = 'packages/daemon/test/borrowing-log-of-6c8b998.jsonl';
+const RECORDED_OUTPUT = 'packages/daemon/test/borrowing-log-of-6c8b998.expected.txt';
+
+test('a log that the version before wrote gives to the byte what that version printed of it', async () => {
+  const lines = readFileSync(RECORDED_LOG, 'utf8').trimEnd().split('\n');
+  const expected = readFileSync(RECORDED_OUTPUT, 'utf8');
+  assert.deepEqual(await run(lines), { status: 0, out: expected, error: '' });
+  assert.deepEqual(await run([], { log: RECORDED_LOG }), { status: 0, out: expected, error: '' });
+
+  // Its lines on withdrawn reclaims name the reason.
+  const [reclaim, job, machine] = ['g/b/1/3-5', 'j-000007', 'm-000005'];
+  const detail = { reclaim, job, machine, tasks: 1, reason: 'priority', why: 'its room was taken' };
+  const withdrawn = { level: 30, time: 1764700023300, node: 'stall-0', ...detail, msg: 'reclaim withdrawn' };
+  const { out } = await run([...lines, JSON.stringify(withdrawn)], { json: true });
+  assert.deepEqual((JSON.parse(out) as BorrowingReport).reclaims.at(-1), { ...detail, state: 'withdrawn' });
+});
+
 test('a log without a line about borrowing, an unknown team and a file that is not there end with their status and one line', async () => {
   const account = JSON.stringify({ time: 5, msg: 'team account', team: 'red', guarantee: 4 });
   const cases: [Promise<CommandOutput>, number, RegExp][] = [
