--- a/packages/borrowing/src/accounts.ts
+++ b/packages/borrowing/src/accounts.ts
@@ -1,4 +1,4 @@
-// What each team uses, lends and borrows, in cores and accelerators.
+// What each team uses, lends and borrows, in CPUs and GPUs.
 import {
   type Resources,
   type ClusterConfig,
@@ -14,37 +14,39 @@
 import { parseTaskName } from '@gingerlock/wire';
 import type { PartitionClaims } from './claims';
 
-/** Sums of decimal amounts are compared with this much slack. */
-const EPSILON = 1e-6;
+/** Sums of decimal amounts are compared with this tolerance. */
+const TOLERANCE = 1e-6;
 
-/** How one team stands. */
+/** The use and the demand of one team. What a team uses is known between two bounds, because heartbeats lag behind. */
 export interface TeamAccount {
   readonly team: Team;
-  /** What surely runs and will not be stopped by a reclaim that is decided. */
+  /** Lower bound of its use: what surely runs and no decided reclaim stops. */
   readonly low: Resources;
-  /** What may run: all tasks that are assigned and not finished. */
+  /** Upper bound of its use: all tasks that are assigned and not finished. */
   readonly high: Resources;
-  /** What its tasks that have no room would use besides, within its limit. */
+  /** What its unschedulable tasks would use besides, within its limit. */
   readonly waiting: Resources;
 }
 
-/** The kinds of amounts of which teams are guaranteed something. */
-export const KINDS = ['cpus', 'gpus'] as const;
-export type Kind = (typeof KINDS)[number];
+/** The resources that teams are guaranteed. */
+const GUARANTEED_RESOURCES = ['cpus', 'gpus'] as const;
 
-/** What the team uses beyond its guarantee, or 0. Counted from below. */
-export function borrowed({ team, low }: TeamAccount, kind: Kind): number {
-  return team[kind] > 0 ? Math.max(0, low[kind] - team[kind]) : hasNoGuarantee(team) ? low[kind] : 0;
+/** A resource that teams are guaranteed. */
+export type GuaranteedResource = (typeof GUARANTEED_RESOURCES)[number];
+
+/** What the team surely uses beyond its guarantee. */
+export function borrowed({ team, low }: TeamAccount, resource: GuaranteedResource): number {
+  return team[resource] > 0 ? Math.max(0, low[resource] - team[resource]) : hasNoGuarantee(team) ? low[resource] : 0;
 }
 
-/** What of its guarantee the team leaves to others. Counted from above. */
-export function lent({ team, high }: TeamAccount, kind: Kind): number {
-  return Math.max(0, team[kind] - high[kind]);
+/** What of its guarantee the team surely leaves to others. */
+export function lent({ team, high }: TeamAccount, resource: GuaranteedResource): number {
+  return Math.max(0, team[resource] - high[resource]);
 }
 
 /** What of its guarantee the team can claim: no more than it has work for. */
-export function floorOf({ team, high, waiting }: TeamAccount, kind: Kind): number {
-  return Math.min(team[kind], high[kind] + waiting[kind]);
+function claimableGuarantee({ team, high, waiting }: TeamAccount, resource: GuaranteedResource): number {
+  return Math.min(team[resource], high[resource] + waiting[resource]);
 }
 
 /** Whether the team's use stays within its guarantee with the task. */
@@ -52,16 +54,19 @@
   return countWithinGuarantee(team, high, need) > 0;
 }
 
-/** Whether the team has as much as it can claim of its guarantee without what is stopped. */
-export function canSpare(account: TeamAccount, stopped: Resources): boolean {
-  return KINDS.every(
-    (kind) => stopped[kind] <= 0 || account.low[kind] - stopped[kind] >= floorOf(account, kind) - EPSILON,
+/** Whether the team keeps all of its guarantee that it can claim when `stopped` of it is preempted. */
+export function keepsGuaranteeWithout(account: TeamAccount, stopped: Resources): boolean {
+  return GUARANTEED_RESOURCES.every(
+    (resource) =>
+      stopped[resource] <= 0 ||
+      account.low[resource] - stopped[resource] >= claimableGuarantee(account, resource) - TOLERANCE,
   );
 }
 
 /**
- * By team: GPUs of its guarantee that it has unassigned work for and does not use. A task that has completed uses none, though its
- * record does not say so yet: the room that it left was once taken by a surge, whose replica was then stopped to give it back.
+ * By team: GPUs of its guarantee that it has unassigned work for and does not use. A task that no machine holds any
+ * more uses none, even if it is not recorded as finished yet: work of others that started on its GPUs would have to be
+ * preempted at once.
  */
 export function heldBackGpus(
   clusterConfig: ClusterConfig,
@@ -70,8 +75,8 @@
 ): Map<string, number> {
   const used = new Map<string, number>();
   for (const { held } of claims.flatMap(({ machines }) => machines)) {
-    for (const { task: taskName, stopping } of held) {
-      const name = parseTaskName(taskName);
+    for (const { task, stopping } of held) {
+      const name = parseTaskName(task);
       const job = jobs.get(name?.job ?? '');
       if (name === null || job === undefined || stopping || job.cancelled || job.isFinished(name.index)) continue;
       used.set(job.spec.team, (used.get(job.spec.team) ?? 0) + job.spec.gpus);
@@ -83,18 +88,22 @@
     const tasks = job.unassigned().reduce((sum, [, count]) => sum + count, 0);
     waiting.set(job.spec.team, (waiting.get(job.spec.team) ?? 0) + tasks * job.spec.gpus);
   }
-  const held = new Map<string, number>();
+  const heldBack = new Map<string, number>();
   for (const { name, gpus } of clusterConfig.teams.values()) {
     const missing = Math.min(gpus - (used.get(name) ?? 0), waiting.get(name) ?? 0);
-    if (missing > 0) held.set(name, missing);
+    if (missing > 0) heldBack.set(name, missing);
   }
-  return held;
+  return heldBack;
 }
 
-/** The accounts of all teams, kept up while reclaims are planned. */
+/** The accounts of all teams, kept up to date while reclaims are planned. */
 export class Accounts {
-  readonly #accounts = new Map<string, TeamAccount>();
+  readonly #accountByTeam = new Map<string, TeamAccount>();
 
+  /**
+   * @param surelyRunning by team: what surely runs
+   * @param waiting by team: what is unschedulable
+   */
   constructor(
     clusterConfig: ClusterConfig,
     jobs: Iterable<Job>,
@@ -105,26 +114,27 @@
     for (const team of clusterConfig.teams.values()) {
       const { name } = team;
       const of = (use: ReadonlyMap<string, Resources>): Resources => use.get(name) ?? NO_RESOURCES;
-      this.#accounts.set(name, { team, low: of(surelyRunning), high: of(high), waiting: of(waiting) });
+      this.#accountByTeam.set(name, { team, low: of(surelyRunning), high: of(high), waiting: of(waiting) });
     }
   }
 
-  /** Undefined: no such team in the settings. */
+  /** The account of a team; undefined: the settings have no such team. */
   of(team: string): TeamAccount | undefined {
-    return this.#accounts.get(team);
+    return this.#accountByTeam.get(team);
   }
 
+  /** The accounts of all teams in the settings. */
   all(): readonly TeamAccount[] {
-    return [...this.#accounts.values()];
+    return [...this.#accountByTeam.values()];
   }
 
-  /** A reclaim that stops so much of the team is decided. */
-  stop(team: string, resources: Resources): void {
+  /** Accounts for a decided reclaim that stops these resources of the team. */
+  recordStop(team: string, resources: Resources): void {
     this.#change(team, (account) => ({ ...account, low: subtractResources(account.low, resources) }));
   }
 
-  /** So much that waited is assigned to the room of a reclaim. */
-  assign(team: string, resources: Resources): void {
+  /** Accounts for unschedulable tasks of the team that a decided reclaim gets these resources. */
+  recordAssignment(team: string, resources: Resources): void {
     this.#change(team, (account) => ({
       ...account,
       high: addResources(account.high, resources),
@@ -133,7 +143,7 @@
   }
 
   #change(team: string, change: (account: TeamAccount) => TeamAccount): void {
-    const account = this.#accounts.get(team);
-    if (account !== undefined) this.#accounts.set(team, change(account));
+    const account = this.#accountByTeam.get(team);
+    if (account !== undefined) this.#accountByTeam.set(team, change(account));
   }
 }
--- a/packages/borrowing/src/claims.ts
+++ b/packages/borrowing/src/claims.ts
@@ -1,4 +1,4 @@
-// What the leader is told of the tasks that machines hold: enough to choose which of them a reclaim stops.
+// What owners report to the leader of the tasks that machines hold: enough to choose the victims of reclaims.
 import type { Claim } from '@gingerlock/core';
 
 /** One task that a machine holds. */
@@ -6,28 +6,31 @@
   readonly task: string;
   readonly attempt: number;
   readonly stage: Claim['stage'];
-  /** For how long it has run; 0 while it does not. */
+  /** How long it has run, in milliseconds; 0 while it does not. */
   readonly runMs: number;
-  /** It has been told to stop. */
+  /** A stop command has been issued. */
   readonly stopping: boolean;
 }
 
-/** What one machine holds. */
+/** The tasks that one machine holds. */
 export interface MachineClaims {
   readonly machine: string;
   readonly held: readonly HeldTask[];
 }
 
-/** What the machines of one partition hold, as its owner told it. */
+/** The tasks that the machines of one partition hold, as its owner reported them. */
 export interface PartitionClaims {
   readonly partitionId: number;
+  /** The owner's term. */
   readonly term: number;
-  /** The owner's replica stood at this revision: what reclaims that ended by then have stopped is not in the list. */
+  /**
+   * Revision of the owner's watch cache: tasks that were stopped by reclaims that ended by then are not in the list.
+   */
   readonly revision: number;
   readonly machines: readonly MachineClaims[];
 }
 
-/** A task under one attempt: a later attempt of the same task is another one. */
+/** One attempt to run a task. */
 export interface TaskAttempt {
   readonly task: string;
   readonly attempt: number;
--- a/packages/borrowing/src/execution.ts
+++ b/packages/borrowing/src/execution.ts
@@ -1,5 +1,5 @@
-// How the owner of a machine carries a reclaim out. A new owner begins with each at `decided` and finds by what machines report how far
-// it is: nothing of it has to be remembered but the record.
+// How the owner of a partition carries out reclaims on its machines. Only the record of a reclaim is stored: after a
+// failover the new owner begins at `decided` and finds out from heartbeats how far it is.
 import {
   type Resources,
   type ClaimTable,
@@ -14,15 +14,17 @@
 import { reclaimBoundMs, saveGraceS } from './settings';
 
 /**
- * decided:   the record is stored; nothing is stopped yet.
- * stopping:  the victims are told to stop, and some are not known to be gone.
- * freed:     no victim holds anything any more; the room waits for the tasks that it is kept for.
- * granted:   the tasks have got room, here or elsewhere. The record is removed.
- * withdrawn: they will not get it here. The record is removed, and what still runs goes on.
+ * The states of a reclaim:
+ * - decided: the record is stored; nothing is stopped yet.
+ * - stopping: the victims are being stopped, and some may still run.
+ * - freed: no victim runs; what they used is reserved for the tasks that the reclaim is for.
+ * - granted: the tasks are on a machine, here or elsewhere. The record is removed.
+ * - withdrawn: the tasks will not start here. The record is removed, and victims that still run go on.
  */
 export type ReclaimState = 'decided' | 'stopping' | 'freed' | 'granted' | 'withdrawn';
 
-const MOVES: Record<ReclaimState, readonly ReclaimState[]> = {
+/** The states that may follow each state; none: it is final. */
+const RECLAIM_TRANSITIONS: Record<ReclaimState, readonly ReclaimState[]> = {
   decided: ['stopping', 'freed', 'granted', 'withdrawn'],
   stopping: ['freed', 'granted', 'withdrawn'],
   freed: ['granted', 'withdrawn'],
@@ -30,11 +32,13 @@
   withdrawn: [],
 };
 
-/** Why a reclaim ended without room for its tasks. */
+/** Why a reclaim was withdrawn. The texts are written to the log, where operators look for them. */
 export type WithdrawReason =
   'its tasks are gone' | 'its machine takes no work' | 'its room was taken' | 'it took too long';
 
+/** Is told of all reclaims of a partition. */
 export interface ReclaimListener {
+  /** A reclaim has changed its state; `detail` belongs to the line of the log. */
   moved(reclaim: Reclaim, detail: Record<string, unknown>): void;
 }
 
@@ -43,6 +47,7 @@
   #state: ReclaimState = 'decided';
   #why: WithdrawReason | null = null;
 
+  /** @param id names the record within the partition */
   constructor(
     readonly id: string,
     readonly record: ReclaimRecord,
@@ -53,34 +58,39 @@
     return this.#state;
   }
 
-  /** Why it was withdrawn. */
+  /** Why it was withdrawn; null: it was not. */
   get why(): WithdrawReason | null {
     return this.#why;
   }
 
+  /** Whether its state is final, so that its record can be removed. */
   get isOver(): boolean {
-    return MOVES[this.#state].length === 0;
+    return RECLAIM_TRANSITIONS[this.#state].length === 0;
   }
 
-  /** The one function that changes the state. */
-  #move(next: ReclaimState, detail: Record<string, unknown> = {}): void {
-    if (!MOVES[this.#state].includes(next))
-      throw new Error(`reclaim ${this.id}: no move from ${this.#state} to ${next}`);
+  /** The only function that changes the state. */
+  #transitionTo(next: ReclaimState, detail: Record<string, unknown> = {}): void {
+    if (!RECLAIM_TRANSITIONS[this.#state].includes(next))
+      throw new Error(`reclaim ${this.id}: no transition from ${this.#state} to ${next}`);
     this.#state = next;
     this.listener.moved(this, detail);
   }
 
   #withdraw(why: WithdrawReason): void {
     this.#why = why;
-    this.#move('withdrawn', { why });
+    this.#transitionTo('withdrawn', { why });
   }
 
-  /** Takes the next steps that what is known allows; returns the tasks that are to be told to stop now. */
+  /**
+   * Goes as far as what is known allows; returns the tasks that are to be stopped now.
+   * @param wallNow time of day, in milliseconds
+   * @param now steady time, in milliseconds
+   */
   step(table: ClaimTable, wallNow: number, now: number): readonly TaskEntry[] {
     if (this.isOver) return [];
     const waiting = waitingTasks(table, this.record);
     if (waiting.length === 0) {
-      if (hasGranted(table, this.record)) this.#move('granted');
+      if (hasStartedAny(table, this.record)) this.#transitionTo('granted');
       else this.#withdraw('its tasks are gone');
       return [];
     }
@@ -106,46 +116,48 @@
   ): readonly TaskEntry[] {
     const need = sumOf(waiting);
     const available = addResources(table.freeResources(machine), sumOf(victims));
-    // Nobody is stopped in vain.
+    // Victims are stopped only if that makes the waiting tasks fit.
     if (!fitsIn(need, available)) {
       this.#withdraw('its room was taken');
       return [];
     }
     if (victims.length === 0) {
-      if (this.#state !== 'freed') this.#move('freed');
+      if (this.#state !== 'freed') this.#transitionTo('freed');
       return [];
     }
-    if (this.#state === 'decided') this.#move('stopping', { victims: victims.map((task) => task.name) });
-    const stopped = victims.filter((task) => task.claim!.stopGraceS === null);
-    for (const task of stopped) task.claim!.stopGraceS = saveGraceS(task.job.spec);
-    return stopped;
+    if (this.#state === 'decided') this.#transitionTo('stopping', { victims: victims.map((task) => task.name) });
+    const toStop = victims.filter((victim) => victim.claim!.stopGraceS === null);
+    for (const victim of toStop) victim.claim!.stopGraceS = saveGraceS(victim.job.spec);
+    return toStop;
   }
 }
 
+/** The tasks that the reclaim is for, as far as the table has them. */
 function tasksOf(table: ClaimTable, { job, tasks }: ReclaimRecord): TaskEntry[] {
   return tasks.flatMap((index) => table.findTask(taskName(job, index)) ?? []);
 }
 
-/** The tasks that the room is kept for and that no machine holds yet. */
-export function waitingTasks(table: ClaimTable, record: ReclaimRecord): TaskEntry[] {
+/** The tasks that the reclaim is for and that no machine holds yet. */
+function waitingTasks(table: ClaimTable, record: ReclaimRecord): TaskEntry[] {
   const isWaiting = ({ state, job }: TaskEntry): boolean =>
     !job.cancelled && (state === 'waiting' || state === 'uncertain' || state === 'returning');
   return tasksOf(table, record).filter(isWaiting);
 }
 
-function hasGranted(table: ClaimTable, record: ReclaimRecord): boolean {
+/** Whether a machine holds one of the tasks that the reclaim is for. */
+function hasStartedAny(table: ClaimTable, record: ReclaimRecord): boolean {
   return tasksOf(table, record).some(({ state }) => state === 'claimed' || state === 'finishing');
 }
 
-/** The victims that the machine still holds, under the very attempts that the record names. */
+/** The victims that the machine still holds, in the attempts that the record names. */
 function heldVictims(table: ClaimTable, { machine, victims }: ReclaimRecord): TaskEntry[] {
-  return victims.flatMap(({ task: taskName, attempt }) => {
-    const task = table.findTask(taskName);
-    return task?.claim?.machine.name === machine && task.claim.attempt === attempt ? task : [];
+  return victims.flatMap(({ task, attempt }) => {
+    const entry = table.findTask(task);
+    return entry?.claim?.machine.name === machine && entry.claim.attempt === attempt ? entry : [];
   });
 }
 
-/** A new owner has yet to hear the machine. */
+/** Whether the owner is new and has not had a heartbeat of the machine yet. */
 function isUnconfirmed(table: ClaimTable, name: string): boolean {
   const machine = table.machines.get(name);
   return (
@@ -162,66 +174,70 @@
   return tasks.reduce((sum, task) => addResources(sum, task.job.spec), NO_RESOURCES);
 }
 
-/** The reclaims of one partition, and the room that they keep. */
+/** The reclaims of one partition, and the resources that they reserve. */
 export class PartitionReclaims implements Reservations {
-  readonly #reclaims = new Map<string, Reclaim>();
-  #byTask = new Map<string, Reclaim>();
-  #byMachine = new Map<string, Reclaim[]>();
+  readonly #reclaimById = new Map<string, Reclaim>();
+  #reclaimByTask = new Map<string, Reclaim>();
+  #reclaimsByMachine = new Map<string, Reclaim[]>();
+
+  /** The partition's claim table; set once, right after both were made. */
+  table: ClaimTable | null = null;
 
   constructor(readonly listener: ReclaimListener) {}
 
+  /** All reclaims whose records are stored. */
   get all(): readonly Reclaim[] {
-    return [...this.#reclaims.values()];
+    return [...this.#reclaimById.values()];
   }
 
-  /** Those whose records are to be removed. */
+  /** The reclaims whose records are to be removed. */
   get over(): readonly Reclaim[] {
     return this.all.filter((reclaim) => reclaim.isOver);
   }
 
-  /** Brings the reclaims in line with the records. */
+  /**
+   * Reconciles the reclaims with the stored records.
+   * @param records by id
+   */
   sync(records: ReadonlyMap<string, ReclaimRecord>): void {
     let hasChanged = false;
-    for (const id of this.#reclaims.keys()) {
+    for (const id of this.#reclaimById.keys()) {
       if (records.has(id)) continue;
-      this.#reclaims.delete(id);
+      this.#reclaimById.delete(id);
       hasChanged = true;
     }
     for (const [id, record] of records) {
-      if (this.#reclaims.has(id)) continue;
-      this.#reclaims.set(id, new Reclaim(id, record, this.listener));
+      if (this.#reclaimById.has(id)) continue;
+      this.#reclaimById.set(id, new Reclaim(id, record, this.listener));
       hasChanged = true;
     }
     if (hasChanged) this.#index();
   }
 
   #index(): void {
-    this.#byTask = new Map();
-    this.#byMachine = new Map();
-    for (const reclaim of this.#reclaims.values()) {
+    this.#reclaimByTask = new Map();
+    this.#reclaimsByMachine = new Map();
+    for (const reclaim of this.#reclaimById.values()) {
       const { machine, job, tasks } = reclaim.record;
-      this.#byMachine.set(machine, [...(this.#byMachine.get(machine) ?? []), reclaim]);
-      for (const index of tasks) this.#byTask.set(taskName(job, index), reclaim);
+      this.#reclaimsByMachine.set(machine, [...(this.#reclaimsByMachine.get(machine) ?? []), reclaim]);
+      for (const index of tasks) this.#reclaimByTask.set(taskName(job, index), reclaim);
     }
   }
 
-  /** Takes the next steps of all reclaims; returns the tasks that are to be told to stop now. */
+  /** Takes the next steps of all reclaims, as `Reclaim.step` does; returns the tasks that are to be stopped now. */
   step(table: ClaimTable, wallNow: number, now: number): readonly TaskEntry[] {
     return this.all.flatMap((reclaim) => reclaim.step(table, wallNow, now));
   }
 
-  /** See `Reservations`; asked of the partition's own table. */
-  table: ClaimTable | null = null;
-
   reservedOn(machine: string): Resources {
     const { table } = this;
-    const reclaims = this.#byMachine.get(machine)?.filter((reclaim) => !reclaim.isOver) ?? [];
+    const reclaims = this.#reclaimsByMachine.get(machine)?.filter((reclaim) => !reclaim.isOver) ?? [];
     if (table === null || reclaims.length === 0) return NO_RESOURCES;
     return sumOf(reclaims.flatMap(({ record }) => waitingTasks(table, record)));
   }
 
   reservedMachineFor(taskName: string): string | null {
-    const reclaim = this.#byTask.get(taskName);
+    const reclaim = this.#reclaimByTask.get(taskName);
     return reclaim === undefined || reclaim.isOver ? null : reclaim.record.machine;
   }
 }
