--- a/packages/replica-groups/src/next-record.ts
+++ b/packages/replica-groups/src/next-record.ts
@@ -1,4 +1,5 @@
-// The life of a replica group: which record follows the one that is stored, by what owners tell. The one place that changes a group's state.
+// The state machine of a replica group: which record follows the stored one, given what owners report. Only this module
+// changes a group's state.
 import { assignedUnfinished, type ClusterConfig, type Job } from '@gingerlock/core';
 import type { GroupMember, GroupReason, GroupRecord, GroupState, MachineType } from '@gingerlock/wire';
 import type { GroupReport, MemberReport } from './reports';
@@ -11,7 +12,7 @@
   startBoundMs,
 } from './settings';
 
-/** To which state a group may go from each. */
+/** The states that may follow each state of a group. */
 export const GROUP_MOVES: Record<GroupState, readonly GroupState[]> = {
   waiting: ['reserved', 'ending'],
   reserved: ['admitted', 'ending'],
@@ -20,21 +21,23 @@
   ending: ['waiting'],
 };
 
+/** What the next record of a group depends on besides its job and its stored record. */
 export interface GroupContext {
   readonly settings: ReplicaGroupSettings;
   readonly clusterConfig: ClusterConfig;
+  /** The cloud's machine types, by name. */
   readonly types: ReadonlyMap<string, MachineType>;
   /** Time of day, in milliseconds. */
   readonly wall: number;
-  /** For how long this process has known the stored record; steady milliseconds. */
+  /** How long this process has known the stored record, in milliseconds of steady time. */
   readonly storedForMs: number;
-  /** The longest that a task which was stopped for members may take to save, in seconds. */
+  /** The longest that a task preempted for members may take to save, in seconds. */
   readonly longestSaveS: number;
-  /** What the owner of the partition tells of the group, having read its stored record; null: nothing yet. */
+  /** What the partition's owner reports on the group, having read its stored record; null: nothing yet. */
   readonly reportOf: (partitionId: number) => GroupReport | null;
 }
 
-/** What the leader knows of a group that never was placed. */
+/** Stands for the record of a group that was never placed. */
 const NEVER_PLACED: GroupRecord = {
   generation: 0,
   state: 'waiting',
@@ -46,12 +49,14 @@
   members: [],
 };
 
-function moveTo(record: GroupRecord, state: GroupState, change: Partial<GroupRecord>): GroupRecord {
-  if (!GROUP_MOVES[record.state].includes(state)) throw new Error(`no move from ${record.state} to ${state}`);
+/** The only function that changes the state. */
+function transitionTo(record: GroupRecord, state: GroupState, change: Partial<GroupRecord>): GroupRecord {
+  if (!GROUP_MOVES[record.state].includes(state))
+    throw new Error(`replica group: no transition from ${record.state} to ${state}`);
   return { ...record, ...change, state };
 }
 
-/** Whether the group may be placed now: it waits, and its pause is over. */
+/** Whether the group may be placed now: it waits, and its backoff is over. */
 export function mayPlace(
   job: Job,
   stored: GroupRecord | null,
@@ -63,10 +68,13 @@
   return wall >= stored.since + backoffMs(settings, clusterConfig, job.id, stored.generation, stored.failures);
 }
 
-/** The record of the next generation. Written in one transaction with the rounds of the members. */
+/**
+ * The record of the next generation, to be written in one transaction with the assigned ranges of its members.
+ * @param wall time of day, in milliseconds
+ */
 export function reserve(stored: GroupRecord | null, members: readonly GroupMember[], wall: number): GroupRecord {
   const record = stored ?? NEVER_PLACED;
-  return moveTo(record, 'reserved', {
+  return transitionTo(record, 'reserved', {
     generation: record.generation + 1,
     since: wall,
     reason: 'room was found',
@@ -76,13 +84,13 @@
   });
 }
 
-/** The record that is to be stored next; null: none for now. */
+/** The record that is to replace the stored one; null: it stays for now. */
 export function nextRecord(job: Job, stored: GroupRecord | null, context: GroupContext): GroupRecord | null {
   if (job.cancelled) return null;
   const record = stored ?? NEVER_PLACED;
   switch (record.state) {
     case 'waiting':
-      // Begun before its class was declared, or while groups were off.
+      // Its tasks were started one by one, before its class was declared or while replica groups were off.
       return assignedUnfinished(job) > 0 ? end(record, 'started as single tasks', null, context) : null;
     case 'ending':
       return afterEnding(job, record, context);
@@ -91,14 +99,18 @@
   }
 }
 
-/** A controller that answered a member as the end was being written may have given it a lease until then, and not later. */
+/**
+ * All members are stopped: the group waits again. A controller that has not seen the end yet may have answered a member
+ * until this process knew the record, so the lease of that answer has to run out first.
+ */
 function afterEnding(job: Job, record: GroupRecord, context: GroupContext): GroupRecord | null {
   const { settings, clusterConfig, wall, storedForMs } = context;
   if (assignedUnfinished(job) > 0) return null;
   if (record.hasServed && storedForMs < serveLeaseBoundMs(settings, clusterConfig)) return null;
-  return moveTo(record, 'waiting', { since: wall, hasServed: false, members: [] });
+  return transitionTo(record, 'waiting', { since: wall, hasServed: false, members: [] });
 }
 
+/** The group is reserved, admitted or serving: it ends as soon as a member is lost. */
 function whileAssigned(job: Job, record: GroupRecord, context: GroupContext): GroupRecord | null {
   const members = membersOf(record, context);
   const lost = members.find((member) => member.report?.phase === 'lost');
@@ -109,18 +121,19 @@
   return null;
 }
 
+/** A member with what its owner reports on it; null: nothing in this generation yet. */
 interface ReportedMember extends GroupMember {
   readonly report: MemberReport | null;
 }
 
 function membersOf(record: GroupRecord, { reportOf }: GroupContext): ReportedMember[] {
-  const memberReports = new Map<number, MemberReport>();
+  const reportByRank = new Map<number, MemberReport>();
   for (const partitionId of new Set(record.members.map((member) => member.partitionId))) {
     const report = reportOf(partitionId);
     if (report?.generation !== record.generation) continue;
-    for (const member of report.members) memberReports.set(member.rank, member);
+    for (const member of report.members) reportByRank.set(member.rank, member);
   }
-  return record.members.map((member, rank) => ({ ...member, report: memberReports.get(rank) ?? null }));
+  return record.members.map((member, rank) => ({ ...member, report: reportByRank.get(rank) ?? null }));
 }
 
 function whileReserved(
@@ -129,10 +142,10 @@
   context: GroupContext,
 ): GroupRecord | null {
   const { settings, clusterConfig, wall, longestSaveS } = context;
-  const late = members.find(({ report }) => report?.phase !== 'held');
-  if (late === undefined) return moveTo(record, 'admitted', { since: wall, reason: 'all room is kept' });
+  const unheld = members.find(({ report }) => report?.phase !== 'held');
+  if (unheld === undefined) return transitionTo(record, 'admitted', { since: wall, reason: 'all room is kept' });
   if (wall - record.since <= holdBoundMs(settings, clusterConfig, longestSaveS)) return null;
-  return end(record, 'room was not kept in time', late.machine, context);
+  return end(record, 'room was not kept in time', unheld.machine, context);
 }
 
 function whileAdmitted(
@@ -142,24 +155,27 @@
   context: GroupContext,
 ): GroupRecord | null {
   const { settings, clusterConfig, types, wall } = context;
-  const late = members.find(({ report }) => report?.phase !== 'running');
-  if (late === undefined) {
+  const unstarted = members.find(({ report }) => report?.phase !== 'running');
+  if (unstarted === undefined) {
     const serving = members.map(({ partitionId, machine, report }) => ({
       partitionId,
       machine,
       attempt: report!.attempt,
     }));
-    return moveTo(record, 'serving', { since: wall, reason: 'all members run', members: serving });
+    return transitionTo(record, 'serving', { since: wall, reason: 'all members run', members: serving });
   }
   if (wall - record.since <= startBoundMs(settings, clusterConfig, job.spec, types)) return null;
-  return end(record, 'members did not start in time', late.machine, context);
+  return end(record, 'members did not start in time', unstarted.machine, context);
 }
 
+/**
+ * The record that ends the generation. `machine`: the one at fault, which the next generation avoids; null: none is.
+ */
 function end(record: GroupRecord, reason: GroupReason, machine: string | null, context: GroupContext): GroupRecord {
   const { clusterConfig, wall } = context;
   const hasServed = record.state === 'serving';
   const isStable = hasServed && wall - record.since >= stableMs(clusterConfig);
-  return moveTo(record, 'ending', {
+  return transitionTo(record, 'ending', {
     since: wall,
     reason,
     avoid: machine,
--- a/packages/replica-groups/src/partition-groups.ts
+++ b/packages/replica-groups/src/partition-groups.ts
@@ -1,5 +1,6 @@
-// The owner's part in replica groups: keeps room for members, says when each may be started, stops and returns those of a generation
-// that ends, and tells the leader how they are. A new owner begins with nothing but the records.
+// The members of replica groups on one partition, at its owner: reserves resources for them, decides when each may be
+// started, stops and returns those of a generation that ends, and reports on them to the leader. Nothing but the
+// groups' records is kept over a failover.
 import {
   type Resources,
   type ClaimTable,
@@ -17,48 +18,51 @@
 import type { GroupReport, MemberReport } from './reports';
 import { hungMs } from './settings';
 
+/** The stored records of all groups, by job. */
 type StoredGroups = ReadonlyMap<string, Versioned<GroupRecord>>;
 
+/** The members of replica groups on one partition, as one owner handles them in one term. */
 export class PartitionGroups implements Reservations, MemberPolicy {
   /** The claim table that asks this policy; set once, right after both were made. */
   table: ClaimTable | null = null;
-  /** By machine: what is kept for members that it does not hold yet. */
-  #kept = new Map<string, Resources>();
-  /** By task: the machine on which room is kept for it. */
-  #reservedMachineFor = new Map<string, string>();
+  /** By machine: the resources reserved for members that it does not hold yet. */
+  #reservedByMachine = new Map<string, Resources>();
+  /** By task: the machine on which resources are reserved for it. */
+  #machineByTask = new Map<string, string>();
 
   constructor(readonly groups: StoredGroups) {}
 
   // --- reservations ------------------------------------------------------------------------------------------------
 
   reservedOn(machine: string): Resources {
-    return this.#kept.get(machine) ?? NO_RESOURCES;
+    return this.#reservedByMachine.get(machine) ?? NO_RESOURCES;
   }
 
-  /** By task: the machine on which room is kept for it. */
+  /** By task: the machine on which resources are reserved for it. */
   get keptTasks(): ReadonlyMap<string, string> {
-    return this.#reservedMachineFor;
+    return this.#machineByTask;
   }
 
   reservedMachineFor(taskName: string): string | null {
-    return this.#reservedMachineFor.get(taskName) ?? null;
+    return this.#machineByTask.get(taskName) ?? null;
   }
 
-  /** Brings what is kept in line with the records and with what has been started. */
+  /** Reconciles the reservations with the records and with what has been started. */
   sync(): void {
-    this.#kept = new Map();
-    this.#reservedMachineFor = new Map();
+    this.#reservedByMachine = new Map();
+    this.#machineByTask = new Map();
     for (const [, { record }, tasks] of this.#groupsHere()) {
       if (record.state !== 'reserved' && record.state !== 'admitted') continue;
       for (const task of tasks) {
         const member = record.members[task.index];
         if (member === undefined || task.state !== 'waiting' || this.#isSpent(task, record)) continue;
-        this.#reservedMachineFor.set(task.name, member.machine);
-        this.#kept.set(member.machine, addResources(this.reservedOn(member.machine), task.job.spec));
+        this.#machineByTask.set(task.name, member.machine);
+        this.#reservedByMachine.set(member.machine, addResources(this.reservedOn(member.machine), task.job.spec));
       }
     }
   }
 
+  /** The groups with members on this partition: job, stored record and the members' tasks. */
   *#groupsHere(): Generator<[string, Versioned<GroupRecord>, TaskEntry[]]> {
     for (const [id, stored] of this.groups) {
       const tasksByIndex = this.table?.tasksByJob.get(id);
@@ -66,7 +70,10 @@
     }
   }
 
-  /** It was started in this generation, or assigned to an earlier owner: nobody knows that it was not started then. */
+  /**
+   * Whether the member may have been started in this generation already: by this owner, or by an earlier one to which
+   * it was assigned.
+   */
   #isSpent(task: TaskEntry, { generation }: GroupRecord): boolean {
     return task.startedIn === generation || task.term !== this.table!.term;
   }
@@ -78,8 +85,9 @@
   }
 
   /**
-   * A member is started once in a generation, by the owner to which it was assigned, on its machine, after the leader has stored that all
-   * members' room is kept. A record that is older than the job's says nothing of the tasks that are assigned now.
+   * A member is started once in a generation, on its machine and by the owner to which it was assigned, after the
+   * leader has stored that resources are reserved for all members. A record older than the job's says nothing about the
+   * tasks that are assigned now.
    */
   mayStart(task: TaskEntry, machine: Machine): boolean {
     const stored = this.groups.get(task.job.id);
@@ -96,7 +104,7 @@
     return this.groups.get(job.id)?.record.state === 'ending';
   }
 
-  /** Members of generations that end are stopped at once: returns those that are to be told now. */
+  /** Stops the members of generations that end, without time to save; returns those that are to be stopped now. */
   step(): TaskEntry[] {
     this.sync();
     const stopped: TaskEntry[] = [];
@@ -111,15 +119,16 @@
     return stopped;
   }
 
-  // --- what the leader is told -------------------------------------------------------------------------------------
+  // --- reports to the leader ---------------------------------------------------------------------------------------
 
+  /** Reports on all groups that are placed here; `now` is steady time. Of a group that serves, only lost members. */
   reports(now: number): GroupReport[] {
     const reports: GroupReport[] = [];
     for (const [job, { record }, tasks] of this.#groupsHere()) {
       if (record.state === 'waiting' || record.state === 'ending') continue;
-      const members = tasks.map((task) => this.#reportOn(task, record, now));
-      const memberReports = record.state === 'serving' ? members.filter(({ phase }) => phase === 'lost') : members;
-      if (memberReports.length > 0) reports.push({ job, generation: record.generation, members: memberReports });
+      const all = tasks.map((task) => this.#reportOn(task, record, now));
+      const members = record.state === 'serving' ? all.filter(({ phase }) => phase === 'lost') : all;
+      if (members.length > 0) reports.push({ job, generation: record.generation, members });
     }
     return reports;
   }
@@ -136,7 +145,10 @@
     return this.#isHeld(task, record, now) ? 'held' : 'pending';
   }
 
-  /** Whether the member could be started at the next report of its machine, and so could all others that are kept there. */
+  /**
+   * Whether the member and all others with reservations on its machine could be started at the machine's next
+   * heartbeat.
+   */
   #isHeld(task: TaskEntry, record: GroupRecord, now: number): boolean {
     const name = record.members[task.index]?.machine;
     const machine = name === undefined ? undefined : this.table!.machines.get(name);
@@ -150,7 +162,7 @@
   #whyLost(task: TaskEntry, record: GroupRecord, now: number): GroupReason | null {
     const table = this.table!;
     const member = record.members[task.index];
-    // It was not known yet who runs it: machines of an earlier owner have yet to report.
+    // Machines of an earlier owner have yet to send a heartbeat: one of them may run it.
     if (task.state === 'uncertain') return null;
     if (member === undefined) return 'started as single tasks';
     const machine = table.machines.get(member.machine);
@@ -163,12 +175,14 @@
     return record.state === 'serving' ? 'member ended' : threat;
   }
 
+  /** Why a member that a machine holds counts as lost; null: it runs, or starts, as the record says. */
   #whyClaimLost({ claim }: TaskEntry, member: GroupRecord['members'][number]): GroupReason | null {
     if (claim!.stopGraceS !== null || claim!.stage === 'saving') return 'member ended';
-    const isAnother = member.attempt !== null && member.attempt !== claim!.attempt;
-    return isAnother || claim!.machine.name !== member.machine ? 'member ended' : null;
+    const isOtherAttempt = member.attempt !== null && member.attempt !== claim!.attempt;
+    return isOtherAttempt || claim!.machine.name !== member.machine ? 'member ended' : null;
   }
 
+  /** Why members on the machine are expected to end; null: nothing says so. */
   #threatTo(machine: Machine, now: number): GroupReason | null {
     const table = this.table!;
     if (machine.evictionNotice) return 'machine is taken back';
