--- a/packages/clients/src/cloud.ts
+++ b/packages/clients/src/cloud.ts
@@ -77,7 +77,9 @@
     return machines;
   }
 
-  /** Rents machines. Never rejects: an outcome that is not known is a result, to be settled by repeating the request. */
+  /**
+   * Rents machines. Never rejects: an outcome that is not known is a result, to be settled by repeating the request.
+   */
   async rent(request: RentRequest): Promise<RentResult> {
     try {
       const response = await this.http(this.addr, 'POST', CLOUD_PATHS.rent, encode(rentMap(request)), this.timeoutMs);
--- a/packages/clients/src/http.ts
+++ b/packages/clients/src/http.ts
@@ -3,8 +3,8 @@
 import { ResponseTooLargeError, type Http, type HttpResponse, NoResponseError } from './ports';
 
 /**
- * Largest response that is read. A page of a list has at most 512 KiB. The changes that `/follow` returns have no limit;
- * if they exceed this, everything is read again by pages.
+ * Largest response that is read. A page of a list has at most 512 KiB. The changes that `/follow` returns have no
+ * limit; if they exceed this, everything is read again by pages.
  */
 const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
@@ -14,7 +14,9 @@
 /** To how many hosts connections are kept alive by default. */
 const KEEP_ALIVE_HOSTS = 72;
 
-/** Chooses the hosts to which connections are kept alive: kept to thousands of machines, they would use up all sockets. */
+/**
+ * Chooses the hosts to which connections are kept alive: kept to thousands of machines, they would use up all sockets.
+ */
 export class KeepAliveHosts {
   /** By host: when it was last used, in steady milliseconds; the least recently used first. */
   readonly #usedAtByHost = new Map<string, number>();
--- a/packages/clients/src/ports.ts
+++ b/packages/clients/src/ports.ts
@@ -1,4 +1,5 @@
-// The ports through which a controller reaches the world: time, chance and HTTP. The testkit implements them in simulated time.
+// The ports through which a controller reaches the world: time, chance and HTTP. The testkit implements them in
+// simulated time.
 import { GingerlockError } from '@gingerlock/wire';
 
 /** Time and randomness. */
--- a/packages/clients/src/rate-limiter.ts
+++ b/packages/clients/src/rate-limiter.ts
@@ -43,8 +43,8 @@
 }
 
 /**
- * This controller's share of the key-value store's limits: two token buckets, one of requests and one of changes, each with a
- * capacity of one second. All controllers together stay below the limits because each keeps to its share.
+ * This controller's share of the key-value store's limits: two token buckets, one of requests and one of changes, each
+ * with a capacity of one second. All controllers together stay below the limits because each keeps to its share.
  */
 export class RateLimiter {
   #availableRequests: number;
@@ -65,7 +65,9 @@
     this.#filledAt = clock.now();
   }
 
-  /** Resolves when a request with `writes` changes may be sent; rejects with an `OverloadedError` after `patienceMs`. */
+  /**
+   * Resolves when a request with `writes` changes may be sent; rejects with an `OverloadedError` after `patienceMs`.
+   */
   acquire(urgency: Urgency, writes: number, patienceMs: number): Promise<void> {
     return new Promise((resolve, reject) => {
       const until = this.clock.now() + patienceMs;
@@ -113,9 +115,9 @@
   }
 
   /**
-   * Takes up to `requestedWrites` out of this controller's limit for a peer that is short of them; returns how many. They are
-   * taken out before the peer learns of them, so all controllers together never exceed the store's limit: if the message is
-   * lost, they lapse.
+   * Takes up to `requestedWrites` out of this controller's limit for a peer that is short of them; returns how many.
+   * They are taken out before the peer learns of them, so all controllers together never exceed the store's limit: if
+   * the message is lost, they lapse.
    */
   lend(requestedWrites: number): number {
     this.#fill();
--- a/packages/daemon/src/cli/borrowing-report.ts
+++ b/packages/daemon/src/cli/borrowing-report.ts
@@ -1,5 +1,6 @@
-// What operators are shown of borrowing: accounts and reclaims, read from the lines that controllers write to their logs. The
-// messages and fields read here are written by `LeaderBorrowing` and `OwnerReclaims`; logs of all versions have the same ones.
+// What operators are shown of borrowing: accounts and reclaims, read from the lines that controllers write to their
+// logs. The messages and fields read here are written by `LeaderBorrowing` and `OwnerReclaims`; logs of all versions
+// have the same ones.
 import { createInterface } from 'node:readline';
 import type { Readable } from 'node:stream';
 
@@ -82,7 +83,9 @@
   }
 }
 
-/** Collects lines of the logs of any controllers, in any order: of each team, job and reclaim the latest line counts. */
+/**
+ * Collects lines of the logs of any controllers, in any order: of each team, job and reclaim the latest line counts.
+ */
 export class BorrowingReader {
   #asOf: number | null = null;
   readonly #accountByTeam = new Map<string, Timed<AccountLine>>();
--- a/packages/daemon/src/settings/features.ts
+++ b/packages/daemon/src/settings/features.ts
@@ -1,5 +1,6 @@
-// The features that are built on the scheduler and switched on by name in a file of their own (deploy/features.yaml): its
-// schema, and the mapping of its keys to the code's names. Without the file, or with a feature off, nothing differs.
+// The features that are built on the scheduler and switched on by name in a file of their own (deploy/features.yaml):
+// its schema, and the mapping of its keys to the code's names. Without the file, or with a feature off, nothing
+// differs.
 import { BORROWING_DEFAULTS, type BorrowingSettings } from '@gingerlock/borrowing';
 import { REPLICA_GROUP_DEFAULTS, type ReplicaGroupSettings } from '@gingerlock/replica-groups';
 import { type Static, Type } from '@sinclair/typebox';
@@ -47,7 +48,8 @@
 }
 
 /**
- * Checks the file of features against its schema and against the platform's settings; null and undefined are an empty file.
+ * Checks the file of features against its schema and against the platform's settings; null and undefined are an empty
+ * file.
  * @param knownClasses the classes of jobs that the platform names; null: it names none
  * @throws SettingsError naming the first key that is wrong
  */
--- a/packages/daemon/src/settings/platform-settings.ts
+++ b/packages/daemon/src/settings/platform-settings.ts
@@ -61,8 +61,8 @@
   /** The key-value store. */
   readonly state: string;
   /**
-   * Limits of the key-value store for all controllers together, each the smaller one of the limit that holds now and the one
-   * announced under `next`, whose start is not announced. This one: requests per second.
+   * Limits of the key-value store for all controllers together, each the smaller one of the limit that holds now and
+   * the one announced under `next`, whose start is not announced. This one: requests per second.
    */
   readonly stateRps: number;
   /** Changes of keys per second; as above. */
@@ -136,8 +136,9 @@
 }
 
 /**
- * Between the end of a worker's lease and the latest end of cancelled tasks an owner without the key-value store may answer
- * workers. If that is no longer than a heartbeat interval, owners would refuse healthy workers between two reads.
+ * Between the end of a worker's lease and the latest end of cancelled tasks an owner without the key-value store may
+ * answer workers. If that is no longer than a heartbeat interval, owners would refuse healthy workers between two
+ * reads.
  */
 function checkAnswerBound(clusterConfig: ClusterConfig): void {
   if (maxAnswerContactAgeMs(clusterConfig) > clusterConfig.heartbeatIntervalMs) return;
--- a/packages/daemon/src/settings/settings-error.ts
+++ b/packages/daemon/src/settings/settings-error.ts
@@ -3,7 +3,10 @@
 import { Value } from '@sinclair/typebox/value';
 import { GingerlockError } from '@gingerlock/wire';
 
-/** Settings that can't be used. The message names the file, the path of the key and what is wrong; the command exits with 2. */
+/**
+ * Settings that can't be used. The message names the file, the path of the key and what is wrong; the command exits
+ * with 2.
+ */
 export class SettingsError extends GingerlockError {
   override readonly name = 'SettingsError';
   override readonly code = 'INVALID_SETTINGS';
--- a/packages/daemon/src/settings/settings.ts
+++ b/packages/daemon/src/settings/settings.ts
@@ -14,7 +14,8 @@
 }
 
 /**
- * Checks the contents of the three files and puts them together; null and undefined are an empty file, but for the platform's.
+ * Checks the contents of the three files and puts them together; null and undefined are an empty file, but for the
+ * platform's.
  * @throws SettingsError naming the file, the key and what is wrong
  */
 export function settingsOf(platform: unknown, operators: unknown, features: unknown = {}): Settings {
