--- a/packages/clients/src/cloud.ts
+++ b/packages/clients/src/cloud.ts
@@ -10,10 +10,10 @@
   type MachineTypeList,
   readMachineTypes,
   rentedNamesOf,
-  rentMap,
+  rentRequestMap,
   type RentRequest,
   RETURN_MOST,
-  returnMap,
+  returnRequestMap,
 } from '@gingerlock/wire';
 import type { Http } from './ports';
 
@@ -82,7 +82,13 @@
    */
   async rent(request: RentRequest): Promise<RentResult> {
     try {
-      const response = await this.http(this.addr, 'POST', CLOUD_PATHS.rent, encode(rentMap(request)), this.timeoutMs);
+      const response = await this.http(
+        this.addr,
+        'POST',
+        CLOUD_PATHS.rent,
+        encode(rentRequestMap(request)),
+        this.timeoutMs,
+      );
       if (response.status === 200) return { kind: 'rented', names: rentedNamesOf(decode(response.body)) };
       if (response.status === 503 && JSON.stringify(decode(response.body)).includes('no capacity'))
         return { kind: 'no capacity' };
@@ -94,8 +100,8 @@
 
   /** Returns at most `RETURN_MOST` machines, the first ones. True: they are gone, with everything on them. */
   async scaleIn(names: readonly string[]): Promise<boolean> {
-    const body = encode(returnMap(names.slice(0, RETURN_MOST)));
-    const response = await this.http(this.addr, 'POST', CLOUD_PATHS.giveBack, body, this.timeoutMs);
+    const body = encode(returnRequestMap(names.slice(0, RETURN_MOST)));
+    const response = await this.http(this.addr, 'POST', CLOUD_PATHS.return, body, this.timeoutMs);
     return response.status === 200;
   }
 }
--- a/packages/wire/src/cloud.ts
+++ b/packages/wire/src/cloud.ts
@@ -1,23 +1,35 @@
+// The cloud's API (PROTOCOL, "Controller nodes -> cloud"): its names, mapped to the code's.
 import { Type } from '@sinclair/typebox';
-import { checker } from './check';
+import { compileValidator } from './validator';
 
+/** A machine as the cloud lists it. */
 export interface CloudMachine {
   readonly name: string;
+  /** `HOST:PORT` of its worker; empty: it has none yet. */
   readonly addr: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
+  /** A failed machine stays listed until it is returned. */
   readonly state: 'booting' | 'running' | 'failed';
+  /** Seconds since its rental request, at the time that the list describes. */
   readonly ageS: number;
 }
 
-export const RENT_MOST = 50;
+/** Most machines of one rental request (PROTOCOL). */
+const MAX_MACHINES_PER_RENTAL = 50;
+
+/** Most machines that one request returns (PROTOCOL). */
 export const RETURN_MOST = 100;
-export const LIST_MOST = 500;
 
-const Num = Type.Number({ minimum: 0 });
+/** Most machines on one page of the list (PROTOCOL). */
+const MAX_MACHINES_PER_PAGE = 500;
+
+const Amount = Type.Number({ minimum: 0 });
 
+/** A request to rent machines. */
 export interface RentRequest {
+  /** Its id. Repeated under the same id, a request that succeeded rents nothing; ids are never used for another one. */
   readonly request: string;
   readonly type: string;
   readonly zone: string;
@@ -25,21 +37,24 @@
   readonly count: number;
 }
 
-export function rentMap(r: RentRequest): unknown {
-  return { hire: r.request, breed: r.type, yard: r.zone, borrowed: r.spot, number: r.count };
+/** The body of a rental request, before its encoding. */
+export function rentRequestMap({ request, type, zone, spot, count }: RentRequest): unknown {
+  return { hire: request, breed: type, yard: zone, borrowed: spot, number: count };
 }
 
-const checkNames = checker(Type.Object({ rigs: Type.Array(Type.String({ minLength: 1 })) }));
+const checkNames = compileValidator(Type.Object({ rigs: Type.Array(Type.String({ minLength: 1 })) }));
 
+/** The names of the rented machines, from the response to a rental request. */
 export function rentedNamesOf(map: unknown): string[] {
   return checkNames(map).rigs;
 }
 
-export function returnMap(names: readonly string[]): unknown {
+/** The body of a request that returns machines, before its encoding. */
+export function returnRequestMap(names: readonly string[]): unknown {
   return { rigs: names };
 }
 
-const checkList = checker(
+const checkList = compileValidator(
   Type.Object({
     rigs: Type.Array(
       Type.Object({
@@ -49,88 +64,97 @@
         yard: Type.String(),
         borrowed: Type.Boolean(),
         status: Type.Union([Type.Literal('booting'), Type.Literal('running'), Type.Literal('failed')]),
-        held_s: Num,
+        held_s: Amount,
       }),
     ),
     more: Type.Boolean(),
   }),
 );
 
+/** Reads one page of the list of machines; `more`: there are further ones. */
 export function machineListOf(map: unknown): { machines: CloudMachine[]; more: boolean } {
   const list = checkList(map);
   return {
     more: list.more,
-    machines: list.rigs.map((m) => ({
-      name: m.name_id,
-      addr: m.addr ?? '',
-      type: m.breed,
-      zone: m.yard,
-      spot: m.borrowed,
-      state: m.status,
-      ageS: m.held_s,
+    machines: list.rigs.map((rig) => ({
+      name: rig.name_id,
+      addr: rig.addr ?? '',
+      type: rig.breed,
+      zone: rig.yard,
+      spot: rig.borrowed,
+      state: rig.status,
+      ageS: rig.held_s,
     })),
   };
 }
 
+/** Paths of the cloud's API. `list`: the page that starts after the machine named `after`; empty: the first one. */
 export const CLOUD_PATHS = {
   types: '/machine_types',
   rent: '/rentals',
-  giveBack: '/rentals/return',
-  list: (after: string) => `/rentals?from=${encodeURIComponent(after)}&most=${LIST_MOST}`,
+  return: '/rentals/return',
+  list: (after: string) => `/rentals?from=${encodeURIComponent(after)}&most=${MAX_MACHINES_PER_PAGE}`,
 } as const;
 
-// --- the other side of the protocol: for stand-ins of the cloud ------------------------------------------------------
+// --- the other side of the protocol: for simulated clouds ------------------------------------------------------
 
-const checkRent = checker(
+const checkRent = compileValidator(
   Type.Object({
     hire: Type.String({ minLength: 1 }),
     breed: Type.String(),
     yard: Type.String(),
     borrowed: Type.Boolean(),
-    number: Type.Integer({ minimum: 1, maximum: RENT_MOST }),
+    number: Type.Integer({ minimum: 1, maximum: MAX_MACHINES_PER_RENTAL }),
   }),
 );
+
+/** Reads the body of a rental request. */
 export function rentRequestOf(map: unknown): RentRequest {
-  const r = checkRent(map);
-  return { request: r.hire, type: r.breed, zone: r.yard, spot: r.borrowed, count: r.number };
+  const { hire, breed, yard, borrowed, number } = checkRent(map);
+  return { request: hire, type: breed, zone: yard, spot: borrowed, count: number };
 }
 
+/** The response to a rental request. */
 export function rentedMap(names: readonly string[]): unknown {
   return { rigs: names };
 }
 
+/** Reads the names of the machines to return. */
 export function returnedNamesOf(map: unknown): string[] {
   return checkNames(map).rigs;
 }
 
+/** One page of the list of machines. */
 export function machineListMap(machines: readonly CloudMachine[], more: boolean): unknown {
   return {
-    rigs: machines.map((m) => ({
-      name_id: m.name,
-      addr: m.addr,
-      breed: m.type,
-      yard: m.zone,
-      borrowed: m.spot,
-      status: m.state,
-      held_s: m.ageS,
+    rigs: machines.map(({ name, addr, type, zone, spot, state, ageS }) => ({
+      name_id: name,
+      addr,
+      breed: type,
+      yard: zone,
+      borrowed: spot,
+      status: state,
+      held_s: ageS,
     })),
     more,
   };
 }
 
+/** What a request to the cloud asks for. */
 export type CloudRequest =
   | { readonly kind: 'types' | 'rent' | 'return' }
   | { readonly kind: 'list'; readonly after: string; readonly limit: number };
 
+/** Reads method and path of a request; null: the cloud has no such path. */
 export function parseCloudRequest(method: string, path: string): CloudRequest | null {
   const url = new URL(path, 'http://cloud');
   if (url.pathname === CLOUD_PATHS.types) return { kind: 'types' };
-  if (url.pathname === CLOUD_PATHS.giveBack) return { kind: 'return' };
+  if (url.pathname === CLOUD_PATHS.return) return { kind: 'return' };
   if (url.pathname !== CLOUD_PATHS.rent) return null;
   if (method === 'POST') return { kind: 'rent' };
   return {
     kind: 'list',
     after: url.searchParams.get('from') ?? '',
-    limit: Number(url.searchParams.get('most') ?? LIST_MOST),
+    limit: Number(url.searchParams.get('most') ?? MAX_MACHINES_PER_PAGE),
   };
 }
--- a/packages/wire/src/codec.ts
+++ b/packages/wire/src/codec.ts
@@ -2,7 +2,9 @@
 import { Packr } from 'msgpackr';
 import { errorMessage, GingerlockError } from './errors';
 
-/** A body that violates PROTOCOL. Its message is sent to the client with status 400, so its texts are part of the wire. */
+/**
+ * A body that violates PROTOCOL. Its message is sent to the client with status 400, so its texts are part of the wire.
+ */
 export class MalformedMessageError extends GingerlockError {
   override readonly name = 'MalformedMessageError';
   override readonly code = 'MALFORMED_MESSAGE';
@@ -60,8 +62,8 @@
 }
 
 /**
- * Counts, versions, tokens and attempts are integers on the wire. The codec writes a number beyond 32 bits as a
- * float, so such a count has to be handed to it as a bigint.
+ * A count, version, token or attempt as it has to be handed to `encode`: these are integers on the wire, but the codec
+ * writes numbers beyond 32 bits as floats unless they are bigints.
  */
 export function integer(value: number): number | bigint {
   return value > 0xffffffff ? BigInt(value) : value;
--- a/packages/wire/src/errors.ts
+++ b/packages/wire/src/errors.ts
@@ -15,8 +15,8 @@
   | 'INVALID_SETTINGS';
 
 /**
- * An error that gingerlock itself throws. The message says what failed, on what, and what was expected; `cause` holds the
- * error that led to it, if there was one.
+ * An error that gingerlock itself throws. The message says what failed, on what, and what was expected; `cause` holds
+ * the error that led to it, if there was one.
  */
 export abstract class GingerlockError extends Error {
   /** The name of the class, written out: a bundler may rename classes. */
--- a/packages/wire/src/group-record.ts
+++ b/packages/wire/src/group-record.ts
@@ -1,19 +1,21 @@
-// How a replica group stands, as the state service keeps it: one record for each, written by the leader alone.
+// The record of a replica group at `KEYS.group`, written by the leader alone. See docs/replica-groups-design.md.
 import { Type } from '@sinclair/typebox';
-import { checker } from './check';
+import { compileValidator } from './validator';
 import { integer } from './codec';
 
 /**
- * waiting:  nothing is assigned and no room is kept.
- * reserved: its members are assigned, each to a machine on which its owner keeps room; none is started.
- * admitted: all owners have said that they keep the room: each member is started once.
- * serving:  all members run.
- * ending:   all members are stopped and given back.
+ * The states of a group, in the order of their stored numbers:
+ * - waiting: no member is assigned.
+ * - reserved: the members are assigned, each to a machine on which its owner reserves resources; none is started.
+ * - admitted: all owners have reported that the resources are reserved; each member is started once.
+ * - serving: all members run.
+ * - ending: all members are being stopped and returned.
  */
 export const GROUP_STATES = ['waiting', 'reserved', 'admitted', 'serving', 'ending'] as const;
+/** One of `GROUP_STATES`. */
 export type GroupState = (typeof GROUP_STATES)[number];
 
-/** Why a group is in its state. */
+/** Why a group is in its state, in the order of their stored numbers. The texts are written to the log. */
 export const GROUP_REASONS = [
   'room was found',
   'all room is kept',
@@ -29,34 +31,36 @@
   'members did not start in time',
   'started as single tasks',
 ] as const;
+/** One of `GROUP_REASONS`. */
 export type GroupReason = (typeof GROUP_REASONS)[number];
 
-/** One member, by its rank: the number of its task. */
+/** One member. Its rank, the index of its task, is its place among `GroupRecord.members`. */
 export interface GroupMember {
   readonly partitionId: number;
   readonly machine: string;
-  /** The attempt under which it serves; null: the group does not serve yet. */
+  /** The attempt that serves; null: the group does not serve yet. */
   readonly attempt: number | null;
 }
 
+/** The state of one replica group. */
 export interface GroupRecord {
-  /** Counts the times that all members were placed, from 1. */
+  /** How often all members have been placed. */
   readonly generation: number;
   readonly state: GroupState;
-  /** Time of day (ms) at the leader that wrote this state. */
+  /** When the state was entered: time of day (ms) at the leader that wrote it. */
   readonly since: number;
   readonly reason: GroupReason;
-  /** Generations in a row that ended before they had served for long enough. */
+  /** How many generations in a row have ended before they had served for long enough. */
   readonly failures: number;
-  /** It served in this generation: members may hold leases to serve. */
+  /** Whether it has served in this generation, so that members may hold leases to serve. */
   readonly hasServed: boolean;
-  /** The machine for which the last generation ended: the next one is placed elsewhere if it can be. */
+  /** The machine that made the last generation end: the next one is placed elsewhere if possible. */
   readonly avoid: string | null;
-  /** None while the group waits. */
+  /** By rank; empty while the group waits. */
   readonly members: readonly GroupMember[];
 }
 
-const checkGroup = checker(
+const checkGroup = compileValidator(
   Type.Object({
     g: Type.Integer({ minimum: 0 }),
     s: Type.Integer({ minimum: 0, maximum: GROUP_STATES.length - 1 }),
@@ -75,6 +79,7 @@
   }),
 );
 
+/** At `KEYS.group`. */
 export const groupRecord = {
   write: (group: GroupRecord): unknown => ({
     g: integer(group.generation),
@@ -90,29 +95,29 @@
       attempt === null ? null : integer(attempt),
     ]),
   }),
-  /** Throws `Malformed` if the value is none that we write. */
+  /** Throws a `MalformedMessageError` if the value is no such record. */
   read: (value: unknown): GroupRecord => {
-    const g = checkGroup(value);
+    const stored = checkGroup(value);
     return {
-      generation: g.g,
-      state: GROUP_STATES[g.s]!,
-      since: g.at,
-      reason: GROUP_REASONS[g.w]!,
-      failures: g.f,
-      hasServed: g.l === 1,
-      avoid: g.a,
-      members: g.m.map(([partitionId, machine, attempt]) => ({ partitionId, machine, attempt })),
+      generation: stored.g,
+      state: GROUP_STATES[stored.s]!,
+      since: stored.at,
+      reason: GROUP_REASONS[stored.w]!,
+      failures: stored.f,
+      hasServed: stored.l === 1,
+      avoid: stored.a,
+      members: stored.m.map(([partitionId, machine, attempt]) => ({ partitionId, machine, attempt })),
     };
   },
 };
 
-/** The most that one member may take of a group's record, in bytes of JSON: machines have names of up to 64 characters. */
-const LARGEST_MEMBER_BYTES = 96;
+/** Largest size of one member in a group's record, in bytes of JSON: names of machines have up to 64 characters. */
+const MAX_MEMBER_BYTES = 96;
 
-/** What the rest of the record takes at the most. */
-const HEAD_BYTES = 256;
+/** Largest size of the rest of the record. */
+const MAX_HEAD_BYTES = 256;
 
-/** How many members a group may have so that its record surely fits into a value. */
+/** How many members a group may have so that its record surely fits into a value of `valueBytes`. */
 export function mostMembers(valueBytes: number): number {
-  return Math.max(0, Math.floor((valueBytes - HEAD_BYTES) / LARGEST_MEMBER_BYTES));
+  return Math.max(0, Math.floor((valueBytes - MAX_HEAD_BYTES) / MAX_MEMBER_BYTES));
 }
--- a/packages/wire/src/machine-types.ts
+++ b/packages/wire/src/machine-types.ts
@@ -1,22 +1,29 @@
-// The machine types that the cloud offers. A field that makes no sense costs its type the renting, never the other types.
+// The machine types that the cloud offers (PROTOCOL, "GET /machine_types"). A type with an invalid field is not rented;
+// the other types are unaffected.
 import { Type } from '@sinclair/typebox';
-import { checker } from './check';
+import { compileValidator } from './validator';
 
+/** A machine type. 0 as an amount: it is not known, but for `gpus` and `cacheGb`, of which there may be none. */
 export interface MachineType {
   readonly name: string;
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
+  /** Size of the image cache. */
   readonly cacheGb: number;
-  /** 0, like any amount below: not known. */
+  /** Rate at which a machine fetches images; machines differ by a third. */
   readonly fetchGbPerS: number;
+  /** Price of an ordinary machine per hour. */
   readonly price: number;
+  /** Current price of a spot machine per hour. */
   readonly spotPrice: number;
+  /** Nominal time from the rental request until the worker runs. */
   readonly bootS: number;
+  /** The zones that offer it. */
   readonly zones: readonly string[];
 }
 
-/** A field of a listed type that can't be used. */
+/** A field of a listed type that can't be used. `field` is its wire name. */
 export interface InvalidTypeField {
   /** The type's name; null: it has none. */
   readonly type: string | null;
@@ -24,22 +31,26 @@
   readonly why: 'not a positive number' | 'not a number' | 'not a name' | 'listed twice' | 'not a list of zones';
 }
 
+/** What could be read of a list of machine types. */
 export interface MachineTypeList {
   readonly types: readonly MachineType[];
+  /** What could not be used, in the order of the list. */
   readonly invalid: readonly InvalidTypeField[];
 }
 
-const checkTypes = checker(Type.Object({ breeds: Type.Array(Type.Unknown()) }));
+const checkTypes = compileValidator(Type.Object({ breeds: Type.Array(Type.Unknown()) }));
 
-/** Amounts without which a machine can't be rented: nothing could be reckoned by them. */
-const POSITIVE = ['cores', 'memory_gb', 'fetch_gb_per_s', 'price', 'low_price', 'ready_s'] as const;
+/** Wire names of the amounts without which a type can't be rented: costs and fit could not be computed. */
+const REQUIRED_AMOUNTS = ['cores', 'memory_gb', 'fetch_gb_per_s', 'price', 'low_price', 'ready_s'] as const;
 
-/** Amounts of which a machine may have none. */
-const OPTIONAL = ['accelerators', 'cache_gb'] as const;
+/** Wire names of the amounts that may be 0. */
+const OPTIONAL_AMOUNTS = ['accelerators', 'cache_gb'] as const;
 
-type AmountField = (typeof POSITIVE)[number] | (typeof OPTIONAL)[number];
+type AmountField = (typeof REQUIRED_AMOUNTS)[number] | (typeof OPTIONAL_AMOUNTS)[number];
 
-/** Reads a list of types. An amount that makes no sense reads as 0, and is named in `odd`. */
+/**
+ * Reads a list of types. An invalid amount is read as 0 and named in `invalid`; so is a type without a name of its own.
+ */
 export function readMachineTypes(map: unknown): MachineTypeList {
   const types = new Map<string, MachineType>();
   const invalid: InvalidTypeField[] = [];
@@ -53,6 +64,7 @@
   return { types: [...types.values()], invalid };
 }
 
+/** Reads one type, and adds its invalid fields to `invalid`. */
 function readType(name: string, fields: Record<string, unknown>, invalid: InvalidTypeField[]): MachineType {
   const amount = (field: AmountField, isOptional: boolean): number => {
     const value = fields[field];
@@ -60,8 +72,8 @@
     invalid.push({ type: name, field, why: isOptional ? 'not a number' : 'not a positive number' });
     return 0;
   };
-  const [cpus, memoryGb, fetchGbPerS, price, spotPrice, bootS] = POSITIVE.map((field) => amount(field, false));
-  const [gpus, cacheGb] = OPTIONAL.map((field) => amount(field, true));
+  const [cpus, memoryGb, fetchGbPerS, price, spotPrice, bootS] = REQUIRED_AMOUNTS.map((field) => amount(field, false));
+  const [gpus, cacheGb] = OPTIONAL_AMOUNTS.map((field) => amount(field, true));
   const zones = Array.isArray(fields.yards) ? fields.yards.filter((zone) => typeof zone === 'string') : [];
   if (zones.length === 0) invalid.push({ type: name, field: 'yards', why: 'not a list of zones' });
   return {
@@ -78,28 +90,30 @@
   };
 }
 
+/** Reads a list of types, without what is invalid about it. */
 export function machineTypesOf(map: unknown): readonly MachineType[] {
   return readMachineTypes(map).types;
 }
 
-/** Whether all is known of the type that a rental has to be weighed by. */
+/** Whether everything is known that renting a machine of this type is decided by. */
 export function isRentable({ cpus, memoryGb, fetchGbPerS, price, spotPrice, bootS }: MachineType): boolean {
   return [cpus, memoryGb, fetchGbPerS, price, spotPrice, bootS].every((amount) => amount > 0);
 }
 
+/** The list of types as the cloud sends it. */
 export function machineTypesMap(types: readonly MachineType[]): unknown {
   return {
-    breeds: types.map((t) => ({
-      sku: t.name,
-      cores: t.cpus,
-      accelerators: t.gpus,
-      memory_gb: t.memoryGb,
-      cache_gb: t.cacheGb,
-      fetch_gb_per_s: t.fetchGbPerS,
-      price: t.price,
-      low_price: t.spotPrice,
-      ready_s: t.bootS,
-      yards: t.zones,
+    breeds: types.map((type) => ({
+      sku: type.name,
+      cores: type.cpus,
+      accelerators: type.gpus,
+      memory_gb: type.memoryGb,
+      cache_gb: type.cacheGb,
+      fetch_gb_per_s: type.fetchGbPerS,
+      price: type.price,
+      low_price: type.spotPrice,
+      ready_s: type.bootS,
+      yards: type.zones,
     })),
   };
 }
--- a/packages/wire/src/records.ts
+++ b/packages/wire/src/records.ts
@@ -1,86 +1,26 @@
-// The values that gingerlock keeps in the state service, and their keys. Field names are short because a value has a
-// size limit and every change is sent to every controller.
+// The records that gingerlock stores in the key-value store, and their schemas; `keys.ts` has their keys. Stored names
+// are short because a value has a size limit and every change is sent to every controller. `read` throws a
+// `MalformedMessageError` if the value is no such record.
 import { Type } from '@sinclair/typebox';
-import { checker } from './check';
+import { compileValidator } from './validator';
 import { integer } from './codec';
 import { type JobSpec, jobSpecOf, submissionMap } from './users';
 
-/** Everything of ours is below one prefix, so that one request follows it all. */
-export const PREFIX = 'g/';
-
-export const KEYS = {
-  meta: 'g/meta',
-  term: 'g/term',
-  types: 'g/types',
-  owner: (resource: string) => `g/own/${resource}`,
-  hold: (resource: string) => `g/hold/${resource}`,
-  /** A term record: the owner of that term knows that the `movedAt` of its record bounds its takeover. */
-  confirmedTerm: (resource: string) => `g/timed/${resource}`,
-  job: (id: string) => `g/j/${id}`,
-  finished: (id: string, partitionId: number, page: number) => `g/f/${id}/${partitionId}/${page}`,
-  /** A page of finished tasks that begins at task `first`; see `finishedPageFor`. */
-  finishedFrom: (id: string, partitionId: number, first: number) => `g/o/${id}/${partitionId}/${first}`,
-  membership: (partitionId: number, machine: string) => `g/r/${partitionId}/${machine}`,
-  reclaim: (partitionId: number, id: string) => `g/b/${partitionId}/${id}`,
-  /** How the replica group of a job stands. */
-  group: (job: string) => `g/g/${job}`,
-} as const;
-
-/** The slot of the leader; the slot of a part is its number. */
-export const LEADERSHIP = 'lead';
-
-export type ParsedKey =
-  | { readonly kind: 'meta' | 'term' | 'types' | 'other' }
-  | { readonly kind: 'owner' | 'hold' | 'confirmedTerm'; readonly resource: string }
-  | { readonly kind: 'job'; readonly id: string }
-  | { readonly kind: 'finished'; readonly id: string; readonly partitionId: number; readonly page: number }
-  | { readonly kind: 'finishedFrom'; readonly id: string; readonly partitionId: number; readonly first: number }
-  | { readonly kind: 'membership'; readonly partitionId: number; readonly machine: string }
-  | { readonly kind: 'reclaim'; readonly partitionId: number; readonly id: string }
-  | { readonly kind: 'group'; readonly job: string };
-
-export function parseKey(key: string): ParsedKey {
-  const words = key.split('/');
-  switch (words[1]) {
-    case 'meta':
-    case 'term':
-    case 'types':
-      return { kind: words[1] };
-    case 'own':
-      return { kind: 'owner', resource: words[2] ?? '' };
-    case 'hold':
-      return { kind: 'hold', resource: words[2] ?? '' };
-    case 'timed':
-      return { kind: 'confirmedTerm', resource: words[2] ?? '' };
-    case 'j':
-      return { kind: 'job', id: words[2] ?? '' };
-    case 'f':
-      return { kind: 'finished', id: words[2] ?? '', partitionId: Number(words[3]), page: Number(words[4]) };
-    case 'o':
-      return { kind: 'finishedFrom', id: words[2] ?? '', partitionId: Number(words[3]), first: Number(words[4]) };
-    case 'r':
-      return { kind: 'membership', partitionId: Number(words[2]), machine: words.slice(3).join('/') };
-    case 'b':
-      return { kind: 'reclaim', partitionId: Number(words[2]), id: words.slice(3).join('/') };
-    case 'g':
-      return { kind: 'group', job: words[2] ?? '' };
-    default:
-      return { kind: 'other' };
-  }
-}
-
-/** Fixed by the first controller that ever starts. */
+/** What the first controller that ever starts fixes for good. */
 export interface Meta {
+  /** Version of the stored format; see `FORMAT`. */
   readonly format: number;
   readonly partitionCount: number;
-  /** The zone in which each part has its home; none: machines are shared out without regard to zones. */
+  /** The home zone of each partition; empty: machines are shared out without regard to zones. */
   readonly zones: readonly string[];
+  /** How many tasks one page of finished tasks covers. */
   readonly pageTasks: number;
 }
 
+/** The version of the stored format that this program reads and writes. */
 export const FORMAT = 1;
 
-const checkMeta = checker(
+const checkMeta = compileValidator(
   Type.Object({
     v: Type.Integer(),
     parts: Type.Integer({ minimum: 1, maximum: 1000 }),
@@ -88,35 +28,38 @@
     z: Type.Optional(Type.Array(Type.String())),
   }),
 );
+/** At `KEYS.meta`. */
 export const metaRecord = {
-  write: (m: Meta): unknown => ({
-    v: m.format,
-    parts: m.partitionCount,
-    page: m.pageTasks,
-    ...(m.zones.length > 0 ? { z: m.zones } : {}),
+  write: ({ format, partitionCount, pageTasks, zones }: Meta): unknown => ({
+    v: format,
+    parts: partitionCount,
+    page: pageTasks,
+    ...(zones.length > 0 ? { z: zones } : {}),
   }),
   read: (value: unknown): Meta => {
-    const m = checkMeta(value);
-    return { format: m.v, partitionCount: m.parts, zones: m.z ?? [], pageTasks: m.page };
+    const { v, parts, page, z } = checkMeta(value);
+    return { format: v, partitionCount: parts, zones: z ?? [], pageTasks: page };
   },
 };
 
-const checkTerm = checker(Type.Object({ t: Type.Integer({ minimum: 0 }) }));
+const checkTerm = compileValidator(Type.Object({ t: Type.Integer({ minimum: 0 }) }));
+/** At `KEYS.term`, the highest term so far; at `KEYS.confirmedTerm`, a term of ownership. */
 export const termRecord = {
   write: (term: number): unknown => ({ t: term }),
   read: (value: unknown): number => checkTerm(value).t,
 };
 
+/** Who owns a resource: the leadership or a partition. */
 export interface OwnerRecord {
   readonly term: number;
   readonly node: string;
-  /** Time of day (ms) of the last takeover from another controller that may have gone on; 0 if there never was one. */
+  /** Time of day (ms) of the last failover from another controller that may have gone on; 0: there never was one. */
   readonly failoverAt: number;
-  /** Given back: this owner has answered nobody since before this was written. */
+  /** Whether the owner has released the resource: it has answered nobody since before this was written. */
   readonly released: boolean;
 }
 
-const checkOwner = checker(
+const checkOwner = compileValidator(
   Type.Object({
     t: Type.Integer({ minimum: 1 }),
     n: Type.String(),
@@ -124,25 +67,32 @@
     r: Type.Optional(Type.Integer()),
   }),
 );
+/** At `KEYS.owner`. */
 export const ownerRecord = {
-  write: (o: OwnerRecord): unknown => ({ t: o.term, n: o.node, at: o.failoverAt, ...(o.released ? { r: 1 } : {}) }),
+  write: ({ term, node, failoverAt, released }: OwnerRecord): unknown => ({
+    t: term,
+    n: node,
+    at: failoverAt,
+    ...(released ? { r: 1 } : {}),
+  }),
   read: (value: unknown): OwnerRecord => {
-    const o = checkOwner(value);
-    return { term: o.t, node: o.n, failoverAt: o.at, released: o.r === 1 };
+    const { t, n, at, r } = checkOwner(value);
+    return { term: t, node: n, failoverAt: at, released: r === 1 };
   },
 };
 
+/** Bound to a lease of the store: while it exists, the owner of the resource is taken to be alive. */
 export interface HoldRecord {
   readonly node: string;
   /** Differs between two processes of one controller. */
   readonly process: string;
-  /** It takes lists of claims from owners; controllers that do not know them would end the connection. */
+  /** The process accepts lists of claims; controllers of versions without them would close the connection. */
   readonly takesClaimLists?: boolean;
-  /** It takes reports on replica groups from owners, as above. */
+  /** The process accepts reports on replica groups; as above. */
   readonly takesGroupReports?: boolean;
 }
 
-const checkHold = checker(
+const checkHold = compileValidator(
   Type.Object({
     n: Type.String(),
     i: Type.String(),
@@ -150,48 +100,52 @@
     g: Type.Optional(Type.Integer()),
   }),
 );
+/** At `KEYS.hold`. */
 export const holdRecord = {
-  write: (h: HoldRecord): unknown => ({
-    n: h.node,
-    i: h.process,
-    ...(h.takesClaimLists === true ? { c: 1 } : {}),
-    ...(h.takesGroupReports === true ? { g: 1 } : {}),
+  write: (hold: HoldRecord): unknown => ({
+    n: hold.node,
+    i: hold.process,
+    ...(hold.takesClaimLists === true ? { c: 1 } : {}),
+    ...(hold.takesGroupReports === true ? { g: 1 } : {}),
   }),
   read: (value: unknown): HoldRecord => {
-    const h = checkHold(value);
+    const { n, i, c, g } = checkHold(value);
     return {
-      node: h.n,
-      process: h.i,
-      ...(h.c === 1 ? { takesClaimLists: true } : {}),
-      ...(h.g === 1 ? { takesGroupReports: true } : {}),
+      node: n,
+      process: i,
+      ...(c === 1 ? { takesClaimLists: true } : {}),
+      ...(g === 1 ? { takesGroupReports: true } : {}),
     };
   },
 };
 
-/** Tasks `from` up to but excluding `from + count` are assigned to `part`, there to run in `zone` (null: any). */
+/** Tasks `from` up to but excluding `from + count` are assigned to a partition, to run there in `zone` (null: any). */
 export interface AssignedRange {
   readonly from: number;
   readonly count: number;
   readonly partitionId: number;
   readonly zone: string | null;
-  /** Term of the part's owner at the assignment. */
+  /** Term of the partition's owner at the assignment. */
   readonly term: number;
 }
 
+/** A job: only its outcome once it is over. */
 export type JobRecord =
   | { readonly final: 'done' | 'cancelled' }
   | {
       readonly final: null;
       readonly spec: JobSpec;
-      /** Time of day (ms) at the controller that accepted it: an order of arrival, nothing more. */
+      /** Time of day (ms) at the controller that accepted it. Used only to order jobs by arrival. */
       readonly acceptedAt: number;
       readonly cancelled: boolean;
-      /** Its tasks failed on several machines and none was seen to run: at most one at a time is tried. */
+      /**
+       * Its tasks failed on several machines and none was seen to run: at most one at a time is started, as a probe.
+       */
       readonly isCrashLooping: boolean;
       readonly assignedRanges: readonly AssignedRange[];
     };
 
-const checkJob = checker(
+const checkJob = compileValidator(
   Type.Union([
     Type.Object({ f: Type.Union([Type.Literal('d'), Type.Literal('x')]) }),
     Type.Object({
@@ -211,59 +165,79 @@
     }),
   ]),
 );
+/** At `KEYS.job`. */
 export const jobRecord = {
-  write: (j: JobRecord): unknown =>
-    j.final !== null
-      ? { f: j.final === 'done' ? 'd' : 'x' }
+  write: (job: JobRecord): unknown =>
+    job.final !== null
+      ? { f: job.final === 'done' ? 'd' : 'x' }
       : {
-          s: submissionMap(j.spec),
-          t: j.acceptedAt,
-          c: j.cancelled ? 1 : 0,
-          // Left out when it does not hold: versions that do not know it drop it, which costs a few more failures.
-          ...(j.isCrashLooping ? { e: 1 } : {}),
-          r: j.assignedRanges.map((range) => [range.from, range.count, range.partitionId, range.zone, range.term]),
+          s: submissionMap(job.spec),
+          t: job.acceptedAt,
+          c: job.cancelled ? 1 : 0,
+          // Left out when false. Versions without it drop it, which costs a few more failures.
+          ...(job.isCrashLooping ? { e: 1 } : {}),
+          r: job.assignedRanges.map(({ from, count, partitionId, zone, term }) => [
+            from,
+            count,
+            partitionId,
+            zone,
+            term,
+          ]),
         },
   read: (value: unknown): JobRecord => {
-    const j = checkJob(value);
-    if ('f' in j) return { final: j.f === 'd' ? 'done' : 'cancelled' };
+    const stored = checkJob(value);
+    if ('f' in stored) return { final: stored.f === 'd' ? 'done' : 'cancelled' };
     return {
       final: null,
-      spec: jobSpecOf(j.s),
-      acceptedAt: j.t,
-      cancelled: j.c === 1,
-      isCrashLooping: j.e === 1,
-      assignedRanges: j.r.map(([from, count, partitionId, zone, term]) => ({ from, count, partitionId, zone, term })),
+      spec: jobSpecOf(stored.s),
+      acceptedAt: stored.t,
+      cancelled: stored.c === 1,
+      isCrashLooping: stored.e === 1,
+      assignedRanges: stored.r.map(([from, count, partitionId, zone, term]) => ({
+        from,
+        count,
+        partitionId,
+        zone,
+        term,
+      })),
     };
   },
 };
 
-const checkPage = checker(Type.Object({ b: Type.String() }));
-/** One page of a job's finished tasks at one part: a bit per task, the lowest bit first. */
+const checkPage = compileValidator(Type.Object({ b: Type.String() }));
+
+/**
+ * At `KEYS.finished` and `KEYS.finishedFrom`: a page of a job's finished tasks on one partition, one bit per task,
+ * lowest first.
+ */
 export const finishedRecord = {
   write: (bits: Uint8Array): unknown => ({ b: Buffer.from(bits).toString('base64') }),
   read: (value: unknown): Uint8Array => new Uint8Array(Buffer.from(checkPage(value).b, 'base64')),
 };
 
-const checkMembership = checker(Type.Object({ a: Type.String() }));
+const checkMembership = compileValidator(Type.Object({ a: Type.String() }));
+/** At `KEYS.membership`: the address of a machine that belongs to the partition, as `HOST:PORT`. */
 export const membershipRecord = {
   write: (addr: string): unknown => ({ a: addr }),
   read: (value: unknown): string => checkMembership(value).a,
 };
 
-/** Tasks of one job get room on one machine, for which tasks that it holds are stopped; see docs/borrowing-design.md. */
+/** A reclaim: tasks on one machine are preempted for tasks of one job. See docs/borrowing-design.md. */
 export interface ReclaimRecord {
   readonly machine: string;
-  /** The job that gets the room, and its tasks. */
+  /** The job that the reclaim is for. */
   readonly job: string;
+  /** Indexes of its tasks that get the capacity. */
   readonly tasks: readonly number[];
-  /** What may be stopped for them: tasks, each under the attempt that it had then. */
+  /** The tasks to preempt, each in the attempt that it had at the decision. */
   readonly victims: readonly { readonly task: string; readonly attempt: number }[];
   /** Time of day (ms) at the leader that decided it. */
   readonly decidedAt: number;
+  /** Why they may be preempted: for work of higher priority, or to give a team its guarantee. */
   readonly reason: 'priority' | 'guarantee';
 }
 
-const checkReclaim = checker(
+const checkReclaim = compileValidator(
   Type.Object({
     m: Type.String({ minLength: 1 }),
     j: Type.String({ minLength: 1 }),
@@ -273,24 +247,25 @@
     w: Type.Union([Type.Literal('p'), Type.Literal('g')]),
   }),
 );
+/** At `KEYS.reclaim`. */
 export const reclaimRecord = {
-  write: (r: ReclaimRecord): unknown => ({
-    m: r.machine,
-    j: r.job,
-    t: r.tasks,
-    v: r.victims.map(({ task: taskName, attempt }) => [taskName, integer(attempt)]),
-    at: r.decidedAt,
-    w: r.reason === 'priority' ? 'p' : 'g',
+  write: ({ machine, job, tasks, victims, decidedAt, reason }: ReclaimRecord): unknown => ({
+    m: machine,
+    j: job,
+    t: tasks,
+    v: victims.map(({ task, attempt }) => [task, integer(attempt)]),
+    at: decidedAt,
+    w: reason === 'priority' ? 'p' : 'g',
   }),
   read: (value: unknown): ReclaimRecord => {
-    const r = checkReclaim(value);
+    const { m, j, t, v, at, w } = checkReclaim(value);
     return {
-      machine: r.m,
-      job: r.j,
-      tasks: r.t,
-      victims: r.v.map(([taskName, attempt]) => ({ task: taskName, attempt })),
-      decidedAt: r.at,
-      reason: r.w === 'p' ? 'priority' : 'guarantee',
+      machine: m,
+      job: j,
+      tasks: t,
+      victims: v.map(([task, attempt]) => ({ task, attempt })),
+      decidedAt: at,
+      reason: w === 'p' ? 'priority' : 'guarantee',
     };
   },
 };
--- a/packages/wire/src/rendezvous.ts
+++ b/packages/wire/src/rendezvous.ts
@@ -1,51 +1,53 @@
-// What members of replica groups ask controllers, and the answers: who belongs to the group now, and for how long a member may serve.
+// The rendezvous of replica groups: members ask a controller who belongs to the group now and how long they may serve.
 import { Type } from '@sinclair/typebox';
-import { checker } from './check';
+import { compileValidator } from './validator';
 import { decodeMap, encode, integer, MalformedMessageError } from './codec';
 import { GROUP_STATES, type GroupState } from './group-record';
 import { parseTaskName } from './workers';
 
-/** The path of the question on the listener for workers and users. */
+/** The path of the request, on the listener for workers and users. */
 export const RENDEZVOUS_PATH = '/rendezvous';
 
-/** A member names its task and the attempt under which it was started. */
+/** The request of a member: its task, and the attempt in which it was started. */
 export interface RendezvousQuestion {
   readonly job: string;
   readonly rank: number;
   readonly attempt: number;
 }
 
-/** The group serves with this member. */
+/** The group serves with this member, as one of `worldSize`. */
 export interface RendezvousAnswer {
   readonly generation: number;
   readonly rank: number;
   readonly worldSize: number;
   /** The IP addresses of the members' machines, by rank. */
   readonly members: readonly string[];
-  /** How long the member may serve, in milliseconds from when it sent the question. */
+  /** How long the member may serve, in milliseconds from when it sent the request. */
   readonly serveMs: number;
 }
 
-/** The group does not serve with this member; this is how it stands. */
+/** The group does not serve with this member; the state that it is in. */
 export interface RendezvousRefusal {
   /** 0: there is no such group. */
   readonly generation: number;
+  /** Null: there is no such group. */
   readonly state: GroupState | null;
 }
 
-const checkQuestion = checker(Type.Object({ parcel: Type.String(), try: Type.Integer({ minimum: 0 }) }));
+const checkQuestion = compileValidator(Type.Object({ parcel: Type.String(), try: Type.Integer({ minimum: 0 }) }));
 
+/** The body of a member's request. */
 export function encodeRendezvousQuestion({
-  task: taskName,
+  task,
   attempt,
 }: {
   readonly task: string;
   readonly attempt: number;
 }): Buffer {
-  return encode({ parcel: taskName, try: integer(attempt) });
+  return encode({ parcel: task, try: integer(attempt) });
 }
 
-/** Throws `Malformed` if the body is no question. */
+/** Throws a `MalformedMessageError` if the body is no request. */
 export function decodeRendezvousQuestion(body: Uint8Array): RendezvousQuestion {
   const question = checkQuestion(decodeMap(body));
   const task = parseTaskName(question.parcel);
@@ -53,7 +55,7 @@
   return { job: task.job, rank: task.index, attempt: question.try };
 }
 
-const checkAnswer = checker(
+const checkAnswer = compileValidator(
   Type.Object({
     generation: Type.Integer({ minimum: 1 }),
     rank: Type.Integer({ minimum: 0 }),
@@ -63,6 +65,7 @@
   }),
 );
 
+/** The body of the response to a member that may serve. */
 export function encodeRendezvousAnswer(answer: RendezvousAnswer): Buffer {
   return encode({
     generation: integer(answer.generation),
@@ -73,7 +76,7 @@
   });
 }
 
-/** Throws `Malformed` if the body is no answer. */
+/** Throws a `MalformedMessageError` if the body is no answer. */
 export function decodeRendezvousAnswer(body: Uint8Array): RendezvousAnswer {
   const { generation, rank, world_size: worldSize, members, serve_ms: serveMs } = checkAnswer(decodeMap(body));
   if (members.length !== worldSize || rank >= worldSize)
@@ -81,18 +84,19 @@
   return { generation, rank, worldSize, members, serveMs };
 }
 
-const checkRefusal = checker(
+const checkRefusal = compileValidator(
   Type.Object({
     generation: Type.Integer({ minimum: 0 }),
     state: Type.Union([Type.Null(), ...GROUP_STATES.map((state) => Type.Literal(state))]),
   }),
 );
 
+/** The body of the response to a member that may not serve. */
 export function encodeRendezvousRefusal({ generation, state }: RendezvousRefusal): Buffer {
   return encode({ generation: integer(generation), state });
 }
 
-/** Throws `Malformed` if the body is no refusal. */
+/** Throws a `MalformedMessageError` if the body is no refusal. */
 export function decodeRendezvousRefusal(body: Uint8Array): RendezvousRefusal {
   return checkRefusal(decodeMap(body)) as RendezvousRefusal;
 }
--- a/packages/wire/src/state.ts
+++ b/packages/wire/src/state.ts
@@ -1,22 +1,28 @@
+// The API of the key-value store (PROTOCOL, "Controller nodes -> state service"): its names, mapped to the code's.
 import { Type } from '@sinclair/typebox';
-import { checker } from './check';
+import { compileValidator } from './validator';
 import { integer } from './codec';
 
+/** A key with its value, as the store lists it. */
 export interface StateItem {
   readonly key: string;
   readonly value: unknown;
+  /** The revision of the key's last change. */
   readonly version: number;
 }
 
+/** A transaction is executed only if the key has this version. */
 export interface Condition {
   readonly key: string;
   /** 0: the key must not exist. */
   readonly version: number;
 }
 
+/** A change of one key. A key that is put with a lease is removed when the lease expires. */
 export type Change =
   { readonly put: string; readonly value: unknown; readonly lease?: number } | { readonly remove: string };
 
+/** A change that the store reports. */
 export interface StateEvent {
   readonly key: string;
   /** Undefined when the key was removed. */
@@ -24,155 +30,179 @@
   readonly version: number;
 }
 
-const Rev = Type.Integer({ minimum: 0 });
+const Revision = Type.Integer({ minimum: 0 });
 
+/** The body of a transaction, before its encoding. */
 export function txnMap(conditions: readonly Condition[], changes: readonly Change[]): unknown {
   return {
-    if: conditions.map((c) => ({ k: c.key, stamp: integer(c.version) })),
-    apply: changes.map((c) =>
-      'put' in c
-        ? { set: c.put, data: c.value, ...(c.lease === undefined ? {} : { permit: integer(c.lease) }) }
-        : { remove: c.remove },
+    if: conditions.map(({ key, version }) => ({ k: key, stamp: integer(version) })),
+    apply: changes.map((change) =>
+      'put' in change
+        ? {
+            set: change.put,
+            data: change.value,
+            ...(change.lease === undefined ? {} : { permit: integer(change.lease) }),
+          }
+        : { remove: change.remove },
     ),
   };
 }
 
-const checkRevision = checker(Type.Object({ ledger: Rev }));
+const checkRevision = compileValidator(Type.Object({ ledger: Revision }));
+
+/** The store's revision, which every response names. */
 export function revisionOf(map: unknown): number {
   return checkRevision(map).ledger;
 }
 
-const checkList = checker(
+const checkList = compileValidator(
   Type.Object({
-    items: Type.Array(Type.Object({ k: Type.String(), data: Type.Unknown(), stamp: Rev })),
+    items: Type.Array(Type.Object({ k: Type.String(), data: Type.Unknown(), stamp: Revision })),
     more: Type.Boolean(),
-    ledger: Rev,
+    ledger: Revision,
   }),
 );
+
+/** Reads one page of a list; `more`: there are further keys. */
 export function listOf(map: unknown): { items: StateItem[]; more: boolean; revision: number } {
   const list = checkList(map);
   return {
-    items: list.items.map((i) => ({ key: i.k, value: i.data, version: i.stamp })),
+    items: list.items.map(({ k, data, stamp }) => ({ key: k, value: data, version: stamp })),
     more: list.more,
     revision: list.ledger,
   };
 }
 
-const checkEvents = checker(
+const checkEvents = compileValidator(
   Type.Object({
-    ledger: Rev,
+    ledger: Revision,
     events: Type.Array(
       Type.Object({
         set: Type.Optional(Type.String()),
         remove: Type.Optional(Type.String()),
         data: Type.Optional(Type.Unknown()),
-        stamp: Rev,
+        stamp: Revision,
       }),
     ),
   }),
 );
+
+/** Reads the changes that `/follow` returns. */
 export function eventsOf(map: unknown): { events: StateEvent[]; revision: number } {
   const follow = checkEvents(map);
   return {
     revision: follow.ledger,
-    events: follow.events.map((e) => ({
-      key: e.set ?? e.remove ?? '',
-      value: e.set === undefined ? undefined : e.data,
-      version: e.stamp,
+    events: follow.events.map(({ set, remove, data, stamp }) => ({
+      key: set ?? remove ?? '',
+      value: set === undefined ? undefined : data,
+      version: stamp,
     })),
   };
 }
 
-const checkLease = checker(Type.Object({ permit: Rev }));
+const checkLease = compileValidator(Type.Object({ permit: Revision }));
+
+/** The number of the lease that the store has granted. */
 export function leaseOf(map: unknown): number {
   return checkLease(map).permit;
 }
 
+/** The body of a request for a lease, before its encoding. */
 export function leaseMap(ttlMs: number): unknown {
   return { ttl_ms: Math.round(ttlMs) };
 }
 
-/** Keys keep their slashes unescaped. */
-function word(key: string): string {
+/** A key as a parameter of a URL, with its slashes unescaped. */
+function urlKey(key: string): string {
   return encodeURIComponent(key).replaceAll('%2F', '/');
 }
 
+/** Paths of the store's API. `list` starts after the key `after`, `follow` after the revision `after`. */
 export const STATE_PATHS = {
   txn: '/txn',
   leases: '/holds',
   renew: (lease: number) => `/holds/${lease}/renew`,
   release: (lease: number) => `/holds/${lease}`,
   list: (prefix: string, after: string, limit: number) =>
-    `/kv?under=${word(prefix)}${after === '' ? '' : `&from=${word(after)}`}&most=${limit}`,
+    `/kv?under=${urlKey(prefix)}${after === '' ? '' : `&from=${urlKey(after)}`}&most=${limit}`,
   follow: (prefix: string, after: number, waitMs: number) =>
-    `/follow?under=${word(prefix)}&from=${after}&block_ms=${waitMs}`,
+    `/follow?under=${urlKey(prefix)}&from=${after}&block_ms=${waitMs}`,
 } as const;
 
-// --- the other side of the protocol: for stand-ins of the state service ----------------------------------------------
+// --- the other side of the protocol: for simulated stores ----------------------------------------------
 
+/** A transaction as the store reads it. */
 export interface TxnRequest {
   readonly conditions: readonly Condition[];
   readonly changes: readonly Change[];
 }
 
-const checkTxn = checker(
+const checkTxn = compileValidator(
   Type.Object({
-    if: Type.Array(Type.Object({ k: Type.String(), stamp: Rev })),
+    if: Type.Array(Type.Object({ k: Type.String(), stamp: Revision })),
     apply: Type.Array(
       Type.Object({
         set: Type.Optional(Type.String()),
         remove: Type.Optional(Type.String()),
         data: Type.Optional(Type.Unknown()),
-        permit: Type.Optional(Rev),
+        permit: Type.Optional(Revision),
       }),
     ),
   }),
 );
 
+/** Reads the body of a transaction. */
 export function txnRequestOf(map: unknown): TxnRequest {
   const txn = checkTxn(map);
   return {
-    conditions: txn.if.map((c) => ({ key: c.k, version: c.stamp })),
-    changes: txn.apply.map((c) =>
-      c.set !== undefined
-        ? { put: c.set, value: c.data, ...(c.permit === undefined ? {} : { lease: c.permit }) }
-        : { remove: c.remove ?? '' },
+    conditions: txn.if.map(({ k, stamp }) => ({ key: k, version: stamp })),
+    changes: txn.apply.map(({ set, remove, data, permit }) =>
+      set !== undefined
+        ? { put: set, value: data, ...(permit === undefined ? {} : { lease: permit }) }
+        : { remove: remove ?? '' },
     ),
   };
 }
 
+/** The response to a transaction; `failed`: the keys whose conditions did not hold. */
 export function revisionMap(revision: number, failed?: readonly string[]): unknown {
   return { ledger: integer(revision), ...(failed === undefined ? {} : { failed }) };
 }
 
+/** One page of a list. */
 export function listMap(items: readonly StateItem[], more: boolean, revision: number): unknown {
   return {
-    items: items.map((i) => ({ k: i.key, data: i.value, stamp: integer(i.version) })),
+    items: items.map(({ key, value, version }) => ({ k: key, data: value, stamp: integer(version) })),
     more,
     ledger: integer(revision),
   };
 }
 
+/** The changes that `/follow` returns. */
 export function eventsMap(events: readonly StateEvent[], revision: number): unknown {
   return {
     ledger: integer(revision),
-    events: events.map((e) =>
-      e.value === undefined
-        ? { remove: e.key, stamp: integer(e.version) }
-        : { set: e.key, data: e.value, stamp: integer(e.version) },
+    events: events.map(({ key, value, version }) =>
+      value === undefined
+        ? { remove: key, stamp: integer(version) }
+        : { set: key, data: value, stamp: integer(version) },
     ),
   };
 }
 
+/** The response to a request for a lease. */
 export function leaseGrantedMap(lease: number): unknown {
   return { permit: integer(lease) };
 }
 
-const checkTtl = checker(Type.Object({ ttl_ms: Type.Number({ minimum: 100, maximum: 600_000 }) }));
+const checkTtl = compileValidator(Type.Object({ ttl_ms: Type.Number({ minimum: 100, maximum: 600_000 }) }));
+
+/** The time to live of the requested lease, in milliseconds. */
 export function leaseTtlOf(map: unknown): number {
   return checkTtl(map).ttl_ms;
 }
 
+/** What a request to the store asks for. */
 export type StateRequest =
   | { readonly kind: 'txn' }
   | { readonly kind: 'grant' }
@@ -180,6 +210,7 @@
   | { readonly kind: 'list'; readonly prefix: string; readonly after: string; readonly limit: number }
   | { readonly kind: 'follow'; readonly prefix: string; readonly after: number };
 
+/** Reads method and path of a request; null: the store has no such path. */
 export function parseStateRequest(method: string, path: string): StateRequest | null {
   const url = new URL(path, 'http://state');
   const prefix = url.searchParams.get('under') ?? '';
--- a/packages/wire/src/workers.ts
+++ b/packages/wire/src/workers.ts
@@ -1,39 +1,60 @@
+// The interface of workers (PROTOCOL, "Workers -> controller nodes" and "Controller nodes -> workers"): its names,
+// mapped to the code's.
 import { Type } from '@sinclair/typebox';
-import { checker } from './check';
+import { compileValidator } from './validator';
 import { decodeMap, encode, integer, MalformedMessageError } from './codec';
 import { isJobId } from './users';
 
+/** The state of a task on its machine. fetching: it waits for its image; saving: it was told to stop and saves. */
 export type TaskState = 'fetching' | 'running' | 'saving' | 'exited';
-/** `unrecognised`: the worker gave none, or one that the protocol does not name. */
+/**
+ * Why a task has ended or was not started; `unrecognised`: the worker gave no cause, or one that PROTOCOL does not
+ * name.
+ */
 export type ExitCause = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown' | 'unrecognised';
 
+/** A task as a heartbeat reports it. */
 export interface ReportedTask {
-  /** `JOB/INDEX`, as the worker names it. */
+  /** Its name, `JOB/INDEX`. */
   readonly task: string;
   readonly attempt: number;
   readonly state: TaskState;
+  /** Null unless it has exited. */
   readonly cause: ExitCause | null;
+  /** Whether its progress was saved when it was stopped. */
   readonly saved: boolean;
 }
 
+/** A heartbeat of a worker, with the status of its machine. */
 export interface Heartbeat {
   readonly machine: string;
+  /** Where the worker takes direct commands, `HOST:PORT`. */
   readonly addr: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
+  /** Starts at 1 and increases each time the worker's lease expires. */
   readonly agentEpoch: number;
+  /** Increases with every message of the worker: the one with the larger epoch and number is the newer one. */
   readonly sequenceNumber: number;
+  /** The highest fencing token that the worker has seen. */
   readonly fencingToken: number;
+  /** Seconds until the cloud takes the machine away; null: there is no notice. */
   readonly noticeS: number | null;
+  /** All tasks on the machine, including exited ones that were not forgotten yet. */
   readonly tasks: readonly ReportedTask[];
 }
 
+/**
+ * A command to a worker. `graceS`: time to save before the task is ended. `forget` removes an exited task from the
+ * heartbeats.
+ */
 export type WorkerCommand =
   | { readonly op: 'start'; readonly task: string; readonly attempt: number }
   | { readonly op: 'stop'; readonly task: string; readonly attempt: number; readonly graceS: number }
   | { readonly op: 'forget'; readonly task: string; readonly attempt: number };
 
+/** The code's names by wire name. */
 const STATE_NAMES: Record<string, TaskState> = {
   fetching: 'fetching',
   running: 'running',
@@ -48,15 +69,17 @@
   in_use: 'busy',
   no_such: 'unknown',
 };
+/** The wire names by the code's name. */
 const OP_WORDS = { start: 'start', stop: 'halt', forget: 'forget' } as const;
 
-function wordOf<V extends string>(names: Record<string, V>, value: V): string {
-  return Object.keys(names).find((word) => names[word] === value)!;
+/** The wire name of a value. */
+function wireNameOf<V extends string>(names: Record<string, V>, value: V): string {
+  return Object.keys(names).find((name) => names[name] === value)!;
 }
 
 const Count = Type.Integer({ minimum: 0 });
 
-const checkHeartbeat = checker(
+const checkHeartbeat = compileValidator(
   Type.Object({
     rig: Type.String({ minLength: 1, maxLength: 128, pattern: '^[!-~]+$' }),
     addr: Type.String({ maxLength: 64 }),
@@ -79,33 +102,35 @@
   }),
 );
 
+/** Reads a heartbeat. Throws a `MalformedMessageError`. */
 export function decodeHeartbeat(body: Uint8Array): Heartbeat {
-  const r = checkHeartbeat(decodeMap(body));
+  const map = checkHeartbeat(decodeMap(body));
   return {
-    machine: r.rig,
-    addr: r.addr,
-    type: r.breed,
-    zone: r.yard,
-    spot: r.borrowed,
-    agentEpoch: r.shift,
-    sequenceNumber: r.tally,
-    fencingToken: r.baton,
-    noticeS: r.recall_s ?? null,
-    tasks: r.parcels.map((p, i) => {
-      const state = STATE_NAMES[p.status];
+    machine: map.rig,
+    addr: map.addr,
+    type: map.breed,
+    zone: map.yard,
+    spot: map.borrowed,
+    agentEpoch: map.shift,
+    sequenceNumber: map.tally,
+    fencingToken: map.baton,
+    noticeS: map.recall_s ?? null,
+    tasks: map.parcels.map((parcel, index) => {
+      const state = STATE_NAMES[parcel.status];
       // An unknown state is not evidence of anything, least of all that the task is gone.
-      if (state === undefined) throw new MalformedMessageError(`parcels.${i}.status`, 'unknown');
+      if (state === undefined) throw new MalformedMessageError(`parcels.${index}.status`, 'unknown');
       return {
-        task: p.parcel,
-        attempt: p.try,
+        task: parcel.parcel,
+        attempt: parcel.try,
         state,
-        cause: state === 'exited' ? (CAUSE_NAMES[p.cause ?? ''] ?? 'unrecognised') : null,
-        saved: p.stored ?? false,
+        cause: state === 'exited' ? (CAUSE_NAMES[parcel.cause ?? ''] ?? 'unrecognised') : null,
+        saved: parcel.stored ?? false,
       };
     }),
   };
 }
 
+/** The body of a heartbeat, and of a worker's response to direct commands. */
 export function encodeHeartbeat(heartbeat: Heartbeat): Buffer {
   return encode({
     rig: heartbeat.machine,
@@ -117,26 +142,26 @@
     tally: integer(heartbeat.sequenceNumber),
     baton: integer(heartbeat.fencingToken),
     recall_s: heartbeat.noticeS,
-    parcels: heartbeat.tasks.map((t) => ({
-      parcel: t.task,
-      try: integer(t.attempt),
-      status: wordOf(STATE_NAMES, t.state),
-      ...(t.cause === null ? {} : { cause: wordOf(CAUSE_NAMES, t.cause) }),
-      ...(t.cause === 'stopped' ? { stored: t.saved } : {}),
+    parcels: heartbeat.tasks.map(({ task, attempt, state, cause, saved }) => ({
+      parcel: task,
+      try: integer(attempt),
+      status: wireNameOf(STATE_NAMES, state),
+      ...(cause === null ? {} : { cause: wireNameOf(CAUSE_NAMES, cause) }),
+      ...(cause === 'stopped' ? { stored: saved } : {}),
     })),
   });
 }
 
 function commandMaps(commands: readonly WorkerCommand[]): unknown[] {
-  return commands.map((c) => ({
-    verb: OP_WORDS[c.op],
-    parcel: c.task,
-    try: integer(c.attempt),
-    ...(c.op === 'stop' ? { leeway_s: c.graceS } : {}),
+  return commands.map((command) => ({
+    verb: OP_WORDS[command.op],
+    parcel: command.task,
+    try: integer(command.attempt),
+    ...(command.op === 'stop' ? { leeway_s: command.graceS } : {}),
   }));
 }
 
-/** The answer to a report. */
+/** The response to a heartbeat. */
 export function encodeHeartbeatAnswer(fencingToken: number, commands: readonly WorkerCommand[]): Buffer {
   return encode({ baton: integer(fencingToken), orders: commandMaps(commands) });
 }
@@ -150,7 +175,7 @@
   return encode({ baton: integer(fencingToken), shift: integer(agentEpoch), orders: commandMaps(commands) });
 }
 
-const checkCommands = checker(
+const checkCommands = compileValidator(
   Type.Object({
     baton: Count,
     shift: Type.Optional(Count),
@@ -165,7 +190,10 @@
   }),
 );
 
-/** Reads an answer to a report, or a direct `/commands` request, which names the session too. */
+/**
+ * Reads a response to a heartbeat, or a direct `/commands` request, which names the agent epoch too. Throws a
+ * `MalformedMessageError`.
+ */
 export function decodeCommands(body: Uint8Array): {
   fencingToken: number;
   agentEpoch: number | null;
@@ -175,24 +203,25 @@
   return {
     fencingToken: map.baton,
     agentEpoch: map.shift ?? null,
-    commands: map.orders.map((o) =>
-      o.verb === 'halt'
-        ? { op: 'stop', task: o.parcel, attempt: o.try, graceS: o.leeway_s ?? 0 }
-        : { op: o.verb, task: o.parcel, attempt: o.try },
+    commands: map.orders.map((order) =>
+      order.verb === 'halt'
+        ? { op: 'stop', task: order.parcel, attempt: order.try, graceS: order.leeway_s ?? 0 }
+        : { op: order.verb, task: order.parcel, attempt: order.try },
     ),
   };
 }
 
-/** The body of a 421: which controller to report to, if that is known. */
+/** The body of a response with status 421: the controller to send heartbeats to; null: it is not known. */
 export function encodeRedirect(controller: string | null): Buffer {
   return encode(controller === null ? {} : { foreman: controller });
 }
 
+/** The name of a task. */
 export function taskName(job: string, index: number): string {
   return `${job}/${index}`;
 }
 
-/** Splits a task's name; null if it is none of ours. */
+/** Splits the name of a task; null: it is not the name of one. */
 export function parseTaskName(name: string): { job: string; index: number } | null {
   const slash = name.indexOf('/');
   const digits = name.slice(slash + 1);
@@ -200,7 +229,7 @@
   return { job: name.slice(0, slash), index: Number(digits) };
 }
 
-/** Which controller a 421 names, or null. */
+/** The controller that a response with status 421 names; null: none. */
 export function decodeRedirect(body: Uint8Array): string | null {
   const { foreman } = decodeMap(body);
   return typeof foreman === 'string' ? foreman : null;
