--- a/packages/peer/src/link.ts
+++ b/packages/peer/src/link.ts
@@ -1,51 +1,70 @@
+// The link between controllers over TCP.
 import { createConnection, createServer, type Server, type Socket } from 'node:net';
+import { errorMessage } from '@gingerlock/wire';
 import { frame, frames, MAX_FRAME_BYTES } from './frames';
-import { decodePeer, encodePeer, PEER_VERSION, type PeerMessage } from './messages';
+import { decodePeer, encodePeer, PEER_VERSION, type PeerMessage, type PeerMessages } from './messages';
 
+/** Where another controller listens for its peers. */
 export interface PeerAddress {
+  /** The name of the controller. */
   readonly node: string;
+  /** `HOST:PORT`. */
   readonly address: string;
 }
 
-/** What the controller needs of the link; the testkit has a stand-in. */
+/** The port through which a controller reaches its peers; the testkit implements it in simulated time. */
 export interface PeerLink {
+  /** The names of all peers. */
   readonly nodes: readonly string[];
-  /** Whether anything has come from that controller lately. */
+  /** Whether a message of that controller has arrived lately. */
   alive(node: string): boolean;
-  /** The largest message that is taken, in bytes. */
+  /** The largest message that is accepted, in bytes. */
   readonly frameBytes: number;
-  /** Sends if the controller can be reached now; false: it was dropped. */
+  /** Sends a message; false: it was dropped, as the controller can't be reached now. Nothing is sent again. */
   send(node: string, message: PeerMessage): boolean;
-  /** Sends messages that are of use together only: all of them or, if the controller is slow to take what it was sent, none. */
+  /**
+   * Sends messages that are useful only together: all of them or, if too much waits to be sent to that controller,
+   * none.
+   */
   sendGroup(node: string, messages: readonly PeerMessage[]): boolean;
+  /** Called with each message that arrives. */
   onMessage: (from: string, message: PeerMessage) => void;
 }
 
+/** The options of a `TcpLink`. */
 export interface LinkOptions {
+  /** The name of this controller. */
   readonly node: string;
+  /** Where it listens for its peers, `HOST:PORT`. */
   readonly listen: string;
   readonly peers: readonly PeerAddress[];
-  /** A peer that was silent for this long is not alive. */
+  /** A peer that has been silent for this long, in milliseconds, is not alive. */
   readonly silenceMs: number;
   readonly log: (message: string, detail: Record<string, unknown>) => void;
 }
 
 /**
- * Bytes that may wait in a socket before messages are dropped: they are all repeated or may be lost. A group of messages may wait
- * beside them, whatever its size, so that what a fleet of any size takes is told whole, and what comes after it is not dropped.
+ * Bytes that may wait in a socket before further messages are dropped; all messages are repeated or may be lost. The
+ * last group may wait besides, whatever its size, so that the status of a fleet of any size is sent whole and messages
+ * after it are not dropped.
  */
 export const MAX_QUEUED_BYTES = MAX_FRAME_BYTES;
 
-/** How often, in the time after which a peer counts as silent, it is looked whether a connection still brings anything. */
+/** How many checks for silence fall into `silenceMs`. */
 const CHECKS_PER_SILENCE = 4;
 
-/** A connection that has brought nothing for so many checks in a row is closed. */
-const MOST_SILENT_CHECKS = 2 * CHECKS_PER_SILENCE;
+/** A connection on which nothing arrived for this many checks in a row is closed. */
+const MAX_SILENT_CHECKS = 2 * CHECKS_PER_SILENCE;
 
+/** The share of `silenceMs` after which a failed connection is dialled again at first. */
+const FIRST_BACKOFF_SHARE = 1 / 16;
+
+/** A connection whose other end has named itself. */
 interface Connection {
   readonly socket: Socket;
-  heardAt: number;
-  /** Size of the last group that was sent: so much more may wait in the socket. */
+  /** Steady time (ms) of the last message. */
+  receivedAt: number;
+  /** Size of the last group that was sent: that much more may wait in the socket. */
   groupBytes: number;
 }
 
@@ -54,19 +73,21 @@
   readonly nodes: readonly string[];
   readonly frameBytes = MAX_FRAME_BYTES;
   onMessage: (from: string, message: PeerMessage) => void = () => undefined;
+  /** By node. */
   readonly #connections = new Map<string, Connection>();
   #server: Server | null = null;
   #stopped = false;
-  /** Frames of messages that mostly go to several peers, one after the other. */
-  readonly #framed = new WeakMap<PeerMessage, Buffer>();
+  /** The frames of recent messages: most go to several peers, one after the other. */
+  readonly #frameByMessage = new WeakMap<PeerMessage, Buffer>();
 
   constructor(readonly options: LinkOptions) {
-    this.nodes = options.peers.map((p) => p.node);
+    this.nodes = options.peers.map(({ node }) => node);
   }
 
+  /** Listens and dials the peers. Rejects if it can't listen. */
   start(): Promise<void> {
     for (const peer of this.options.peers) if (this.options.node < peer.node) void this.#dial(peer);
-    const [host, port] = split(this.options.listen);
+    const [host, port] = splitAddress(this.options.listen);
     const server = createServer((socket) => void this.#serve(socket, null));
     server.maxConnections = this.options.peers.length * 4 + 4;
     this.#server = server;
@@ -76,83 +97,84 @@
     });
   }
 
+  /** Closes all connections for good. */
   stop(): void {
     this.#stopped = true;
     this.#server?.close();
-    for (const c of this.#connections.values()) c.socket.destroy();
+    for (const { socket } of this.#connections.values()) socket.destroy();
   }
 
   alive(node: string): boolean {
-    const c = this.#connections.get(node);
-    return c !== undefined && performance.now() - c.heardAt < this.options.silenceMs;
+    const connection = this.#connections.get(node);
+    return connection !== undefined && performance.now() - connection.receivedAt < this.options.silenceMs;
   }
 
   send(node: string, message: PeerMessage): boolean {
-    const c = this.#connections.get(node);
-    if (c === undefined || c.socket.destroyed || c.socket.writableLength > MAX_QUEUED_BYTES + c.groupBytes)
-      return false;
-    c.socket.write(this.#frameOf(message));
+    const connection = this.#connections.get(node);
+    if (connection === undefined || !mayQueue(connection, connection.groupBytes)) return false;
+    connection.socket.write(this.#frameOf(message));
     return true;
   }
 
   sendGroup(node: string, messages: readonly PeerMessage[]): boolean {
-    const c = this.#connections.get(node);
-    if (c === undefined || c.socket.destroyed || c.socket.writableLength > MAX_QUEUED_BYTES) return false;
+    const connection = this.#connections.get(node);
+    if (connection === undefined || !mayQueue(connection, 0)) return false;
     const framed = messages.map((message) => this.#frameOf(message));
-    c.groupBytes = framed.reduce((sum, bytes) => sum + bytes.length, 0);
-    for (const bytes of framed) c.socket.write(bytes);
+    connection.groupBytes = framed.reduce((sum, bytes) => sum + bytes.length, 0);
+    for (const bytes of framed) connection.socket.write(bytes);
     return true;
   }
 
   #frameOf(message: PeerMessage): Buffer {
-    const known = this.#framed.get(message);
+    const known = this.#frameByMessage.get(message);
     if (known !== undefined) return known;
     const bytes = frame(encodePeer(message));
-    this.#framed.set(message, bytes);
+    this.#frameByMessage.set(message, bytes);
     return bytes;
   }
 
+  /** Keeps a connection to the peer, with exponential backoff between the attempts. */
   async #dial(peer: PeerAddress): Promise<void> {
-    const [host, port] = split(peer.address);
-    for (
-      let backoff = this.options.silenceMs / 16;
-      !this.#stopped;
-      backoff = Math.min(backoff * 2, this.options.silenceMs)
-    ) {
+    const [host, port] = splitAddress(peer.address);
+    const { silenceMs } = this.options;
+    const firstBackoffMs = silenceMs * FIRST_BACKOFF_SHARE;
+    for (let backoffMs = firstBackoffMs; !this.#stopped; backoffMs = Math.min(backoffMs * 2, silenceMs)) {
       const socket = createConnection({ host, port });
       const connected = await this.#connected(socket);
       if (connected) {
-        const since = performance.now();
+        const connectedAt = performance.now();
         await this.#serve(socket, peer.node);
-        if (performance.now() - since > this.options.silenceMs) backoff = this.options.silenceMs / 16;
+        if (performance.now() - connectedAt > silenceMs) backoffMs = firstBackoffMs;
       } else socket.destroy();
-      // Jitter: after a cut all links come back, but not at once.
-      await new Promise((resolve) => setTimeout(resolve, backoff * (0.5 + Math.random())));
+      // Jitter: after a network partition not all links come back in the same moment.
+      await new Promise((resolve) => setTimeout(resolve, backoffMs * (0.5 + Math.random())));
     }
   }
 
+  /** Whether the socket connects in time. */
   #connected(socket: Socket): Promise<boolean> {
     return new Promise((resolve) => {
       const timer = setTimeout(() => resolve(false), this.options.silenceMs);
-      const settle = (ok: boolean): void => {
+      const finish = (isConnected: boolean): void => {
         clearTimeout(timer);
-        resolve(ok);
+        resolve(isConnected);
       };
-      socket.once('connect', () => settle(true));
-      socket.once('error', () => settle(false));
+      socket.once('connect', () => finish(true));
+      socket.once('error', () => finish(false));
     });
   }
 
+  /** Reads messages until the connection ends. `expected`: the node that was dialled; null: the other side dialled. */
   async #serve(socket: Socket, expected: string | null): Promise<void> {
     let node: string | null = null;
     let connection: Connection | null = null;
     socket.setNoDelay(true);
-    // A cut leaves connections that hang without an error. A timeout of the socket counts what is sent as well as what comes: while
-    // messages went out, a connection of which the other end was gone stood until the system gave it up. Checks are counted rather
-    // than time: after a stall of this process the first one runs before what has come is read.
+    // A network cut leaves connections that hang without an error. The socket's own timeout would not do: what is sent
+    // resets it too. Checks are counted rather than time: after a stall of this process, the first one runs before what
+    // has arrived is read.
     let silentChecks = 0;
     const watch = setInterval(() => {
-      if (++silentChecks > MOST_SILENT_CHECKS) socket.destroy();
+      if (++silentChecks > MAX_SILENT_CHECKS) socket.destroy();
     }, this.options.silenceMs / CHECKS_PER_SILENCE);
     socket.on('error', () => socket.destroy());
     socket.write(frame(encodePeer({ kind: 'Hello', version: PEER_VERSION, node: this.options.node })));
@@ -161,39 +183,44 @@
         silentChecks = 0;
         const message = decodePeer(payload);
         if (message.kind === 'Hello') {
-          if (
-            message.version !== PEER_VERSION ||
-            !this.nodes.includes(message.node) ||
-            (expected ?? message.node) !== message.node
-          ) {
-            this.options.log('peer refused', { peer: message.node, version: message.version });
-            break;
-          }
+          if (!this.#accepts(message, expected)) break;
           node = message.node;
-          this.#connections.get(node)?.socket.destroy();
-          connection = { socket, heardAt: performance.now(), groupBytes: 0 };
-          this.#connections.set(node, connection);
-          this.onMessage(node, message);
-          continue;
-        }
-        if (node === null || connection === null) break;
-        connection.heardAt = performance.now();
+          connection = this.#register(node, socket);
+        } else if (node === null || connection === null) break;
+        else connection.receivedAt = performance.now();
         this.onMessage(node, message);
       }
     } catch (error) {
-      this.options.log('peer connection ended', {
-        peer: node,
-        error: error instanceof Error ? error.message : 'failed',
-      });
+      this.options.log('peer connection ended', { peer: node, error: errorMessage(error, 'failed') });
     } finally {
       clearInterval(watch);
       socket.destroy();
       if (node !== null && this.#connections.get(node) === connection) this.#connections.delete(node);
     }
   }
+
+  /** Whether the other side is a peer of this version, and the one that was dialled. */
+  #accepts({ version, node }: PeerMessages['Hello'], expected: string | null): boolean {
+    if (version === PEER_VERSION && this.nodes.includes(node) && (expected ?? node) === node) return true;
+    this.options.log('peer refused', { peer: node, version });
+    return false;
+  }
+
+  /** Makes this the connection to the peer, in place of an older one. */
+  #register(node: string, socket: Socket): Connection {
+    this.#connections.get(node)?.socket.destroy();
+    const connection = { socket, receivedAt: performance.now(), groupBytes: 0 };
+    this.#connections.set(node, connection);
+    return connection;
+  }
+}
+
+/** Whether little enough waits in the socket to add to it; `besidesBytes` more may wait. */
+function mayQueue({ socket }: Connection, besidesBytes: number): boolean {
+  return !socket.destroyed && socket.writableLength <= MAX_QUEUED_BYTES + besidesBytes;
 }
 
-function split(address: string): [string, number] {
+function splitAddress(address: string): [string, number] {
   const colon = address.lastIndexOf(':');
   return [address.slice(0, colon), Number(address.slice(colon + 1))];
 }
--- a/packages/peer/src/messages.ts
+++ b/packages/peer/src/messages.ts
@@ -1,243 +1,154 @@
-// What controllers tell each other. Nothing that safety rests on lives here alone, but for the confirmations by peers that
-// they too lack the state service.
+// The messages between controllers. No safety property rests on them alone, but for the confirmations by peers that
+// they too lack contact with the key-value store.
 import avro from 'avsc';
-
-/** Raised with every change of the schema; controllers of different versions do not talk. */
+import {
+  avroArray,
+  avroBoolean,
+  avroBytes,
+  avroDouble,
+  avroEnum,
+  avroInt,
+  avroLong,
+  avroRecord,
+  avroString,
+  type FieldValues,
+  type ValueOf,
+} from './avro-types';
+
+/** Version of the messages' schema. Controllers with different versions don't connect to each other. */
 export const PEER_VERSION = 7;
 
-const record = (name: string, fields: Record<string, unknown>): object => ({
-  type: 'record',
-  name,
-  fields: Object.entries(fields).map(([field, type]) => ({ name: field, type })),
+const Resources = avroRecord('Resources', { cpus: avroDouble, gpus: avroDouble, memoryGb: avroDouble });
+
+const MachineStatus = avroRecord('MachineStatus', {
+  name: avroString,
+  type: avroString,
+  zone: avroString,
+  spot: avroBoolean,
+  agentEpoch: avroLong,
+  free: Resources,
+  /** By priority. */
+  byPriority: avroArray(Resources),
+  images: avroArray(avroString),
+  takesWork: avroBoolean,
+  draining: avroBoolean,
+  evictionNotice: avroBoolean,
+  isQuarantined: avroBoolean,
+  empty: avroBoolean,
+  emptyMs: avroDouble,
+  silentMs: avroDouble,
 });
 
-const resources = record('Resources', { cpus: 'double', gpus: 'double', memoryGb: 'double' });
-
-/** How a member of a replica group is. */
-const MEMBER_PHASES = ['pending', 'held', 'starting', 'running', 'lost'] as const;
-
-/** How far a task is on its machine. */
-const STAGES = ['granted', 'fetching', 'running', 'saving'] as const;
-
-/** What both a summary and a piece of one say; the named records are defined where they stand first. */
-const STATUS_HEAD = { owner: 'string', partitionId: 'int', term: 'long', revision: 'long' };
-
-const schema = [
-  record('Hello', { version: 'int', node: 'string' }),
-  record('PartitionStatus', {
-    ...STATUS_HEAD,
-    machines: {
-      type: 'array',
-      items: record('MachineStatus', {
-        name: 'string',
-        type: 'string',
-        zone: 'string',
-        spot: 'boolean',
-        agentEpoch: 'long',
-        free: resources,
-        byPriority: { type: 'array', items: 'Resources' },
-        images: { type: 'array', items: 'string' },
-        takesWork: 'boolean',
-        draining: 'boolean',
-        evictionNotice: 'boolean',
-        isQuarantined: 'boolean',
-        empty: 'boolean',
-        emptyMs: 'double',
-        silentMs: 'double',
-      }),
-    },
-    missing: 'Resources',
-    running: { type: 'array', items: record('Running', { job: 'string', tasks: 'int' }) },
-  }),
-  /** The state service stands at this revision at least. */
-  record('RevisionHint', { revision: 'long' }),
-  /** The sender tells a user that this job is cancelled. A hint to stop its tasks, also without the state service. */
-  record('JobCancelled', { job: 'string' }),
-  /** From the leader: which machines get no more work, and which are surely gone. */
-  record('MachineDirectives', {
-    term: 'long',
-    drain: { type: 'array', items: 'string' },
-    gone: { type: 'array', items: 'string' },
-  }),
-  // Ids name the process that asks: an answer to its predecessor, that was long under way, must match nothing here.
-  record('ConfirmationRequest', { id: 'string', revision: 'long' }),
-  record('Confirmation', { id: 'string', confirms: 'boolean', contactAgeMs: 'double' }),
-  /** Asks the owner before of a part whether it still is; see `Holding.gaveUp`. */
-  record('OwnershipQuery', { id: 'string', partitionId: 'int', term: 'long' }),
-  record('OwnershipAnswer', { id: 'string', owns: 'boolean' }),
-  /** A worker's report for the owner of a part, from a controller that the worker can reach. */
-  record('Relay', { id: 'string', from: 'string', to: 'string', body: 'bytes' }),
-  record('RelayAnswer', { id: 'string', to: 'string', status: 'int', body: 'bytes' }),
-  record('PeerHeartbeat', { contactAgeMs: 'double', revision: 'long' }),
-  /** So many changes wait at the sender for room in the state service's limit; a peer with room to spare lends some. */
-  record('BudgetRequest', { id: 'string', writes: 'int' }),
-  record('BudgetGrant', { id: 'string', writes: 'int' }),
-  /**
-   * One of the `pieces` messages that a summary takes which is too large for a frame. All of one summary have the same `sequence`. Older
-   * versions end the connection over it, as they did over the frame that was too large.
-   */
-  record('PartitionStatusFragment', {
-    ...STATUS_HEAD,
-    sequence: 'long',
-    index: 'int',
-    fragmentCount: 'int',
-    machines: { type: 'array', items: 'MachineStatus' },
-    missing: 'Resources',
-    running: { type: 'array', items: 'Running' },
-  }),
-  /** What the machines of a partition hold, for a leader that takes such lists; a piece of it, as above. */
-  record('ClaimList', {
-    partitionId: 'int',
-    term: 'long',
-    revision: 'long',
-    sequence: 'long',
-    index: 'int',
-    fragmentCount: 'int',
-    machines: {
-      type: 'array',
-      items: record('MachineClaims', {
-        machine: 'string',
-        held: {
-          type: 'array',
-          items: record('HeldTask', {
-            task: 'string',
-            attempt: 'long',
-            stage: { type: 'enum', name: 'Stage', symbols: [...STAGES] },
-            runMs: 'double',
-            stopping: 'boolean',
-          }),
-        },
-      }),
-    },
-  }),
-  /** How the members of replica groups on a partition are, for a leader that takes such reports; a piece of it, as above. */
-  record('GroupReports', {
-    partitionId: 'int',
-    term: 'long',
-    revision: 'long',
-    sequence: 'long',
-    index: 'int',
-    fragmentCount: 'int',
-    groups: {
-      type: 'array',
-      items: record('GroupReport', {
-        job: 'string',
-        generation: 'long',
-        members: {
-          type: 'array',
-          items: record('MemberReport', {
-            rank: 'int',
-            phase: { type: 'enum', name: 'MemberPhase', symbols: [...MEMBER_PHASES] },
-            attempt: 'long',
-            /** A number of a reason, as the records of groups have it; -1: none. */
-            reason: 'int',
-          }),
-        },
-      }),
-    },
-  }),
-];
-
-export interface PeerResources {
-  cpus: number;
-  gpus: number;
-  memoryGb: number;
-}
+const Running = avroRecord('Running', { job: avroString, tasks: avroInt });
 
-export interface PeerMachineStatus {
-  name: string;
-  type: string;
-  zone: string;
-  spot: boolean;
-  agentEpoch: number;
-  free: PeerResources;
-  byPriority: PeerResources[];
-  images: string[];
-  takesWork: boolean;
-  draining: boolean;
-  evictionNotice: boolean;
-  isQuarantined: boolean;
-  empty: boolean;
-  emptyMs: number;
-  silentMs: number;
-}
+const HeldTask = avroRecord('HeldTask', {
+  task: avroString,
+  attempt: avroLong,
+  stage: avroEnum('Stage', ['granted', 'fetching', 'running', 'saving']),
+  /** How long it has run, in milliseconds. */
+  runMs: avroDouble,
+  stopping: avroBoolean,
+});
 
-export interface PeerHeldTask {
-  task: string;
-  attempt: number;
-  stage: (typeof STAGES)[number];
-  runMs: number;
-  stopping: boolean;
-}
+const MachineClaims = avroRecord('MachineClaims', { machine: avroString, held: avroArray(HeldTask) });
 
-export interface PeerMachineClaims {
-  machine: string;
-  held: PeerHeldTask[];
-}
+const MemberReport = avroRecord('MemberReport', {
+  rank: avroInt,
+  phase: avroEnum('MemberPhase', ['pending', 'held', 'starting', 'running', 'lost']),
+  attempt: avroLong,
+  /** The number of a reason, as the records of groups store it; -1: none. */
+  reason: avroInt,
+});
 
-export interface PeerGroupReport {
-  job: string;
-  generation: number;
-  members: { rank: number; phase: (typeof MEMBER_PHASES)[number]; attempt: number; reason: number }[];
-}
+const GroupReport = avroRecord('GroupReport', {
+  job: avroString,
+  generation: avroLong,
+  members: avroArray(MemberReport),
+});
 
-/** How a partition stands, or a part of that. */
-export interface PeerPartitionStatus {
-  owner: string;
-  partitionId: number;
-  term: number;
-  revision: number;
-  machines: PeerMachineStatus[];
-  missing: PeerResources;
-  running: { job: string; tasks: number }[];
-}
+/** Who sends something about a partition, and as of which revision of its watch cache. */
+const STATUS_HEAD = { owner: avroString, partitionId: avroInt, term: avroLong, revision: avroLong };
 
-export interface PeerMessages {
-  Hello: { version: number; node: string };
-  PartitionStatus: PeerPartitionStatus;
-  RevisionHint: { revision: number };
-  JobCancelled: { job: string };
-  MachineDirectives: { term: number; drain: string[]; gone: string[] };
-  ConfirmationRequest: { id: string; revision: number };
-  Confirmation: { id: string; confirms: boolean; contactAgeMs: number };
-  OwnershipQuery: { id: string; partitionId: number; term: number };
-  OwnershipAnswer: { id: string; owns: boolean };
-  Relay: { id: string; from: string; to: string; body: Buffer };
-  RelayAnswer: { id: string; to: string; status: number; body: Buffer };
-  PeerHeartbeat: { contactAgeMs: number; revision: number };
-  BudgetRequest: { id: string; writes: number };
-  BudgetGrant: { id: string; writes: number };
-  PartitionStatusFragment: PeerPartitionStatus & { sequence: number; index: number; fragmentCount: number };
-  ClaimList: {
-    partitionId: number;
-    term: number;
-    revision: number;
-    sequence: number;
-    index: number;
-    fragmentCount: number;
-    machines: PeerMachineClaims[];
-  };
-  GroupReports: {
-    partitionId: number;
-    term: number;
-    revision: number;
-    sequence: number;
-    index: number;
-    fragmentCount: number;
-    groups: PeerGroupReport[];
-  };
-}
+const STATUS_CONTENT = { machines: avroArray(MachineStatus), missing: Resources, running: avroArray(Running) };
+
+/**
+ * Numbers one of the `fragmentCount` messages that make up content which is too large for a frame; all of one content
+ * have the same `sequence`.
+ */
+const FRAGMENT = { sequence: avroLong, index: avroInt, fragmentCount: avroInt };
 
+const FRAGMENT_HEAD = { partitionId: avroInt, term: avroLong, revision: avroLong, ...FRAGMENT };
+
+/** The fields of each kind of message. The order of the kinds and of their fields is part of the encoding. */
+const MESSAGE_FIELDS = {
+  /** The first message of each side on a connection. */
+  Hello: { version: avroInt, node: avroString },
+  PartitionStatus: { ...STATUS_HEAD, ...STATUS_CONTENT },
+  /** The key-value store is at this revision at least. */
+  RevisionHint: { revision: avroLong },
+  /** The sender tells a user that this job is cancelled. A hint to stop its tasks, also without the key-value store. */
+  JobCancelled: { job: avroString },
+  /** From the leader: which machines get no more work, and which are surely gone. */
+  MachineDirectives: { term: avroLong, drain: avroArray(avroString), gone: avroArray(avroString) },
+  // The id of a request names the process that asks: a late answer to the process before it matches no request.
+  /** Asks whether the peer has no contact with the key-value store either. */
+  ConfirmationRequest: { id: avroString, revision: avroLong },
+  Confirmation: { id: avroString, confirms: avroBoolean, contactAgeMs: avroDouble },
+  /** Asks the previous owner of a partition whether it still is the owner. */
+  OwnershipQuery: { id: avroString, partitionId: avroInt, term: avroLong },
+  OwnershipAnswer: { id: avroString, owns: avroBoolean },
+  /** A worker's heartbeat for the owner of its partition, from a controller that the worker can reach. */
+  Relay: { id: avroString, from: avroString, to: avroString, body: avroBytes },
+  RelayAnswer: { id: avroString, to: avroString, status: avroInt, body: avroBytes },
+  PeerHeartbeat: { contactAgeMs: avroDouble, revision: avroLong },
+  /** How many changes wait at the sender for the store's rate limit; a peer with some to spare lends them. */
+  BudgetRequest: { id: avroString, writes: avroInt },
+  BudgetGrant: { id: avroString, writes: avroInt },
+  /** A part of a status that is too large for a frame. */
+  PartitionStatusFragment: { ...STATUS_HEAD, ...FRAGMENT, ...STATUS_CONTENT },
+  /** The tasks that the machines of a partition hold, for a leader that accepts such lists. */
+  ClaimList: { ...FRAGMENT_HEAD, machines: avroArray(MachineClaims) },
+  /** The members of replica groups on a partition, for a leader that accepts such reports. */
+  GroupReports: { ...FRAGMENT_HEAD, groups: avroArray(GroupReport) },
+};
+
+export type PeerResources = ValueOf<typeof Resources>;
+
+/** The status of one machine; see `MachineStatus` in core. */
+export type PeerMachineStatus = ValueOf<typeof MachineStatus>;
+
+/** A task that a machine holds; see `HeldTask` in borrowing. */
+export type PeerHeldTask = ValueOf<typeof HeldTask>;
+
+/** The tasks that one machine holds. */
+export type PeerMachineClaims = ValueOf<typeof MachineClaims>;
+
+/** The members of one replica group on one partition; see `GroupReport` in replica-groups. */
+export type PeerGroupReport = ValueOf<typeof GroupReport>;
+
+/** The contents of each kind of message. */
+export type PeerMessages = { [K in keyof typeof MESSAGE_FIELDS]: FieldValues<(typeof MESSAGE_FIELDS)[K]> };
+
+/** The status of a partition, or a fragment of it; see `PartitionStatus` in core. */
+export type PeerPartitionStatus = PeerMessages['PartitionStatus'];
+
+/** A message of any kind. */
 export type PeerMessage = { [K in keyof PeerMessages]: { kind: K } & PeerMessages[K] }[keyof PeerMessages];
 
-const type = avro.Type.forSchema(schema as never, { wrapUnions: true });
+function unionSchema(): unknown {
+  const defined = new Set<string>();
+  return Object.entries(MESSAGE_FIELDS).map(([kind, fields]) => avroRecord(kind, fields).schema(defined));
+}
+
+const type = avro.Type.forSchema(unionSchema() as never, { wrapUnions: true });
 
+/** The bytes of a message, for the payload of a frame. */
 export function encodePeer(message: PeerMessage): Buffer {
   const { kind, ...fields } = message;
   return type.toBuffer({ [kind]: fields });
 }
 
-/** Throws if the bytes are no message of this schema. */
+/** Reads the payload of a frame. Throws an `Error` of avsc if the bytes are no message of this schema. */
 export function decodePeer(bytes: Buffer): PeerMessage {
   const value = type.fromBuffer(bytes) as Record<string, object>;
   const kind = Object.keys(value)[0]!;
