--- a/packages/testkit/src/audits/borrowing-audit.ts
+++ b/packages/testkit/src/audits/borrowing-audit.ts
@@ -52,7 +52,10 @@
 
   constructor(readonly world: AuditedWorld) {}
 
-  /** GPUs that each team's tasks hold now, those that fetch their images included, for jobs that are not known to be cancelled. */
+  /**
+   * GPUs that each team's tasks hold now, those that fetch their images included, for jobs that are not known to be
+   * cancelled.
+   */
   useNow(): Map<string, number> {
     const use = new Map<string, number>();
     const { users, workers } = this.world;
@@ -122,8 +125,9 @@
   }
 
   /**
-   * No team falls below its guarantee, or what it has work for, by all that is being stopped of it for others. What it used at any time that
-   * the leader may still have seen counts: tasks that end by themselves meanwhile are not the reclaim's doing.
+   * No team falls below its guarantee, or what it has work for, by all that is being stopped of it for others. What
+   * it used at any time that the leader may still have seen counts: tasks that end by themselves meanwhile are not
+   * the reclaim's doing.
    */
   #checkGuarantees(key: string, added: ReclaimRecord): void {
     const guarantee = this.world.guaranteedGpus;
--- a/packages/testkit/src/audits/group-audit.ts
+++ b/packages/testkit/src/audits/group-audit.ts
@@ -1,4 +1,5 @@
-// Checks replica groups against what really runs: their records as they are stored, every start, and what owners keep room for.
+// Checks replica groups against what really runs: their records as they are stored, every start, and what owners keep
+// room for.
 import type { PartitionOwner } from '@gingerlock/daemon';
 import { GROUP_MOVES } from '@gingerlock/replica-groups';
 import { type GroupRecord, groupRecord, KEYS, ownerRecord, parseKey, parseTaskName, taskName } from '@gingerlock/wire';
--- a/packages/testkit/src/audits/liveness.ts
+++ b/packages/testkit/src/audits/liveness.ts
@@ -1,12 +1,14 @@
-// What may not fail once all troubles are over: work starts where there is room, machines are not rented for it in vain, and
-// questions are answered.
+// What may not fail once all troubles are over: work starts where there is room, machines are not rented for it in
+// vain, and questions are answered.
 import { type Resources, fitsIn, NO_RESOURCES, countFitting, allowsMachine, subtractResources } from '@gingerlock/core';
 import { type JobSpec, jobRecord, KEYS, parseTaskName } from '@gingerlock/wire';
 import type { ObservedStatus } from '../standins/users';
 import type { SimWorker } from '../standins/worker';
 import type { World } from '../simulation/world';
 
-/** A job may wait this many times `cancel_s` though there is room: until then what may still run had to be waited for. */
+/**
+ * A job may wait this many times `cancel_s` though there is room: until then what may still run had to be waited for.
+ */
 const WAIT_CANCELS = 2;
 
 /** Users ask every other second or so, and wait 5 s for an answer. */
@@ -45,7 +47,8 @@
     if (upSince < world.quietAt || this.#usedMachines.has(worker.name)) return;
     for (const observed of world.users.open()) {
       const { id } = observed.spec;
-      // For moments its team's limit leaves room again and again: only what could have started all the time is left out.
+      // For moments its team's limit leaves room again and again: only what could have started all the time is left
+      // out.
       const waitsSince = this.#waiting.get(id)?.since ?? Infinity;
       if (waitsSince > upSince + world.heartbeatIntervalMs || !this.#wantsMore(observed) || world.isGroup(id)) continue;
       if (!this.#limitLeaves(observed.spec) || !this.#couldStartOn(worker, observed.spec, this.#zonesOf(id))) continue;
@@ -106,8 +109,8 @@
   }
 
   /**
-   * Whether its team's limit leaves room for one more task of the job beside all that is assigned to others of the team: that counts
-   * before it runs. What is assigned of the job itself may be just what waits.
+   * Whether its team's limit leaves room for one more task of the job beside all that is assigned to others of the
+   * team: that counts before it runs. What is assigned of the job itself may be just what waits.
    */
   #limitLeaves(spec: JobSpec): boolean {
     const { world } = this;
--- a/packages/testkit/src/audits/operations-audit.ts
+++ b/packages/testkit/src/audits/operations-audit.ts
@@ -1,12 +1,18 @@
-// What must hold in the troubles that operators met beside the protocol's rules: who is at fault is told apart, what fails is not
-// retried without bound, and no rented machine is forgotten.
+// What must hold in the troubles that operators met beside the protocol's rules: who is at fault is told apart, what
+// fails is not retried without bound, and no rented machine is forgotten.
 import type { World } from '../simulation/world';
 
-/** How often the tasks of a broken job may be started: so many times each while it is found out, and a trial in so many reports. */
+/**
+ * How often the tasks of a broken job may be started: so many times each while it is found out, and a trial in so
+ * many reports.
+ */
 const STARTS_PER_TASK = 3;
 const PROBE_INTERVALS = 2;
 
-/** A machine that has not come up after this many times the usual boot is returned; more is allowed for changes of leader. */
+/**
+ * A machine that has not come up after this many times the usual boot is returned; more is allowed for changes of
+ * leader.
+ */
 const MOST_BOOTS = 8;
 
 export class OperationsAudit {
--- a/packages/testkit/src/audits/ownership-audit.ts
+++ b/packages/testkit/src/audits/ownership-audit.ts
@@ -1,4 +1,5 @@
-// Checks the statements on which `ran_twice` rests, while a day goes on: they break long before a task starts a second time.
+// Checks the statements on which `ran_twice` rests, while a day goes on: they break long before a task starts a
+// second time.
 import type { PartitionOwner } from '@gingerlock/daemon';
 import { type TaskEntry, tasksAssignedTo } from '@gingerlock/core';
 import { jobRecord, type JobRecord, KEYS, parseTaskName, type AssignedRange } from '@gingerlock/wire';
@@ -51,8 +52,8 @@
   }
 
   /**
-   * Whether the task may be started by its owner or given back by it. One that is leaving is neither any more once the record
-   * has been written without it: it may run elsewhere before its former partition has read that.
+   * Whether the task may be started by its owner or given back by it. One that is leaving is neither any more once
+   * the record has been written without it: it may run elsewhere before its former partition has read that.
    */
   #isFree(partitionId: number, { job, index, state }: TaskEntry): boolean {
     if (state !== 'returning') return state === 'waiting';
--- a/packages/testkit/src/faults/borrowing-faults.ts
+++ b/packages/testkit/src/faults/borrowing-faults.ts
@@ -1,7 +1,12 @@
-// What borrowing has to live through: surges that come, grow and end, lenders that want their GPUs back, and controllers that end between
-// two steps of a reclaim.
+// What borrowing has to live through: surges that come, grow and end, lenders that want their GPUs back, and
+// controllers that end between two steps of a reclaim.
+import type { JobSpec } from '@gingerlock/wire';
+import { type FaultTargets, pollFor } from './fault-targets';
+import { type FaultOfKind, type FaultTable, noDurationMs, statedDurationMs } from './fault-table';
+import { type MachineIncident, strikeMachine } from './machine-faults';
 import type { World } from '../simulation/world';
 
+/** A fault that strikes while GPUs are lent and reclaimed. `team` is the number of a team. */
 export type BorrowingFault =
   /** A team submits services of one replica after the other, and cancels them all at the end. */
   | {
@@ -21,75 +26,58 @@
       readonly backMs: number;
       readonly forMs: number;
     }
-  /** Machines on which tasks are to be stopped hang, fall silent, are taken or die as a reclaim is decided. */
+  /** Machines on which tasks are to be stopped hang, are not heard, are taken back or die as a reclaim is decided. */
   | {
       readonly kind: 'victims trouble';
-      readonly what: 'hang' | 'mute' | 'notice' | 'die';
+      readonly what: MachineIncident;
       readonly share: number;
       readonly forMs: number;
     }
-  /** The jobs that room is got for are cancelled midway. */
+  /** The jobs that GPUs are reclaimed for are cancelled midway. */
   | { readonly kind: 'beneficiaries cancelled'; readonly share: number; readonly forMs: number };
 
+/** How far a reclaim has come: stored, its victims being stopped, or all its victims gone. */
 export type ReclaimStep = 'decided' | 'stopping' | 'freed';
 
-const KINDS: ReadonlySet<string> = new Set([
-  'surge',
-  'batch wave',
-  'crash at reclaim',
-  'victims trouble',
-  'beneficiaries cancelled',
-]);
-
-export function isBorrowingFault(fault: { readonly kind: string }): fault is BorrowingFault {
-  return KINDS.has(fault.kind);
+/** A fault that strikes each reclaim which is decided while it lasts may still strike as long afterwards. */
+function twiceStatedDurationMs({ forMs }: { readonly forMs: number }): number {
+  return forMs * 2;
 }
 
-export function borrowingFaultMs(fault: BorrowingFault, controllers: number): number {
-  switch (fault.kind) {
-    case 'surge':
-      return fault.forMs;
-    case 'batch wave':
-      return 0;
-    case 'crash at reclaim':
-      return fault.forMs + fault.backMs * controllers;
-    default:
-      return fault.forMs * 2;
-  }
-}
+/** Faults of borrowing by kind. */
+export const BORROWING_FAULTS: FaultTable<BorrowingFault> = {
+  surge: { inject: submitSurge, durationMs: statedDurationMs },
+  'batch wave': { inject: submitBatchWave, durationMs: noDurationMs },
+  'crash at reclaim': {
+    inject: crashAtReclaim,
+    durationMs: ({ forMs, backMs }, controllerCount) => forMs + backMs * controllerCount,
+  },
+  'victims trouble': {
+    inject: (world, fault) =>
+      onNewReclaims(world, fault.forMs, (machine) => strikeMachineOfVictims(world, machine, fault)),
+    durationMs: twiceStatedDurationMs,
+  },
+  'beneficiaries cancelled': {
+    inject: (world, { share, forMs }) =>
+      onNewReclaims(world, forMs, (_machine, job) => {
+        if (world.sim.random() < share) void world.users.cancel(job);
+      }),
+    durationMs: twiceStatedDurationMs,
+  },
+};
 
 const TEAMS = ['red', 'blue'] as const;
 
-/** How often it is looked whether a reclaim has come to a step. */
-const LOOK_MS = 20;
-
-export function injectBorrowingFault(world: World, fault: BorrowingFault): void {
-  switch (fault.kind) {
-    case 'surge':
-      return surge(world, fault);
-    case 'batch wave':
-      return batchWave(world, fault);
-    case 'crash at reclaim':
-      return crashAtReclaim(world, fault);
-    case 'victims trouble':
-      return onNewReclaims(world, fault.forMs, (machine) => injectMachineFault(world, machine, fault));
-    case 'beneficiaries cancelled':
-      return onNewReclaims(world, fault.forMs, (_machine, job) => {
-        if (world.sim.random() < fault.share) void world.users.cancel(job);
-      });
-  }
-}
-
 const ONE_GPU = { cpus: 2, gpus: 1, memoryGb: 8, types: null, zone: null, oneZone: false, spread: false } as const;
 
-function surge(world: World, { team, replicas, everyMs, forMs }: BorrowingFault & { kind: 'surge' }): void {
+function submitSurge(world: World, { team, replicas, everyMs, forMs }: FaultOfKind<BorrowingFault, 'surge'>): void {
   for (let i = 0; i < replicas; i++) {
-    const spec = {
+    const spec: JobSpec = {
       ...world.randomJob(),
       ...ONE_GPU,
       team: TEAMS[team % TEAMS.length]!,
-      kind: 'service' as const,
-      priority: 'high' as const,
+      kind: 'service',
+      priority: 'high',
       tasks: 1,
       spot: false,
       estimateS: 0,
@@ -99,13 +87,13 @@
   }
 }
 
-function batchWave(world: World, { team, tasks, estimateS }: BorrowingFault & { kind: 'batch wave' }): void {
-  const spec = {
+function submitBatchWave(world: World, { team, tasks, estimateS }: FaultOfKind<BorrowingFault, 'batch wave'>): void {
+  const spec: JobSpec = {
     ...world.randomJob(),
     ...ONE_GPU,
     team: TEAMS[team % TEAMS.length]!,
-    kind: 'array' as const,
-    priority: 'normal' as const,
+    kind: 'array',
+    priority: 'normal',
     tasks,
     spot: true,
     estimateS,
@@ -114,78 +102,64 @@
 }
 
 /** Calls back for each reclaim that is stored from now on. */
-function onNewReclaims(world: World, forMs: number, found: (machine: string, job: string) => void): void {
+function onNewReclaims(world: World, forMs: number, onReclaim: (machine: string, job: string) => void): void {
   const known = new Set(world.borrowing.stored.keys());
-  const until = world.sim.now + forMs;
-  const look = (): void => {
+  pollFor(world, forMs, () => {
     for (const [key, { record }] of world.borrowing.stored) {
       if (known.has(key)) continue;
       known.add(key);
-      found(record.machine, record.job);
+      onReclaim(record.machine, record.job);
     }
-    if (world.sim.now < until) world.sim.after(LOOK_MS, look);
-  };
-  look();
+  });
 }
 
-function injectMachineFault(world: World, machine: string, fault: BorrowingFault & { kind: 'victims trouble' }): void {
-  const { sim, network } = world;
-  const worker = world.workers.get(machine);
-  if (worker === undefined || sim.random() >= fault.share) return;
-  world.recordOccurrence(`victims ${fault.what}`);
-  switch (fault.what) {
-    case 'hang':
-      network.freeze(machine, fault.forMs);
-      network.freeze(`${machine}:9000`, fault.forMs);
-      return;
-    case 'mute':
-      network.mute.add(machine);
-      sim.after(fault.forMs, () => network.mute.delete(machine));
-      return;
-    case 'notice':
-      worker.notice(fault.forMs / 1000);
-      sim.after(fault.forMs, () => world.kill(machine, 'gone'));
-      return;
-    case 'die':
-      world.kill(machine, 'failed');
-      return;
-  }
+function strikeMachineOfVictims(
+  world: World,
+  machine: string,
+  { what, share, forMs }: FaultOfKind<BorrowingFault, 'victims trouble'>,
+): void {
+  if (!world.workers.has(machine) || world.sim.random() >= share) return;
+  world.recordOccurrence(`victims ${what}`);
+  strikeMachine(world, machine, what, forMs);
 }
 
 /** Whether some reclaim is at the step now. */
-function isAtStep(world: World, step: ReclaimStep): boolean {
+function isAnyReclaimAt(world: World, step: ReclaimStep): boolean {
   for (const { record } of world.borrowing.stored.values()) {
     const worker = world.workers.get(record.machine);
-    const held = record.victims.map(
-      ({ task: taskName, attempt }) => worker?.tasks.get(`${taskName} ${attempt}`)?.state,
-    );
-    const isGone = (state: string | undefined): boolean => state === undefined || state === 'exited';
-    if (step === 'decided' && held.every((state) => state === 'running' || state === 'fetching')) return true;
-    if (step === 'stopping' && held.some((state) => state === 'saving' || state === 'exited')) return true;
-    if (step === 'freed' && held.every(isGone)) return true;
+    const states = record.victims.map(({ task, attempt }) => worker?.tasks.get(`${task} ${attempt}`)?.state);
+    switch (step) {
+      case 'decided':
+        if (states.every((state) => state === 'running' || state === 'fetching')) return true;
+        break;
+      case 'stopping':
+        if (states.some((state) => state === 'saving' || state === 'exited')) return true;
+        break;
+      case 'freed':
+        if (states.every((state) => state === undefined || state === 'exited')) return true;
+        break;
+    }
   }
   return false;
 }
 
-function crashAtReclaim(world: World, fault: BorrowingFault & { kind: 'crash at reclaim' }): void {
+function crashAtReclaim(
+  world: World,
+  { who, step, backMs, forMs }: FaultOfKind<BorrowingFault, 'crash at reclaim'>,
+  targets: FaultTargets,
+): void {
   const { sim } = world;
-  const until = sim.now + fault.forMs;
   let nextAt = sim.now;
-  const look = (): void => {
-    if (sim.now >= nextAt && isAtStep(world, fault.step)) {
-      for (const name of victimsOfCrash(world, fault.who)) {
-        world.crash(name);
-        sim.after(fault.backMs, () => world.startNode(name));
-      }
-      world.recordOccurrence(`crash at ${fault.step}`);
-      nextAt = sim.now + fault.backMs * 2 + world.workerLeaseMs;
-    }
-    if (sim.now < until) sim.after(LOOK_MS, look);
-  };
-  look();
+  pollFor(world, forMs, () => {
+    if (sim.now < nextAt || !isAnyReclaimAt(world, step)) return;
+    for (const name of controllersOfReclaims(world, who)) targets.crashFor(name, backMs);
+    world.recordOccurrence(`crash at ${step}`);
+    nextAt = sim.now + backMs * 2 + world.workerLeaseMs;
+  });
 }
 
-function victimsOfCrash(world: World, who: 'leader' | 'owner' | 'both'): Set<string> {
+/** The names of the leader, of the owners of partitions that have a reclaim, or of both. */
+function controllersOfReclaims(world: World, who: 'leader' | 'owner' | 'both'): Set<string> {
   const names = new Set<string>();
   const leader = world.leader();
   if (who !== 'owner' && leader !== null) names.add(leader);
--- a/packages/testkit/src/faults/group-faults.ts
+++ b/packages/testkit/src/faults/group-faults.ts
@@ -1,7 +1,12 @@
-// What replica groups have to live through: machines and controllers that end as a group comes to a state, and users who call it off then.
+// What replica groups have to live through: machines and controllers that end as a group comes to a state, and users
+// who cancel it then.
 import type { JobSpec, GroupState } from '@gingerlock/wire';
+import { type FaultTargets, pollFor } from './fault-targets';
+import { type FaultOfKind, type FaultTable, statedDurationMs } from './fault-table';
+import { type MachineIncident, strikeMachine } from './machine-faults';
 import type { World } from '../simulation/world';
 
+/** A fault that strikes replica groups. */
 export type GroupFault =
   /** A team submits services of several members, one after the other. */
   | {
@@ -12,11 +17,11 @@
       readonly everyMs: number;
       readonly place: 'any' | 'spread' | 'one zone' | 'spot';
     }
-  /** Machines of members are in trouble as groups come to a state, so many of each. */
+  /** Something happens to machines of members as groups come to a state, to so many of each. */
   | {
       readonly kind: 'members trouble';
       readonly state: GroupState;
-      readonly what: 'die' | 'hang' | 'mute' | 'notice';
+      readonly what: MachineIncident;
       readonly machines: number;
       readonly afterMs: number;
       readonly share: number;
@@ -33,59 +38,40 @@
     }
   | { readonly kind: 'groups cancelled'; readonly state: GroupState; readonly share: number; readonly forMs: number };
 
-const KINDS: ReadonlySet<string> = new Set(['groups', 'members trouble', 'crash at group', 'groups cancelled']);
-
 /** The class of the services that these faults submit. */
 export const GROUP_CLASS = 'replicated';
 
-/** How often it is looked whether a group has come to a state. */
-const LOOK_MS = 20;
-
-export function isGroupFault(fault: { readonly kind: string }): fault is GroupFault {
-  return KINDS.has(fault.kind);
-}
-
-export function groupFaultMs(fault: GroupFault): number {
-  switch (fault.kind) {
-    case 'groups':
-      return fault.count * fault.everyMs;
-    case 'members trouble':
-      return fault.forMs * 2 + fault.afterMs;
-    case 'crash at group':
-      return fault.forMs + fault.afterMs + fault.backMs;
-    case 'groups cancelled':
-      return fault.forMs;
-  }
-}
-
-export function injectGroupFault(world: World, fault: GroupFault): void {
-  switch (fault.kind) {
-    case 'groups':
-      return submitGroups(world, fault);
-    case 'members trouble':
-      return onState(world, fault, (job) => {
+/** Faults of replica groups by kind. */
+export const GROUP_FAULTS: FaultTable<GroupFault> = {
+  groups: { inject: submitGroups, durationMs: ({ count, everyMs }) => count * everyMs },
+  'members trouble': {
+    inject: (world, fault) =>
+      onState(world, fault, (job) => {
         if (world.sim.random() < fault.share)
-          world.sim.after(fault.afterMs, () => injectMemberFaults(world, job, fault));
-      });
-    case 'crash at group':
-      return crashAtGroup(world, fault);
-    case 'groups cancelled':
-      return onState(world, fault, (job) => {
+          world.sim.after(fault.afterMs, () => strikeMachinesOfMembers(world, job, fault));
+      }),
+    durationMs: ({ forMs, afterMs }) => forMs * 2 + afterMs,
+  },
+  'crash at group': { inject: crashAtGroup, durationMs: ({ forMs, afterMs, backMs }) => forMs + afterMs + backMs },
+  'groups cancelled': {
+    inject: (world, fault) =>
+      onState(world, fault, (job) => {
         if (world.sim.random() >= fault.share) return;
         world.recordOccurrence(`cancelled while ${fault.state}`);
         void world.users.cancel(job);
-      });
-  }
-}
+      }),
+    durationMs: statedDurationMs,
+  },
+};
 
-const PLACES: Record<(GroupFault & { kind: 'groups' })['place'], Partial<JobSpec>> = {
+const PLACES: Record<FaultOfKind<GroupFault, 'groups'>['place'], Partial<JobSpec>> = {
   any: {},
   spread: { spread: true },
   'one zone': { oneZone: true },
   spot: { spot: true },
 };
 
-function submitGroups(world: World, { count, members, gpus, everyMs, place }: GroupFault & { kind: 'groups' }): void {
+function submitGroups(world: World, { count, members, gpus, everyMs, place }: FaultOfKind<GroupFault, 'groups'>): void {
   for (let i = 0; i < count; i++) {
     const spec: JobSpec = {
       ...world.randomJob(),
@@ -110,56 +96,30 @@
 function onState(
   world: World,
   { state, forMs }: { readonly state: GroupState; readonly forMs: number },
-  found: (job: string) => void,
+  onGroup: (job: string) => void,
 ): void {
-  const known = new Map<string, number>();
-  const until = world.sim.now + forMs;
-  const look = (): void => {
+  const knownVersions = new Map<string, number>();
+  pollFor(world, forMs, () => {
     for (const [job, { record, version }] of world.groups.seen) {
-      if (known.get(job) === version) continue;
-      known.set(job, version);
-      if (record.state === state) found(job);
+      if (knownVersions.get(job) === version) continue;
+      knownVersions.set(job, version);
+      if (record.state === state) onGroup(job);
     }
-    if (world.sim.now < until) world.sim.after(LOOK_MS, look);
-  };
-  look();
-}
-
-function injectMemberFaults(world: World, job: string, fault: GroupFault & { kind: 'members trouble' }): void {
-  const record = world.groups.seen.get(job)?.record;
-  const machines = [...new Set(record?.members.map(({ machine }) => machine))].slice(0, fault.machines);
-  for (const machine of machines) injectMachineFault(world, machine, fault);
-  if (machines.length > 0) world.recordOccurrence(`members ${fault.what} while ${fault.state}`);
+  });
 }
 
-function injectMachineFault(
+function strikeMachinesOfMembers(
   world: World,
-  machine: string,
-  { what, forMs }: GroupFault & { kind: 'members trouble' },
+  job: string,
+  { what, state, machines: machineCount, forMs }: FaultOfKind<GroupFault, 'members trouble'>,
 ): void {
-  const { sim, network } = world;
-  const worker = world.workers.get(machine);
-  if (worker === undefined) return;
-  switch (what) {
-    case 'die':
-      world.kill(machine, 'failed');
-      return;
-    case 'hang':
-      network.freeze(machine, forMs);
-      network.freeze(`${machine}:9000`, forMs);
-      return;
-    case 'mute':
-      network.mute.add(machine);
-      sim.after(forMs, () => network.mute.delete(machine));
-      return;
-    case 'notice':
-      worker.notice(forMs / 1000);
-      sim.after(forMs, () => world.kill(machine, 'gone'));
-      return;
-  }
+  const record = world.groups.seen.get(job)?.record;
+  const machines = [...new Set(record?.members.map(({ machine }) => machine))].slice(0, machineCount);
+  for (const machine of machines) if (world.workers.has(machine)) strikeMachine(world, machine, what, forMs);
+  if (machines.length > 0) world.recordOccurrence(`members ${what} while ${state}`);
 }
 
-function crashAtGroup(world: World, fault: GroupFault & { kind: 'crash at group' }): void {
+function crashAtGroup(world: World, fault: FaultOfKind<GroupFault, 'crash at group'>, targets: FaultTargets): void {
   const { sim } = world;
   let nextAt = sim.now;
   onState(world, fault, (job) => {
@@ -167,15 +127,13 @@
     nextAt = sim.now + fault.afterMs + fault.backMs + world.workerLeaseMs;
     sim.after(fault.afterMs, () => {
       world.recordOccurrence(`crash while ${fault.state}`);
-      for (const name of namesOf(world, job, fault.who)) {
-        world.crash(name);
-        sim.after(fault.backMs, () => world.startNode(name));
-      }
+      for (const name of controllersOfGroup(world, job, fault.who)) targets.crashFor(name, fault.backMs);
     });
   });
 }
 
-function namesOf(world: World, job: string, who: 'leader' | 'owners' | 'all'): readonly string[] {
+/** The names of the leader, of the owners of partitions with members of the group, or of all controllers. */
+function controllersOfGroup(world: World, job: string, who: 'leader' | 'owners' | 'all'): readonly string[] {
   if (who === 'all') return world.controllers;
   const leader = world.leader();
   if (who === 'leader') return leader === null ? [] : [leader];
--- /dev/null
+++ b/packages/testkit/src/faults/machine-faults.ts
@@ -0,0 +1,142 @@
+// Faults of machines: they hang, are not heard or hear nothing, are slow, at fault, taken back or dead.
+import type { FaultTargets } from './fault-targets';
+import { type FaultOfKind, type FaultTable, noDurationMs, statedDurationMs } from './fault-table';
+import type { World } from '../simulation/world';
+
+/** A fault of machines. `machine` is the number of the first one that is struck. */
+export type MachineFault =
+  | { readonly kind: 'machines hang'; readonly machine: number; readonly count: number; readonly forMs: number }
+  /** What controllers send them is lost. */
+  | { readonly kind: 'deaf machines'; readonly machine: number; readonly count: number; readonly forMs: number }
+  /** What they send controllers is held back or lost. */
+  | {
+      readonly kind: 'mute machines';
+      readonly machine: number;
+      readonly count: number;
+      readonly how: 'hold' | 'lose';
+      readonly forMs: number;
+    }
+  | { readonly kind: 'machine dies'; readonly machine: number; readonly listedAs: 'failed' | 'gone' }
+  | { readonly kind: 'unhealthy machine'; readonly machine: number; readonly forMs: number }
+  /** The cloud takes back this share of the spot machines, with or without notice. */
+  | { readonly kind: 'spot wave'; readonly share: number; readonly noticeMs: number }
+  | { readonly kind: 'slow machine'; readonly machine: number; readonly factor: number; readonly forMs: number };
+
+/** Faults of machines by kind. */
+export const MACHINE_FAULTS: FaultTable<MachineFault> = {
+  'machines hang': { inject: hangMachines, durationMs: statedDurationMs },
+  'deaf machines': { inject: deafenMachines, durationMs: statedDurationMs },
+  'mute machines': { inject: muteMachines, durationMs: statedDurationMs },
+  'machine dies': {
+    inject: (world, { machine, listedAs }, targets) => {
+      const name = targets.machine(machine);
+      if (name !== undefined) world.kill(name, listedAs);
+    },
+    durationMs: noDurationMs,
+  },
+  'unhealthy machine': { inject: makeUnhealthy, durationMs: statedDurationMs },
+  'spot wave': { inject: takeSpotMachines, durationMs: ({ noticeMs }) => noticeMs * 1.5 },
+  'slow machine': { inject: slowMachine, durationMs: statedDurationMs },
+};
+
+function hangMachines(
+  { network }: World,
+  { machine, count, forMs }: FaultOfKind<MachineFault, 'machines hang'>,
+  targets: FaultTargets,
+): void {
+  // One after the other, also the same again where there are fewer.
+  for (let i = 0; i < count; i++) {
+    const name = targets.machine(machine + i);
+    if (name !== undefined) network.freeze(name, forMs);
+  }
+}
+
+function deafenMachines(
+  { nodes }: World,
+  { machine, count, forMs }: FaultOfKind<MachineFault, 'deaf machines'>,
+  targets: FaultTargets,
+): void {
+  const deaf = targets.machines(machine, count);
+  const routes = deaf.flatMap((name) => nodes.map((node) => [node.name, name] as const));
+  targets.cutRoutes(routes, 'lose', forMs);
+}
+
+function muteMachines(
+  { network, nodes, sim }: World,
+  { machine, count, how, forMs }: FaultOfKind<MachineFault, 'mute machines'>,
+  targets: FaultTargets,
+): void {
+  const mute = targets.machines(machine, count);
+  if (how === 'lose') {
+    // Direct commands reach them, and are answered.
+    for (const name of mute) network.mute.add(name);
+    sim.after(forMs, () => mute.forEach((name) => network.mute.delete(name)));
+    return;
+  }
+  const routes = mute.flatMap((name) => nodes.map((node) => [name, node.name] as const));
+  targets.cutRoutes(routes, how, forMs);
+}
+
+function makeUnhealthy(
+  world: World,
+  { machine, forMs }: FaultOfKind<MachineFault, 'unhealthy machine'>,
+  targets: FaultTargets,
+): void {
+  const worker = world.workers.get(targets.machine(machine) ?? '');
+  if (worker === undefined) return;
+  worker.isQuarantined = true;
+  world.everUnhealthy.add(worker.name);
+  world.sim.after(forMs, () => {
+    worker.isQuarantined = false;
+  });
+}
+
+function takeSpotMachines(world: World, { share, noticeMs }: FaultOfKind<MachineFault, 'spot wave'>): void {
+  const { sim } = world;
+  for (const [name, worker] of world.workers) {
+    if (!worker.spot || sim.random() > share) continue;
+    if (noticeMs > 0) worker.notice(noticeMs / 1000);
+    sim.after(noticeMs * (0.5 + sim.random()), () => world.kill(name, 'gone'));
+  }
+}
+
+function slowMachine(
+  { workers, sim }: World,
+  { machine, factor, forMs }: FaultOfKind<MachineFault, 'slow machine'>,
+  targets: FaultTargets,
+): void {
+  const worker = workers.get(targets.machine(machine) ?? '');
+  if (worker === undefined) return;
+  worker.slowness = factor;
+  sim.after(forMs, () => {
+    worker.slowness = 1;
+  });
+}
+
+/** What can happen to one machine at the moment when something else is under way on it. */
+export type MachineIncident = 'die' | 'hang' | 'mute' | 'notice';
+
+/**
+ * Lets it happen to a machine that is up; all but death lasts for a time, and a notice ends with the machine being
+ * taken back.
+ */
+export function strikeMachine(world: World, machine: string, what: MachineIncident, forMs: number): void {
+  const { sim, network } = world;
+  switch (what) {
+    case 'die':
+      world.kill(machine, 'failed');
+      return;
+    case 'hang':
+      network.freeze(machine, forMs);
+      network.freeze(`${machine}:9000`, forMs);
+      return;
+    case 'mute':
+      network.mute.add(machine);
+      sim.after(forMs, () => network.mute.delete(machine));
+      return;
+    case 'notice':
+      world.workers.get(machine)?.notice(forMs / 1000);
+      sim.after(forMs, () => world.kill(machine, 'gone'));
+      return;
+  }
+}
--- a/packages/testkit/src/faults/state-faults.ts
+++ b/packages/testkit/src/faults/state-faults.ts
@@ -1,10 +1,12 @@
-// Troubles of the state service.
+// Faults of the state service: it serves nobody or not all, answers late or not at all, and keeps less than usual.
 import type { FaultTargets } from './fault-targets';
+import { type FaultOfKind, type FaultTable, noDurationMs, statedDurationMs } from './fault-table';
 import type { World } from '../simulation/world';
 
+/** A fault of the state service. `node` is the number of a controller. */
 export type StateFault =
   | { readonly kind: 'state outage'; readonly forMs: number }
-  /** It refuses one controller with 503, whose lease runs out; or carries out what that asks and the answers are lost. */
+  /** It refuses one controller with 503, whose lease expires; or carries out its requests and the answers are lost. */
   | {
       readonly kind: 'state refuses one';
       readonly node: number;
@@ -33,80 +35,86 @@
       readonly forMs: number;
     };
 
-const KINDS: ReadonlySet<string> = new Set([
-  'state outage',
-  'state refuses one',
-  'state answers lost',
-  'late writes',
-  'state limits',
-  'events forgotten',
-  'slow state service',
-  'writes unanswered',
-  'renewals refused',
-  'slow reads',
-  'unhelpful reads',
-]);
+/** Transactions that are carried out late are so at most this long after they were sent. */
+const LATE_WRITE_MS = 12_000;
 
-export function isStateFault(fault: { readonly kind: string }): fault is StateFault {
-  return KINDS.has(fault.kind);
-}
-
-export function injectStateFault(world: World, fault: StateFault, targets: FaultTargets): void {
-  const { sim, network, state } = world;
-  switch (fault.kind) {
-    case 'state outage':
+/** Faults of the state service by kind. */
+export const STATE_FAULTS: FaultTable<StateFault> = {
+  'state outage': {
+    inject: ({ sim, state }, { forMs }) => {
       state.setOutage(true);
-      sim.after(fault.forMs, () => state.setOutage(false));
-      return;
-    case 'state refuses one': {
-      const name = targets.node(fault.node);
-      if (fault.how === 'lose answers') {
-        targets.during([['state:1', name]], 'lose', fault.forMs);
-        return;
-      }
-      state.refused.add(name);
-      sim.after(fault.forMs, () => state.refused.delete(name));
-      return;
-    }
-    case 'state answers lost':
-      network.lostAnswersOf.set('state:1', fault.share);
-      sim.after(fault.forMs, () => network.lostAnswersOf.delete('state:1'));
-      return;
-    case 'late writes':
+      sim.after(forMs, () => state.setOutage(false));
+    },
+    durationMs: statedDurationMs,
+  },
+  'state refuses one': { inject: refuseOne, durationMs: statedDurationMs },
+  'state answers lost': {
+    inject: ({ sim, network }, { share, forMs }) => {
+      network.lostAnswersOf.set('state:1', share);
+      sim.after(forMs, () => network.lostAnswersOf.delete('state:1'));
+    },
+    durationMs: statedDurationMs,
+  },
+  'late writes': {
+    inject: ({ sim, state }, fault) => {
       state.unanswered = fault;
       sim.after(fault.forMs, () => {
         state.unanswered = null;
       });
-      return;
-    case 'state limits':
-      state.limits = world.options.nextLimits ?? null;
-      return;
-    case 'events forgotten':
-      state.forgetEvents();
-      return;
-    case 'slow state service':
-      sim.after(
-        fault.forMs,
-        network.slow((from, to) => from === 'state:1' || to === 'state:1', fault.ms),
-      );
-      return;
-    case 'writes unanswered':
-      targets.forSome(state.unansweredFrom, targets.node(fault.node), fault.forMs);
-      return;
-    case 'renewals refused':
-      targets.forSome(state.unrenewed, targets.node(fault.node), fault.forMs);
-      return;
-    case 'slow reads': {
-      const name = targets.node(fault.node);
-      state.slowReadsOf.set(name, fault.ms);
-      sim.after(fault.forMs, () => state.slowReadsOf.delete(name));
-      return;
-    }
-    case 'unhelpful reads':
+    },
+    durationMs: ({ forMs }) => forMs + LATE_WRITE_MS,
+  },
+  'state limits': {
+    inject: ({ state, options }) => {
+      state.limits = options.nextLimits ?? null;
+    },
+    durationMs: noDurationMs,
+  },
+  'events forgotten': { inject: ({ state }) => state.forgetEvents(), durationMs: noDurationMs },
+  'slow state service': {
+    inject: ({ sim, network }, { ms, forMs }) => {
+      const heal = network.slow((from, to) => from === 'state:1' || to === 'state:1', ms);
+      sim.after(forMs, heal);
+    },
+    durationMs: statedDurationMs,
+  },
+  'writes unanswered': {
+    inject: ({ state }, { node, forMs }, targets) => targets.addFor(state.unansweredFrom, targets.node(node), forMs),
+    durationMs: statedDurationMs,
+  },
+  'renewals refused': {
+    inject: ({ state }, { node, forMs }, targets) => targets.addFor(state.unrenewed, targets.node(node), forMs),
+    durationMs: statedDurationMs,
+  },
+  'slow reads': {
+    inject: ({ sim, state }, { node, ms, forMs }, targets) => {
+      const name = targets.node(node);
+      state.slowReadsOf.set(name, ms);
+      sim.after(forMs, () => state.slowReadsOf.delete(name));
+    },
+    durationMs: statedDurationMs,
+  },
+  'unhelpful reads': {
+    inject: ({ sim, state }, fault) => {
       state.staleReads = fault;
       sim.after(fault.forMs, () => {
         state.staleReads = null;
       });
-      return;
+    },
+    durationMs: statedDurationMs,
+  },
+};
+
+function refuseOne(
+  { sim, state }: World,
+  { node, how, forMs }: FaultOfKind<StateFault, 'state refuses one'>,
+  targets: FaultTargets,
+): void {
+  const name = targets.node(node);
+  if (how === 'lose answers') {
+    targets.cutRoutes([['state:1', name]], 'lose', forMs);
+    return;
   }
+  state.refused.add(name);
+  sim.after(forMs, () => state.refused.delete(name));
 }
--- a/packages/testkit/src/index.ts
+++ b/packages/testkit/src/index.ts
@@ -17,4 +17,5 @@
 export * from './loopback/member-process';
 export * from './simulation/world';
 export * from './faults/faults';
+export * from './faults/scenario';
 export * from './simulation/deployment';
--- a/packages/testkit/src/loopback/loopback-groups.ts
+++ b/packages/testkit/src/loopback/loopback-groups.ts
@@ -1,4 +1,5 @@
-// A deployment on loopback whose members of replica groups are real processes, with a client that keeps asking the head and checks every answer.
+// A deployment on loopback whose members of replica groups are real processes, with a client that keeps asking the
+// head and checks every answer.
 import { type ChildProcess, spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { nodeHttp } from '@gingerlock/clients';
@@ -12,7 +13,10 @@
   readonly guards?: Partial<Pick<MemberOptions, 'keepsLease' | 'checksGeneration'>>;
 }
 
-/** At which all members listen, each on its machine's address: below the ports that systems give out, and different for each process. */
+/**
+ * At which all members listen, each on its machine's address: below the ports that systems give out, and different
+ * for each process.
+ */
 const MEMBER_PORT = 12_000 + (process.pid % 16_000);
 const LOAD_MS = 150;
 
--- a/packages/testkit/src/loopback/loopback.ts
+++ b/packages/testkit/src/loopback/loopback.ts
@@ -1,5 +1,5 @@
-// A small deployment on loopback in real time: controllers with their own servers and peer links, stand-in servers of state service, cloud
-// and workers. Names of hosts stand for addresses on 127.0.0.1.
+// A small deployment on loopback in real time: controllers with their own servers and peer links, stand-in servers of
+// state service, cloud and workers. Names of hosts stand for addresses on 127.0.0.1.
 import { createServer, type Server } from 'node:http';
 import { once } from 'node:events';
 import type { AddressInfo } from 'node:net';
--- a/packages/testkit/src/loopback/member-process.ts
+++ b/packages/testkit/src/loopback/member-process.ts
@@ -1,5 +1,5 @@
-// A stand-in of a member of a replica group, as a process of its own: it loads, meets the others at the controllers, answers, and dies. Rank 0,
-// the head, answers clients; the others answer the head.
+// A stand-in of a member of a replica group, as a process of its own: it loads, meets the others at the controllers,
+// answers, and dies. Rank 0, the head, answers clients; the others answer the head.
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import { nodeHttp } from '@gingerlock/clients';
 import {
--- a/packages/testkit/src/simulation/deployment.ts
+++ b/packages/testkit/src/simulation/deployment.ts
@@ -42,8 +42,8 @@
 const FOUR_ZONES = [...ZONES, 'west'];
 
 /**
- * Two machine types, of which the one that is cheaper for each machine is dearer for each GPU and slower; a zone without a
- * controller; clocks that are off by a second; a few machines that never come up.
+ * Two machine types, of which the one that is cheaper for each machine is dearer for each GPU and slower; a zone
+ * without a controller; clocks that are off by a second; a few machines that never come up.
  */
 export const TWO_TYPES: Deployment = {
   zones: FOUR_ZONES,
--- a/packages/testkit/src/simulation/traffic.ts
+++ b/packages/testkit/src/simulation/traffic.ts
@@ -1,4 +1,5 @@
-// What an observer is told of the messages of a simulated deployment, as bytes at the moment they leave or reach a process.
+// What an observer is told of the messages of a simulated deployment, as bytes at the moment they leave or reach a
+// process.
 
 /** A message as it crosses the edge of a process, or the end of the wait for one that did not come. */
 export interface TrafficEvent {
--- a/packages/testkit/src/standins/users.ts
+++ b/packages/testkit/src/standins/users.ts
@@ -1,5 +1,5 @@
-// Stand-ins of users, and the rules of what they are told: nothing accepted is forgotten, nothing goes back, no answer is
-// older than one that any user has been given before it was asked for.
+// Stand-ins of users, and the rules of what they are told: nothing accepted is forgotten, nothing goes back, no
+// answer is older than one that any user has been given before it was asked for.
 import type { Controller } from '@gingerlock/daemon';
 import {
   decodeJobState,
@@ -193,7 +193,10 @@
     return now >= cancelAt || this.#dependenciesOf(spec.id).some((before) => now >= before.cancelAt);
   }
 
-  /** Whether the job's user has been told that it is cancelled. What no controller has been able to take yet, none can know. */
+  /**
+   * Whether the job's user has been told that it is cancelled. What no controller has been able to take yet, none can
+   * know.
+   */
   isCancelled({ final }: ObservedStatus): boolean {
     return final === 'cancelled';
   }
--- a/packages/testkit/src/standins/worker.ts
+++ b/packages/testkit/src/standins/worker.ts
@@ -253,7 +253,10 @@
     }
   }
 
-  /** A running task saves if it has checkpoints and the time for one; any other ends at once, and so does one that is told a second time. */
+  /**
+   * A running task saves if it has checkpoints and the time for one; any other ends at once, and so does one that is
+   * told a second time.
+   */
   #stop(t: RunningTask, graceS: number): void {
     const job = this.world.job(parseTaskName(t.task)!.job)!;
     const runMs = t.runsSince === null ? 0 : this.world.sim.now - t.runsSince;
--- a/packages/testkit/test/borrowing-loopback.test.ts
+++ b/packages/testkit/test/borrowing-loopback.test.ts
@@ -1,5 +1,5 @@
-// The wish's own test: stand-in servers on loopback, a surge and the return, with the leader ending in the middle of each. No team ever
-// drops below its guarantee, or below what it has work for.
+// The wish's own test: stand-in servers on loopback, a surge and the return, with the leader ending in the middle of
+// each. No team ever drops below its guarantee, or below what it has work for.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '@gingerlock/wire';
--- a/packages/testkit/test/borrowing-measure.test.ts
+++ b/packages/testkit/test/borrowing-measure.test.ts
@@ -1,5 +1,6 @@
-// What borrowing brings and costs, against the same days without it: time to capacity, work lost, time below a guarantee. Small in CI;
-// `npm run measure-borrowing` takes GINGERLOCK_MACHINES and GINGERLOCK_SEEDS. All machines are simulated.
+// What borrowing brings and costs, against the same days without it: time to capacity, work lost, time below a
+// guarantee. Small in CI; `npm run measure-borrowing` takes GINGERLOCK_MACHINES and GINGERLOCK_SEEDS. All machines
+// are simulated.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '@gingerlock/wire';
@@ -34,7 +35,10 @@
   readonly surgeS: number;
   /** Seconds until batch work has its GPUs back, from the end of the surge. */
   readonly returnS: number;
-  /** What batch work lacks of its guarantee, in GPU seconds. A part is the turn from one task to the next, with or without others. */
+  /**
+   * What batch work lacks of its guarantee, in GPU seconds. A part is the turn from one task to the next, with or
+   * without others.
+   */
   readonly missedGpuS: number;
   /** The longest that it goes on lacking something, in seconds. */
   readonly longestS: number;
--- a/packages/testkit/test/borrowing.test.ts
+++ b/packages/testkit/test/borrowing.test.ts
@@ -1,5 +1,6 @@
-// Borrowing of GPUs in whole deployments: surges and returns, with what goes wrong between two steps of a reclaim. After each look at the
-// world no team is below its guarantee by a reclaim, nothing is promised twice, and no reclaim stands for ever; see `BorrowingAudit`.
+// Borrowing of GPUs in whole deployments: surges and returns, with what goes wrong between two steps of a reclaim.
+// After each look at the world no team is below its guarantee by a reclaim, nothing is promised twice, and no reclaim
+// stands for ever; see `BorrowingAudit`.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -25,7 +26,10 @@
   features: { borrowing: { enabled: true, max_share: 0.5 } },
 };
 
-/** One team's batch work takes what there is; then the other has a surge, and its own batch work comes back as that ends. */
+/**
+ * One team's batch work takes what there is; then the other has a surge, and its own batch work comes back as that
+ * ends.
+ */
 const SURGE_AND_RETURN: readonly TimedFault[] = [
   { at: BATCH_AT, fault: { kind: 'batch wave', team: 1, tasks: 60, estimateS: 40 } },
   { at: SURGE_AT, fault: { kind: 'surge', team: 0, replicas: 12, everyMs: 300, forMs: 40_000 } },
--- a/packages/testkit/test/deployments.test.ts
+++ b/packages/testkit/test/deployments.test.ts
@@ -1,4 +1,5 @@
-// Deployments as data: several machine types, zones without a controller, clocks that are off, a fleet that starts empty.
+// Deployments as data: several machine types, zones without a controller, clocks that are off, a fleet that starts
+// empty.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { machineTypesMap } from '@gingerlock/wire';
--- a/packages/testkit/test/fault-combinations.test.ts
+++ b/packages/testkit/test/fault-combinations.test.ts
@@ -1,5 +1,5 @@
-// Troubles that meet. Each of these met on real machines, and rules broke there; docs/meetings.md lists them with the path
-// that carries each. A combination is played as a whole day, and shows that it did come about.
+// Troubles that meet. Each of these met on real machines, and rules broke there; docs/meetings.md lists them with the
+// path that carries each. A combination is played as a whole day, and shows that it did come about.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { PeerMessage } from '@gingerlock/peer';
@@ -337,7 +337,10 @@
   });
 }
 
-/** The gap: one controller alone is refused, others confirm cancellations, then nobody is served for longer than `cancel_s`. */
+/**
+ * The gap: one controller alone is refused, others confirm cancellations, then nobody is served for longer than
+ * `cancel_s`.
+ */
 async function gap(seed: number, falsify: (message: PeerMessage) => PeerMessage | null): Promise<World> {
   const world = new World({ seed, controllers: 5, machines: 9, capacity: 5, falsify });
   const faults = [1, 3].map((times) => ({
--- a/packages/testkit/test/group-day-generator.ts
+++ b/packages/testkit/test/group-day-generator.ts
@@ -1,4 +1,5 @@
-// Draws troubles for days of replica groups: those of groups themselves beside those of controllers, machines, zones and the state service.
+// Draws troubles for days of replica groups: those of groups themselves beside those of controllers, machines, zones
+// and the state service.
 import fc from 'fast-check';
 import type { Fault } from '../src/index';
 import { combination } from './day-generator';
--- a/packages/testkit/test/growth.test.ts
+++ b/packages/testkit/test/growth.test.ts
@@ -23,8 +23,8 @@
   return world;
 }
 
-// Five controllers share a state service that does not grow, and each has the same fraction of a core: work is counted, as
-// time would say more of the machine that runs the test.
+// Five controllers share a state service that does not grow, and each has the same fraction of a core: work is
+// counted, as time would say more of the machine that runs the test.
 test('requests, changes and what controllers tell each other grow no faster than the fleet and its jobs', async () => {
   const counts: Record<string, number>[] = [];
   for (const times of [1, 2, 4]) {
--- a/packages/testkit/test/large-day.test.ts
+++ b/packages/testkit/test/large-day.test.ts
@@ -1,5 +1,6 @@
-// A generated day with a crash, a zone cut and a rolling restart, and one on which a single controller survives under a huge array and a
-// flood. Small in CI; GINGERLOCK_MACHINES gives them the size that operators have (`npm run large-day`).
+// A generated day with a crash, a zone cut and a rolling restart, and one on which a single controller survives under
+// a huge array and a flood. Small in CI; GINGERLOCK_MACHINES gives them the size that operators have (`npm run
+// large-day`).
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
 import { type Fault, runScenario, World } from '../src/index';
@@ -19,7 +20,9 @@
 const TASKS_PER_JOB = 200;
 const BUSY_S = 70;
 
-/** A task runs for half as long again as estimated at the most, and may have begun to just before the end of the day. */
+/**
+ * A task runs for half as long again as estimated at the most, and may have begun to just before the end of the day.
+ */
 const LONGEST_RUN_MS = BUSY_S * 1500;
 
 /** Keeps three of the four GPUs of each machine busy for the troubles of the day: idle machines are returned. */
@@ -106,7 +109,8 @@
   await runScenario(world, { seed: SEED, forMs: 200_000, faults });
   noteCost(context, world, startedAt, fleet.least);
   assert.deepEqual(world.violations, []);
-  // The team's limit lets the last tasks that keep the fleet busy begin halfway through the day, some of them for longer than the rest of it.
+  // The team's limit lets the last tasks that keep the fleet busy begin halfway through the day, some of them for
+  // longer than the rest of it.
   assert.deepEqual(waitingJobs(world), [], openJobs(world).join());
   await world.sim.run(world.sim.now + LONGEST_RUN_MS);
   assert.deepEqual(world.violations, []);
--- a/packages/testkit/test/large-fleet.test.ts
+++ b/packages/testkit/test/large-fleet.test.ts
@@ -44,7 +44,8 @@
   const faults: TimedFault[] = [{ at: 20_000, fault: { kind: 'crash', nodes: [-1], backMs: 3000 } }];
   const world = new World({ seed: 53, controllers: 5, machines: 20, capacity: 12, load: 4, limits });
   await runScenario(world, { seed: 53, forMs: 150_000, faults });
-  // Each term starts 16 tasks and its successor waits for leases: four times the usual arrivals take a little longer than the day.
+  // Each term starts 16 tasks and its successor waits for leases: four times the usual arrivals take a little longer
+  // than the day.
   assert.ok(world.users.open().length * 10 < world.users.observedByJob.size, `${world.users.open().length} jobs left`);
   await world.sim.run(150_000 + 2 * world.cancellationBoundMs);
   assert.deepEqual(world.violations, []);
--- a/packages/testkit/test/one-owner.test.ts
+++ b/packages/testkit/test/one-owner.test.ts
@@ -1,4 +1,5 @@
-// One owner at a time: faults that once let a former owner answer its workers while the next one started their tasks elsewhere.
+// One owner at a time: faults that once let a former owner answer its workers while the next one started their tasks
+// elsewhere.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { HttpResponse } from '@gingerlock/clients';
@@ -23,10 +24,13 @@
   imageGb: 1,
 };
 
-/** Three controllers, each with machines in its zone, all of them running replicas, with free capacity left elsewhere. */
+/**
+ * Three controllers, each with machines in its zone, all of them running replicas, with free capacity left elsewhere.
+ */
 async function busyWorld(options: Partial<WorldOptions> & { readonly seed: number }): Promise<World> {
   const world = new World({ controllers: 3, machines: 9, gpusMax: 100, jobs: SERVICE, ...options });
-  // No machine is returned: neither those with free room, nor those that are not heard of, whose tasks would end with them.
+  // No machine is returned: neither those with free room, nor those that are not heard of, whose tasks would end with
+  // them.
   const cloud = world.network.hosts.get('cloud:1')!;
   world.network.hosts.set('cloud:1', (method, path, body, from) =>
     path === CLOUD_PATHS.types ? cloud(method, path, body, from) : REFUSED,
@@ -52,7 +56,10 @@
   return [...world.runningTasks()].filter(([, machine]) => world.zoneOf(machine) === zone).map(([task]) => task);
 }
 
-/** Cuts the workers of the zone, and its controllers too if `peers`, off from those of other zones; the state service is reached. */
+/**
+ * Cuts the workers of the zone, and its controllers too if `peers`, off from those of other zones; the state service
+ * is reached.
+ */
 function isolate(world: World, zone: string, peers: boolean): void {
   const isInside = (host: string): boolean => world.zoneOf(host) === zone;
   const isPeer = (host: string): boolean => host.startsWith('peer:');
@@ -74,9 +81,9 @@
 }
 
 /**
- * The owner's state lease lapses, another controller takes the partition, and the owner's attempt to put its hold back is never
- * answered. It is cut off from its peers, and its workers from all other controllers; its reads go on for most of the fencing
- * period.
+ * The owner's state lease lapses, another controller takes the partition, and the owner's attempt to put its hold
+ * back is never answered. It is cut off from its peers, and its workers from all other controllers; its reads go on
+ * for most of the fencing period.
  */
 async function resumeUnanswered(world: World): Promise<void> {
   isolate(world, ZONE, true);
@@ -106,8 +113,9 @@
   assert.notEqual(ownerOf(world), OWNER);
 }
 
-// A controller whose state lease has lapsed puts its holds back under the same term. While the answer to that was out, it did not
-// look at the owner record: it answered its workers for as long as its reads went on, though these showed the next owner.
+// A controller whose state lease has lapsed puts its holds back under the same term. While the answer to that was
+// out, it did not look at the owner record: it answered its workers for as long as its reads went on, though these
+// showed the next owner.
 test('an owner whose resumption stays unanswered gives way to the owner that its reads show', async () => {
   const world = await busyWorld({ seed: 5 });
   await resumeUnanswered(world);
@@ -142,8 +150,9 @@
   }
 });
 
-// Asked by the next owner whether it still owned the partition, a controller said no while its own, earlier takeover waited for a
-// read; that read came in, and it began to answer workers, whose tasks the next owner took for ended one worker lease later.
+// Asked by the next owner whether it still owned the partition, a controller said no while its own, earlier takeover
+// waited for a read; that read came in, and it began to answer workers, whose tasks the next owner took for ended one
+// worker lease later.
 test('a controller that has said that it does not own a partition never opens an earlier takeover of it', async () => {
   const world = await busyWorld({ seed: 5, workerLeaseS: 16, cancellationBoundS: 50 });
   world.crash(OWNER);
--- a/packages/testkit/test/operations.test.ts
+++ b/packages/testkit/test/operations.test.ts
@@ -1,4 +1,5 @@
-// Troubles that on-call met, each played as a whole day of the simulated world: no rule is broken, and all work gets done.
+// Troubles that on-call met, each played as a whole day of the simulated world: no rule is broken, and all work gets
+// done.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { KEYS, ownerRecord } from '@gingerlock/wire';
--- a/packages/testkit/test/ownership-term.test.ts
+++ b/packages/testkit/test/ownership-term.test.ts
@@ -1,4 +1,5 @@
-// A partition that is lost and taken again by the same controller: nothing of the former tenure acts under the later one.
+// A partition that is lost and taken again by the same controller: nothing of the former tenure acts under the later
+// one.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decode, KEYS, ownerRecord, parseStateRequest, txnRequestOf } from '@gingerlock/wire';
@@ -13,8 +14,8 @@
   return ownerRecord.read(world.state.data.get(KEYS.owner(RESOURCE))!.value);
 }
 
-// Term and version of a partition were read anew after each write: the former owner's table went on being written from under the
-// version of the next tenure, which knew nothing of it.
+// Term and version of a partition were read anew after each write: the former owner's table went on being written
+// from under the version of the next tenure, which knew nothing of it.
 test('a write of a former tenure that is answered late is not followed by others under the next tenure', async () => {
   // More machines than fit into one transaction have to be written down.
   const world = new World({ seed: 9, controllers: 2, machines: 60 });
--- a/packages/testkit/test/rendezvous.test.ts
+++ b/packages/testkit/test/rendezvous.test.ts
@@ -178,7 +178,10 @@
   readonly until: number;
 }
 
-/** Members ask all the time, any controller; returns what was given, and the leases that were held as a later generation was reserved. */
+/**
+ * Members ask all the time, any controller; returns what was given, and the leases that were held as a later
+ * generation was reserved.
+ */
 async function dayOfLeases(
   seed: number,
   faults: readonly { at: number; fault: Fault }[],
--- a/packages/testkit/test/replica-groups-loopback.test.ts
+++ b/packages/testkit/test/replica-groups-loopback.test.ts
@@ -1,5 +1,5 @@
-// The wish's own test: on loopback, with real servers, links and processes, a replica that spans machines is restored whole or cleanly withdrawn,
-// and never answers in part. Run as a member if its first argument says so.
+// The wish's own test: on loopback, with real servers, links and processes, a replica that spans machines is restored
+// whole or cleanly withdrawn, and never answers in part. Run as a member if its first argument says so.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '@gingerlock/wire';
@@ -107,8 +107,8 @@
 }
 
 /**
- * The head's machine hangs for longer than all leases, with requests of clients waiting in its sockets, while a later generation comes up on
- * machines of the old one. Then it goes on. Returns what it answered.
+ * The head's machine hangs for longer than all leases, with requests of clients waiting in its sockets, while a later
+ * generation comes up on machines of the old one. Then it goes on. Returns what it answered.
  */
 async function pausedHead(
   guards: Partial<Pick<MemberOptions, 'keepsLease' | 'checksGeneration'>>,
--- a/packages/testkit/test/replica-groups-measure.test.ts
+++ b/packages/testkit/test/replica-groups-measure.test.ts
@@ -1,5 +1,6 @@
-// What replica groups cost and gain, in simulated machines: the same days with groups, and with their members started one by one. Small in CI;
-// `npm run measure-replica-groups` plays more (GINGERLOCK_GROUPS: how many, GINGERLOCK_SEEDS: on how many days each).
+// What replica groups cost and gain, in simulated machines: the same days with groups, and with their members started
+// one by one. Small in CI; `npm run measure-replica-groups` plays more (GINGERLOCK_GROUPS: how many,
+// GINGERLOCK_SEEDS: on how many days each).
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
 import { type Fault, GROUP_CLASS, runScenario, World } from '../src/index';
@@ -12,7 +13,10 @@
 const GPUS = 2;
 const GPUS_PER_MACHINE = 4;
 
-/** Machines that are up at the start, and those of either kind that each of the three zones can have, against what the groups take. */
+/**
+ * Machines that are up at the start, and those of either kind that each of the three zones can have, against what the
+ * groups take.
+ */
 const START_SHARE = 0.5;
 const ZONE_SHARE = 0.6;
 
@@ -21,7 +25,10 @@
 const SAMPLE_MS = 200;
 
 interface Sample {
-  /** Of one group: since when all its members have not been up, after they were or since it was submitted; null: they are. */
+  /**
+   * Of one group: since when all its members have not been up, after they were or since it was submitted; null: they
+   * are.
+   */
   brokenSince: number | null;
   hasServed: boolean;
 }
--- a/packages/testkit/test/replica-groups-off.test.ts
+++ b/packages/testkit/test/replica-groups-off.test.ts
@@ -1,4 +1,5 @@
-// Off, replica groups change nothing: no key, no message and no request of a whole day differs, and none is of their kinds.
+// Off, replica groups change nothing: no key, no message and no request of a whole day differs, and none is of their
+// kinds.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { holdRecord, KEYS, LEADERSHIP } from '@gingerlock/wire';
--- a/packages/testkit/test/replica-groups.test.ts
+++ b/packages/testkit/test/replica-groups.test.ts
@@ -1,5 +1,6 @@
-// Replica groups on days on which machines and several controllers fail: what must never happen is audited at every step (`GroupAudit`),
-// and once the troubles are over every group serves again within a bound that follows from the settings (docs/replica-groups-design.md).
+// Replica groups on days on which machines and several controllers fail: what must never happen is audited at every
+// step (`GroupAudit`), and once the troubles are over every group serves again within a bound that follows from the
+// settings (docs/replica-groups-design.md).
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
--- a/packages/testkit/test/takeover.test.ts
+++ b/packages/testkit/test/takeover.test.ts
@@ -42,8 +42,8 @@
   return world.nodes.find(has)!.name;
 }
 
-// A worker that was sent away from a part without an owner went on to the next controller, which could be dead or cut off
-// as well, and lost its lease, with all that ran there, after two of those.
+// A worker that was sent away from a part without an owner went on to the next controller, which could be dead or cut
+// off as well, and lost its lease, with all that ran there, after two of those.
 test('a report to a part whose owner has just died waits for the next owner and is sent there', async () => {
   for (const seed of [1, 2, 3, 4]) {
     const world = new World({ seed, controllers: 5, machines: 30 });
