--- a/packages/testkit/src/audits/borrowing-audit.ts
+++ b/packages/testkit/src/audits/borrowing-audit.ts
@@ -1,31 +1,20 @@
 // Checks reclaims of GPUs against what really runs, from the moment at which each is stored to its end.
 import { PRIORITIES, parseTaskName, type ReclaimRecord, reclaimRecord } from '@gingerlock/wire';
 import { ABANDONED_BOUNDS } from '@gingerlock/borrowing';
-import type { JobSpec } from '@gingerlock/wire';
-import type { Invariant } from './invariants';
-import type { Scheduler } from '../simulation/sim';
-import type { SimStateService } from '../standins/state-service';
+import type { AuditedWorld } from './audited-world';
 import type { ObservedStatus } from '../standins/users';
-import type { SimWorker } from '../standins/worker';
 
-/** What is looked at: a simulated deployment, or one on loopback. */
-export interface AuditedWorld {
-  readonly sim: Scheduler;
-  readonly state: SimStateService;
-  readonly workers: ReadonlyMap<string, SimWorker>;
+/** What is audited of a deployment, simulated or on loopback. */
+export interface BorrowingAuditedWorld extends AuditedWorld {
   readonly users: {
     readonly observedByJob: ReadonlyMap<string, ObservedStatus>;
-    /** Whether the job's user has been told that it is cancelled. */
+    /** Whether the job's user got the answer that it is cancelled. */
     isCancelled(observed: ObservedStatus): boolean;
   };
-  readonly heartbeatIntervalMs: number;
-  readonly cancellationBoundMs: number;
   readonly longestSaveMs: number;
   readonly guaranteedGpus: number;
+  /** A team without a guarantee. */
   readonly guestTeam: string;
-  job(id: string): JobSpec | undefined;
-  recordOccurrence(what: string): void;
-  reportViolation(rule: Invariant, detail: string): void;
 }
 
 /** What is stored of reclaims stands below this. */
@@ -50,7 +39,7 @@
   decided = 0;
   #samples: Sample[] = [];
 
-  constructor(readonly world: AuditedWorld) {}
+  constructor(readonly world: BorrowingAuditedWorld) {}
 
   /**
    * GPUs that each team's tasks hold now, those that fetch their images included, for jobs that are not known to be
--- a/packages/testkit/src/audits/group-audit.ts
+++ b/packages/testkit/src/audits/group-audit.ts
@@ -3,7 +3,19 @@
 import type { PartitionOwner } from '@gingerlock/daemon';
 import { GROUP_MOVES } from '@gingerlock/replica-groups';
 import { type GroupRecord, groupRecord, KEYS, ownerRecord, parseKey, parseTaskName, taskName } from '@gingerlock/wire';
-import type { World } from '../simulation/world';
+import type { InspectableWorld } from './audited-world';
+import type { ObservedStatus } from '../standins/users';
+
+/** What is audited of a deployment. */
+export interface GroupAuditedWorld extends InspectableWorld {
+  /** How long a group may be on its way from one state to the next. */
+  readonly groupBoundMs: number;
+  readonly users: { open(): readonly ObservedStatus[] };
+  /** Whether the tasks of the job are the members of a replica group. */
+  isGroup(job: string): boolean;
+  /** How many tasks of the job are on machines. */
+  tasksOn(job: string): number;
+}
 
 /** An owner that reads the state service has taken a change in after so many report intervals. */
 const READ_INTERVALS = 3;
@@ -36,7 +48,7 @@
   #auditedAt = 0;
   readonly #reported = new Set<string>();
 
-  constructor(readonly world: World) {}
+  constructor(readonly world: GroupAuditedWorld) {}
 
   /** A record was stored. */
   stored(key: string): void {
--- a/packages/testkit/src/audits/invariants.ts
+++ b/packages/testkit/src/audits/invariants.ts
@@ -10,12 +10,12 @@
  * unanswered:      once all troubles are over, no question about an accepted job is answered.
  * condemned_healthy: a machine that was never at fault is taken for one that is.
  * retried_often:    a job that fails wherever it runs is started again and again.
- * forgotten_machine: once all troubles are over, a machine that never comes up stays rented.
- * frame_too_large: a controller sends another one a message that its link does not take.
- * Those of borrowing; see `BorrowingAudit`:
+ * forgotten_machine: once all troubles are over, a machine that never comes up stays rented. frame_too_large: a
+ * controller sends another one a message that its link does not take. Those of borrowing; see `BorrowingAudit`:
  * below_guarantee:  a reclaim leaves a team less than its guarantee, or than it has work for.
  * promised_twice:   two reclaims at once are for one machine, or for one task.
- * replica_reclaimed: a replica is stopped for a service of lower priority, or a task for one that is no more urgent and of its own team.
+ * replica_reclaimed: a replica is stopped for a service of lower priority, or a task for one that is no more urgent and
+ * of its own team.
  * endless_reclaim:  once all troubles are over, a reclaim stands for ever.
  * overcommitted:    the tasks on a machine use more than it has.
  * Those of replica groups; see `GroupAudit`:
--- a/packages/testkit/src/audits/liveness.ts
+++ b/packages/testkit/src/audits/liveness.ts
@@ -4,7 +4,29 @@
 import { type JobSpec, jobRecord, KEYS, parseTaskName } from '@gingerlock/wire';
 import type { ObservedStatus } from '../standins/users';
 import type { SimWorker } from '../standins/worker';
-import type { World } from '../simulation/world';
+import type { InspectableWorld } from './audited-world';
+
+/** What is audited of a deployment. */
+export interface LivenessAuditedWorld extends InspectableWorld {
+  readonly users: {
+    readonly observedByJob: ReadonlyMap<string, ObservedStatus>;
+    open(): readonly ObservedStatus[];
+    isUnwanted(observed: ObservedStatus): boolean;
+    isReady(observed: ObservedStatus): boolean;
+  };
+  /** When the last fault of the scenario is over. */
+  readonly quietAt: number;
+  /** The limit of each team. */
+  readonly gpusMax: number;
+  /** How long a replica group may be on its way from one state to the next. */
+  readonly groupBoundMs: number;
+  isGroup(job: string): boolean;
+  /** Whether the job was submitted with a mistake. */
+  isBroken(id: string): boolean;
+  /** How many tasks of the job are done. */
+  doneOf(id: string): number;
+  capacityOfType(type: string): Resources;
+}
 
 /**
  * A job may wait this many times `cancel_s` though there is room: until then what may still run had to be waited for.
@@ -28,7 +50,7 @@
   /** By machine: when it came up. */
   readonly #upSince = new Map<string, number>();
 
-  constructor(readonly world: World) {}
+  constructor(readonly world: LivenessAuditedWorld) {}
 
   machineUp(machine: string): void {
     this.#upSince.set(machine, this.world.sim.now);
--- a/packages/testkit/src/audits/operations-audit.ts
+++ b/packages/testkit/src/audits/operations-audit.ts
@@ -1,6 +1,18 @@
 // What must hold in the troubles that operators met beside the protocol's rules: who is at fault is told apart, what
 // fails is not retried without bound, and no rented machine is forgotten.
-import type { World } from '../simulation/world';
+import type { MachineType } from '@gingerlock/wire';
+import type { InspectableWorld } from './audited-world';
+import type { RentedMachine } from '../standins/cloud-records';
+
+/** What is audited of a deployment. */
+export interface OperationsAuditedWorld extends InspectableWorld {
+  /** Jobs that were submitted with a mistake, and how often tasks of them were started. */
+  readonly brokenJobs: ReadonlyMap<string, { starts: number; firstStartAt: number | null }>;
+  /** Machines that were at fault at any time. */
+  readonly everUnhealthy: ReadonlySet<string>;
+  readonly cloud: { readonly rented: readonly RentedMachine[] };
+  machineType(name: string): MachineType | undefined;
+}
 
 /**
  * How often the tasks of a broken job may be started: so many times each while it is found out, and a trial in so
@@ -19,7 +31,7 @@
   readonly #condemned = new Set<string>();
   readonly #forgotten = new Set<string>();
 
-  constructor(readonly world: World) {}
+  constructor(readonly world: OperationsAuditedWorld) {}
 
   /** A task of the job is on a machine now. */
   started(job: string): void {
--- a/packages/testkit/src/audits/ownership-audit.ts
+++ b/packages/testkit/src/audits/ownership-audit.ts
@@ -3,7 +3,13 @@
 import type { PartitionOwner } from '@gingerlock/daemon';
 import { type TaskEntry, tasksAssignedTo } from '@gingerlock/core';
 import { jobRecord, type JobRecord, KEYS, parseTaskName, type AssignedRange } from '@gingerlock/wire';
-import type { World } from '../simulation/world';
+import type { InspectableWorld } from './audited-world';
+
+/** What is audited of a deployment. */
+export interface OwnershipAuditedWorld extends InspectableWorld {
+  /** Whether the task is done for good. */
+  isDone(taskName: string): boolean;
+}
 
 function isIn({ from, count }: AssignedRange, taskIndex: number): boolean {
   return taskIndex >= from && taskIndex < from + count;
@@ -13,7 +19,7 @@
   /** Records of jobs as they were parsed last, by key. */
   readonly #records = new Map<string, { readonly version: number; readonly record: JobRecord }>();
 
-  constructor(readonly world: World) {}
+  constructor(readonly world: OwnershipAuditedWorld) {}
 
   audit(): void {
     for (const { controller } of this.world.nodes) {
--- /dev/null
+++ b/packages/testkit/src/audits/placement-audit.ts
@@ -0,0 +1,116 @@
+// Checks each start of a task against its job and its machine: it runs once, where it may, within its team's limit,
+// after what it awaits, and not after its cancellation.
+import type { Resources } from '@gingerlock/core';
+import { type JobSpec, parseTaskName } from '@gingerlock/wire';
+import type { AuditedWorld } from './audited-world';
+import type { TaskTracker } from '../simulation/task-tracker';
+import type { ObservedStatus } from '../standins/users';
+import type { SimWorker } from '../standins/worker';
+
+/** What is audited of a deployment. */
+export interface PlacementAuditedWorld extends AuditedWorld {
+  readonly tasks: TaskTracker;
+  readonly users: {
+    readonly observedByJob: ReadonlyMap<string, ObservedStatus>;
+    /** Whether all that the job awaits has completed. */
+    isReady(observed: ObservedStatus): boolean;
+  };
+  readonly network: { standsStill(host: string): boolean };
+  /** The limit of each team. */
+  readonly gpusMax: number;
+  capacityOfType(type: string): Resources;
+}
+
+/** Sums of resources may be off by so much. */
+const ROUNDING = 1e-9;
+
+/** An owner may start a task until `cancel_s` divided by this has passed since its last look at the jobs. */
+const OWNER_VIEWS_PER_BOUND = 10;
+
+/** How long an answer of an owner counts at its worker. */
+const ANSWER_VALID_MS = 4000;
+
+/** Audits where and when tasks run. */
+export class PlacementAudit {
+  /** The most GPUs that a team has ever used. */
+  peakGpus = 0;
+  /** The longest that a task was on a machine after its user got the answer that it is cancelled. */
+  longestCancelledMs = 0;
+
+  constructor(readonly world: PlacementAuditedWorld) {}
+
+  /** A start command that was not known yet has come to a worker. */
+  checkCommand(taskName: string): void {
+    const { world } = this;
+    const cancelledAt = world.users.observedByJob.get(parseTaskName(taskName)?.job ?? '')?.cancelledAt ?? null;
+    if (cancelledAt === null) return;
+    world.recordOccurrence('started though cancelled');
+    const boundMs = world.cancellationBoundMs / OWNER_VIEWS_PER_BOUND + ANSWER_VALID_MS;
+    if (world.sim.now - cancelledAt > boundMs) world.reportViolation('start_cancelled', taskName);
+  }
+
+  /** A task is about to run on the machine: it must run on no other. */
+  checkRunsOnce(taskName: string, machine: string): void {
+    const other = this.world.tasks.machineByTask.get(taskName);
+    if (other !== undefined && other !== machine)
+      this.world.reportViolation('ran_twice', `${taskName} on ${machine} and ${other}`);
+  }
+
+  /** A task now runs on the machine. */
+  checkStart(taskName: string, machine: string, spec: JobSpec): void {
+    const worker = this.world.workers.get(machine)!;
+    this.#checkMachine(taskName, worker, spec);
+    this.#checkZones(worker, spec);
+    this.#checkUse(worker, spec);
+    this.#checkDependencies(taskName, spec);
+    this.#checkCancelled(taskName, machine);
+  }
+
+  #checkMachine(taskName: string, { zone, spot, type }: SimWorker, spec: JobSpec): void {
+    const { world } = this;
+    if (spec.zone !== null && spec.zone !== zone) world.reportViolation('wrong_place', `${taskName} in zone ${zone}`);
+    if (spot && !spec.spot) world.reportViolation('wrong_place', `${taskName} on spot`);
+    if (spec.types?.includes(type) === false) world.reportViolation('wrong_place', `${taskName} on type ${type}`);
+  }
+
+  #checkZones(worker: SimWorker, { id, oneZone, spread, tasks }: JobSpec): void {
+    const { world } = this;
+    const machines = [...world.tasks.runningOf(id)].map((taskName) => world.tasks.machineByTask.get(taskName)!);
+    const zones = machines.map((machine) => world.workers.get(machine)?.zone);
+    if (oneZone && new Set(zones).size > 1) world.reportViolation('wrong_place', `${id} in ${zones.join()}`);
+    if (spread && zones.filter((zone) => zone === worker.zone).length > Math.ceil(tasks / 2))
+      world.reportViolation('wrong_place', `${id} not spread: ${zones.join()}`);
+  }
+
+  #checkUse({ name, type }: SimWorker, { team }: JobSpec): void {
+    const { world } = this;
+    const gpus = world.tasks.gpusOfTeam(team);
+    this.peakGpus = Math.max(this.peakGpus, gpus);
+    if (gpus > world.gpusMax + ROUNDING) world.reportViolation('quota', `team ${team} uses ${gpus}`);
+    const used = world.tasks.gpusOnMachine(name);
+    if (used > world.capacityOfType(type).gpus + ROUNDING)
+      world.reportViolation('overcommitted', `${name}: ${used} GPUs`);
+  }
+
+  #checkDependencies(taskName: string, { id, awaits }: JobSpec): void {
+    const { users } = this.world;
+    if (!users.isReady(users.observedByJob.get(id)!))
+      this.world.reportViolation('too_early', `${taskName} before one of ${awaits.join()}`);
+  }
+
+  #checkCancelled(taskName: string, machine: string): void {
+    const { world } = this;
+    const { cancelledAt } = world.users.observedByJob.get(parseTaskName(taskName)!.job)!;
+    if (cancelledAt === null) return;
+    const sinceMs = world.sim.now - cancelledAt;
+    this.longestCancelledMs = Math.max(this.longestCancelledMs, sinceMs);
+    if (sinceMs <= world.cancellationBoundMs) return;
+    const suffix = world.network.standsStill(machine) ? ', which hangs' : '';
+    world.reportViolation('ran_cancelled', `${taskName} on ${machine}${suffix}`);
+  }
+
+  /** Checks what only time can show: to be called again and again. */
+  audit(): void {
+    for (const [taskName, machine] of this.world.tasks.machineByTask) this.#checkCancelled(taskName, machine);
+  }
+}
--- a/packages/testkit/src/index.ts
+++ b/packages/testkit/src/index.ts
@@ -16,6 +16,7 @@
 export * from './loopback/loopback-groups';
 export * from './loopback/member-process';
 export * from './simulation/world';
+export * from './simulation/world-options';
 export * from './faults/faults';
 export * from './faults/scenario';
 export * from './simulation/deployment';
