--- a/packages/testkit/src/loopback/loopback-groups.ts
+++ b/packages/testkit/src/loopback/loopback-groups.ts
@@ -7,9 +7,11 @@
 import { LoopbackDeployment, type LoopbackOptions } from './loopback';
 import { ASK_PATH, type GroupAnswer, type MemberOptions } from './member-process';
 
+/** What it is given beside the options of any deployment on loopback. */
 export interface GroupDeploymentOptions extends LoopbackOptions {
   /** The script that runs a member if its first argument is `--member`, with the member's options as JSON behind it. */
   readonly script: string;
+  /** Which of the two guards against answers of a mixed group members have; both if not given. */
   readonly guards?: Partial<Pick<MemberOptions, 'keepsLease' | 'checksGeneration'>>;
 }
 
@@ -18,10 +20,12 @@
  * for each process.
  */
 const MEMBER_PORT = 12_000 + (process.pid % 16_000);
+/** How long a member loads before it serves. */
 const LOAD_MS = 150;
 
 /** How often the client asks each machine for the head. */
 const ASK_EVERY_MS = 60;
+/** How long the client waits for an answer. */
 const CLIENT_MS = 5000;
 
 interface RunningMember {
@@ -31,6 +35,7 @@
   readonly process: ChildProcess;
 }
 
+/** A deployment on loopback with members and a client. */
 export class GroupDeployment extends LoopbackDeployment {
   /** By task and machine. */
   readonly #members = new Map<string, RunningMember>();
@@ -87,21 +92,23 @@
     return [...this.#members.values()];
   }
 
+  /** The process of the member that is this task, wherever it runs. */
   memberOf(taskName: string): RunningMember | undefined {
     return this.members.find((member) => member.task === taskName);
   }
 
+  /** The process of the member dies; its machine sees it end with an error. */
   killMember(taskName: string): void {
     this.memberOf(taskName)?.process.kill('SIGKILL');
   }
 
-  /** The machine stands still with all that is on it. Returns what lets it go on. */
+  /** The machine hangs with all that is on it. Returns a function that resumes it. */
   hang(machine: string): () => void {
     const processes = this.members.filter((member) => member.machine === machine).map((member) => member.process);
     this.network.hang(machine);
     for (const process of processes) process.kill('SIGSTOP');
     return () => {
-      // The worker goes on with them, and soon stops what its lease no longer covers.
+      // The worker resumes with them, and soon stops what its lease no longer covers.
       for (const process of processes) process.kill('SIGCONT');
       this.network.resume(machine);
     };
@@ -114,6 +121,7 @@
     this.cloud.end(machine, 'failed');
   }
 
+  /** The group's stored record; null: there is none. */
   recordOf(job: string): GroupRecord | null {
     const stored = this.state.data.get(KEYS.group(job));
     return stored === undefined ? null : groupRecord.read(stored.value);
--- /dev/null
+++ b/packages/testkit/src/loopback/loopback-settings.ts
@@ -0,0 +1,64 @@
+// What a deployment on loopback is made of: its zones, teams, machine type and times, and the settings files of its
+// controllers.
+import type { MachineType } from '@gingerlock/wire';
+
+/** Its zones. Controllers and machines are spread over them one after the other. */
+export const ZONES: readonly string[] = ['north', 'south', 'east'];
+
+const TEAMS: readonly string[] = ['red', 'blue'];
+
+/** `report_s`, `lease_s` and `cancel_s`, in seconds: short, as real time passes in the tests. */
+export const HEARTBEAT_INTERVAL_S = 0.4;
+export const WORKER_LEASE_S = 3;
+export const CANCELLATION_BOUND_S = 8;
+
+/** The type of all machines. */
+export const MACHINE_TYPE: MachineType = {
+  name: 'box',
+  cpus: 16,
+  gpus: 4,
+  memoryGb: 64,
+  cacheGb: 100,
+  fetchGbPerS: 10,
+  price: 4,
+  spotPrice: 1,
+  bootS: 5,
+  zones: [...ZONES],
+};
+
+/** What a settings file is made from. */
+export interface LoopbackSettingsSource {
+  /** The names of all controllers. */
+  readonly controllers: readonly string[];
+  readonly guaranteedGpus: number;
+  readonly gpusMax: number;
+  /** Where a controller listens for its peers, as address and port. */
+  peerAddressOf(node: string): string;
+}
+
+/** The settings of one controller, as the file has them once it is parsed. */
+export function loopbackSettings(source: LoopbackSettingsSource, node: string): unknown {
+  const { controllers, guaranteedGpus, gpusMax } = source;
+  const zoneOf = (name: string): string => ZONES[controllers.indexOf(name) % ZONES.length]!;
+  const peers = controllers
+    .filter((name) => name !== node)
+    .map((name) => ({ node: name, area: zoneOf(name), address: source.peerAddressOf(name) }));
+  return {
+    node,
+    area: zoneOf(node),
+    client_listen: '127.0.0.1:0',
+    cluster_listen: source.peerAddressOf(node),
+    peers,
+    services: { cloud: 'cloud:1', state: 'state:1' },
+    facts: {
+      count: controllers.length,
+      zones: ZONES,
+      teams: TEAMS.map((name) => ({ name, cpus: 0, cpus_max: 0, gpus: guaranteedGpus, gpus_max: gpusMax })),
+      workers: { report_s: HEARTBEAT_INTERVAL_S, lease_s: WORKER_LEASE_S, cancel_s: CANCELLATION_BOUND_S },
+      state: { rps: 400, write_rps: 200, value_kb: 8, txn_ops: 12 },
+      cloud: { rps: 8, list_lag_s: 1 },
+      machine_limits: { sockets: 600 },
+      skew_ms: 100,
+    },
+  };
+}
--- a/packages/testkit/src/loopback/member-process.ts
+++ b/packages/testkit/src/loopback/member-process.ts
@@ -9,6 +9,7 @@
   type RendezvousAnswer,
 } from '@gingerlock/wire';
 
+/** What a member is started with; its process gets it as JSON. */
 export interface MemberOptions {
   readonly task: string;
   readonly attempt: number;
@@ -18,9 +19,9 @@
   /** Addresses of the controllers. */
   readonly controllers: readonly string[];
   readonly loadMs: number;
-  /** Whether it stops serving when its lease has run out. */
+  /** Whether it stops serving when its lease has expired. */
   readonly keepsLease: boolean;
-  /** Whether it takes part only under its own generation, and as the head answers only with parts of its own. */
+  /** Whether it answers the head only under its own generation, and as the head uses only answers of its own. */
   readonly checksGeneration: boolean;
 }
 
@@ -38,8 +39,10 @@
   readonly partials: readonly PartialAnswer[];
 }
 
-/** Paths at a member: of clients, and of the head. */
+/** The path at the head for clients. */
 export const ASK_PATH = '/ask';
+
+/** The path at any other member for the head. */
 export const PARTIAL_PATH = '/part';
 
 /** A member asks again after this share of the time that it may serve. */
@@ -48,6 +51,7 @@
 /** While it may not serve, it asks so often. */
 const RETRY_MS = 100;
 
+/** How long a member waits for an answer of a controller or of another member. */
 const REQUEST_MS = 1000;
 
 /** Why a request is not answered, as a status. */
@@ -74,7 +78,7 @@
     }
   }
 
-  /** The lease counts from the sending of the question: an answer that comes late gives so much less. */
+  /** The lease counts from the sending of the question: the later the answer comes, the less is left of it. */
   async #meet(): Promise<void> {
     const { task: taskName, attempt, controllers } = this.options;
     const sentAt = performance.now();
@@ -113,7 +117,7 @@
     answer(response, 200, { rank: group.rank, generation: group.generation, attempt: this.options.attempt });
   }
 
-  /** Answers only once every member has taken part, and while it may serve itself. */
+  /** Answers only once every member has contributed, and while it may serve itself. */
   async #answerClient(
     { generation, worldSize, members, rank }: RendezvousAnswer,
     response: ServerResponse,
--- /dev/null
+++ b/packages/testkit/src/loopback/real-time.ts
@@ -0,0 +1,47 @@
+// Real time, for stand-ins and for controllers.
+import type { Clock } from '@gingerlock/clients';
+import { type Scheduler, seeded } from '../simulation/sim';
+
+/** The time of the machine and seeded chance, for stand-ins. */
+export class RealTime implements Scheduler {
+  readonly random: () => number;
+  readonly #startedAt = performance.now();
+  readonly #timers = new Set<NodeJS.Timeout>();
+
+  constructor(seed: number) {
+    this.random = seeded(seed);
+  }
+
+  /** Milliseconds since the construction. */
+  get now(): number {
+    return performance.now() - this.#startedAt;
+  }
+
+  after(ms: number, run: () => void): () => void {
+    const timer = setTimeout(() => {
+      this.#timers.delete(timer);
+      run();
+    }, ms);
+    this.#timers.add(timer);
+    return () => {
+      clearTimeout(timer);
+      this.#timers.delete(timer);
+    };
+  }
+
+  /** Gives up all that is still to run. */
+  stop(): void {
+    for (const timer of this.#timers) clearTimeout(timer);
+  }
+}
+
+/** The clock of a controller, as the daemon has it. */
+export const realClock: Clock = {
+  now: () => performance.now(),
+  wall: () => Date.now(),
+  after: (ms, callback) => {
+    const timer = setTimeout(callback, ms);
+    return () => clearTimeout(timer);
+  },
+  random: () => Math.random(),
+};
--- a/packages/testkit/src/standins/users.ts
+++ b/packages/testkit/src/standins/users.ts
@@ -39,6 +39,20 @@
   answeredAt: number;
 }
 
+/** What is known of a job that its user is about to submit now. */
+export function newObservedStatus(spec: JobSpec, now: number): ObservedStatus {
+  return {
+    spec,
+    since: now,
+    accepted: false,
+    final: null,
+    cancelledAt: null,
+    cancelAt: Infinity,
+    cancelAsked: false,
+    answeredAt: now,
+  };
+}
+
 type Answer = { readonly status: number; readonly body: Buffer | null; readonly retryAfterS?: number };
 
 /** A user waits this long for an answer, says the protocol. */
@@ -69,17 +83,7 @@
   }
 
   #newObservedStatus(spec: JobSpec): ObservedStatus {
-    const { now } = this.world.sim;
-    const observed: ObservedStatus = {
-      spec,
-      since: now,
-      accepted: false,
-      final: null,
-      cancelledAt: null,
-      cancelAt: Infinity,
-      cancelAsked: false,
-      answeredAt: now,
-    };
+    const observed = newObservedStatus(spec, this.world.sim.now);
     this.observedByJob.set(spec.id, observed);
     return observed;
   }
