--- /dev/null
+++ b/packages/testkit/src/simulation/http-exchange.ts
@@ -0,0 +1,121 @@
+// One request between simulated hosts and what becomes of it: an answer, a refusal, or a time-out.
+import { type HttpResponse, NoResponseError } from '@gingerlock/clients';
+import type { Network } from './network';
+import type { TrafficEvent } from './traffic';
+
+/** What is asked, and of whom. */
+export interface HttpRequest {
+  readonly from: string;
+  readonly to: string;
+  readonly method: string;
+  readonly path: string;
+  readonly body: Buffer | null;
+}
+
+/** The process that asks. */
+export interface HttpCaller {
+  /** A process that is no longer alive gets no answer. */
+  isAlive(): boolean;
+  resolve(answer: HttpResponse): void;
+  reject(error: NoResponseError): void;
+}
+
+/** A request on its way; it ends once at the most, whatever still arrives. */
+export class HttpExchange {
+  #isOver = false;
+  #cancelTimeout: () => void = () => undefined;
+  readonly #route: Pick<TrafficEvent, 'from' | 'to' | 'request'>;
+
+  constructor(
+    readonly network: Network,
+    readonly request: HttpRequest,
+    readonly caller: HttpCaller,
+  ) {
+    const { from, to, method, path } = request;
+    this.#route = { from, to, request: `${method} ${path}` };
+  }
+
+  /** Sends the request, and maybe a copy of it later. */
+  begin(timeoutMs: number): void {
+    const { network, request } = this;
+    const { from, to, path, body } = request;
+    network.observe({ what: 'request sent', ...this.#route, body });
+    this.#cancelTimeout = network.sim.after(timeoutMs, () => network.on(from, () => this.#timeOut(), 'timer'));
+    if (network.cutOn(from, to) === 'refuse') {
+      network.sim.after(network.latencyMs(from, to), () => network.on(from, () => this.#refuse()));
+      return;
+    }
+    network.onSent(from, to, path, body ?? Buffer.alloc(0));
+    if (!network.mute.has(from)) network.pass(from, to, () => this.#arrive('original'));
+    const { copies } = network;
+    if (copies !== null && copies.only(path) && network.sim.random() < copies.share) {
+      network.sim.after(network.sim.random() * copies.withinMs, () => this.#arrive('copy'));
+    }
+  }
+
+  #timeOut(): void {
+    if (this.#isOver) return;
+    this.#isOver = true;
+    this.#fail('no answer in time');
+  }
+
+  #refuse(): void {
+    if (this.#isOver) return;
+    this.#isOver = true;
+    this.#cancelTimeout();
+    this.#fail('refused');
+  }
+
+  #fail(why: string): void {
+    if (!this.caller.isAlive()) return;
+    this.network.observe({ what: 'no answer', ...this.#route });
+    this.caller.reject(new NoResponseError(why));
+  }
+
+  /** The request has come to its host, which handles it; a copy is handled too, but not answered. */
+  #arrive(what: 'original' | 'copy'): void {
+    const { network, request } = this;
+    const { from, to, method, path, body } = request;
+    const handler = network.hosts.get(to);
+    if (handler === undefined) {
+      if (what === 'original') this.#findNobody();
+      return;
+    }
+    network.on(to, () => {
+      network.observe({ what: 'request received', ...this.#route, body });
+      void Promise.resolve(handler(method, path, body ?? Buffer.alloc(0), from)).then((answer) => {
+        network.observe({ what: 'answer sent', ...this.#route, ...answer });
+        if (what === 'original' && !this.#isAnswerLost()) this.#sendBack(answer);
+      });
+    });
+  }
+
+  /** Nobody listens at the address: the sender learns it a moment later. */
+  #findNobody(): void {
+    if (this.#isOver) return;
+    const { network, request } = this;
+    this.#cancelTimeout();
+    this.#isOver = true;
+    network.sim.after(network.latencyMs(request.to, request.from), () => this.#fail('refused'));
+  }
+
+  #isAnswerLost(): boolean {
+    const { sim, lostAnswers, lostAnswersOf } = this.network;
+    if (sim.random() < lostAnswers) return true;
+    const share = lostAnswersOf.get(this.request.to);
+    return share !== undefined && sim.random() < share;
+  }
+
+  #sendBack(answer: HttpResponse): void {
+    const { network, request, caller } = this;
+    network.pass(request.to, request.from, () =>
+      network.on(request.from, () => {
+        if (this.#isOver || !caller.isAlive()) return;
+        this.#isOver = true;
+        this.#cancelTimeout();
+        network.observe({ what: 'answer received', ...this.#route, ...answer });
+        caller.resolve(answer);
+      }),
+    );
+  }
+}
