--- a/packages/testkit/src/standins/state-service.ts
+++ b/packages/testkit/src/standins/state-service.ts
@@ -1,3 +1,5 @@
+// A stand-in of the state service: the consensus-backed key-value store that controllers share, with its leases and its
+// faults.
 import type { HttpResponse } from '@gingerlock/clients';
 import {
   type Change,
@@ -20,21 +22,24 @@
   return { status, body: encode(map) };
 }
 
+/** What stands under a key. */
 interface Entry {
   readonly value: unknown;
   readonly version: number;
   readonly lease: number | null;
 }
 
+/** So many changes are kept for those who follow. */
 const KEPT_EVENTS = 10_000;
 
+/** What the service accepts: kilobytes of a value, changes of a transaction, and changes a second. */
 export interface StateLimits {
   readonly valueKb: number;
   readonly txnOps: number;
   readonly writesPerS: number;
 }
 
-/** How little the protocol lets a follower or a lister count on. */
+/** How little the protocol guarantees to those who follow changes or list keys. */
 export interface StaleReads {
   /** So many changes are kept; who asks for older ones has to read all again. */
   readonly keptEvents: number;
@@ -42,9 +47,16 @@
   readonly pageItems: number;
 }
 
+/** Transactions that are carried out late are so after at least and at most so long. */
+const LATE_WRITE_MS = { least: 2000, most: 12_000 };
+
+/** How often expired leases are ended. */
+const SWEEP_MS = 50;
+
 /** Conditions of one transaction, as a multiple of the changes that it may have. */
 const CONDITIONS_PER_CHANGE = 4;
 
+/** Shuffles in place (Fisher and Yates). */
 function shuffled<T>(items: T[], random: () => number): T[] {
   for (let i = items.length - 1; i > 0; i--) {
     const j = Math.floor(random() * (i + 1));
@@ -53,9 +65,11 @@
   return items;
 }
 
-/** A stand-in of the state service. */
+/** The state service. Its fields set faults, and count what was asked of it. */
 export class SimStateService {
+  /** What is stored, by key. */
   readonly data = new Map<string, Entry>();
+  /** Grows by one with each transaction that changes something. */
   revision = 0;
   /** Nobody is served. */
   outage = false;
@@ -69,24 +83,26 @@
   readonly unrenewed = new Set<string>();
   /** By controller: how long the answers to its reads take, which are of the moment at which they were asked for. */
   readonly slowReadsOf = new Map<string, number>();
-  /** Set while reads are as unhelpful as the protocol allows: changes in any order, of each key the last one only. */
+  /** Set while reads are as the protocol allows at the worst: changes in any order, of each key the last one only. */
   staleReads: StaleReads | null = null;
   /** Enforced from the moment when they are set; until then what breaks a limit is only counted. */
   limits: StateLimits | null = null;
-  /** Hears of each key that a transaction has set, once all of it is carried out. */
+  /** Called with each key that a transaction has set, once all of it is carried out. */
   onStored: (key: string) => void = () => undefined;
-  /** Hears of each request that is refused for good. */
+  /** Called for each request that is refused for good. */
   onInvalid: (why: string) => void = () => undefined;
   /** Requests refused for their rate. */
   tooMany = 0;
   #writeTokens = 0;
   #filledAt = 0;
+  /** The most changes of a transaction. */
   largestTxn = 0;
+  /** The longest value, in characters of JSON. */
   largestValue = 0;
-  /** All that was asked for, by anybody. */
+  /** Requests of anybody, and changes that transactions asked for. */
   requests = 0;
   changes = 0;
-  /** Transactions that were carried out long after they had been given up. */
+  /** Transactions that were carried out long after they had timed out. */
   carriedOutLate = 0;
   #events: StateEvent[] = [];
   #dropped = 0;
@@ -96,15 +112,16 @@
   constructor(readonly sim: Scheduler) {
     const sweep = (): void => {
       for (const [id, lease] of this.#leases) if (this.sim.now > lease.until) this.#end(id);
-      this.sim.after(50, sweep);
+      this.sim.after(SWEEP_MS, sweep);
     };
-    this.sim.after(50, sweep);
+    this.sim.after(SWEEP_MS, sweep);
   }
 
-  setOutage(on: boolean): void {
-    this.outage = on;
+  /** Begins or ends an outage. */
+  setOutage(isOut: boolean): void {
+    this.outage = isOut;
     // An outage gives all leases their full time again.
-    for (const lease of this.#leases.values()) lease.until = on ? Infinity : this.sim.now + lease.ttlMs;
+    for (const lease of this.#leases.values()) lease.until = isOut ? Infinity : this.sim.now + lease.ttlMs;
   }
 
   /** Whether a request to renew a lease names one that has not ended. */
@@ -118,18 +135,19 @@
     this.data.set(key, { value, version: ++this.revision, lease: null });
   }
 
+  /** Ends a lease, and removes what was stored under it. */
   #end(id: number): void {
     this.#leases.delete(id);
-    const keys = [...this.data].filter(([, e]) => e.lease === id).map(([key]) => key);
+    const keys = [...this.data].filter(([, entry]) => entry.lease === id).map(([key]) => key);
     if (keys.length === 0) return;
     this.revision++;
     for (const key of keys) {
       this.data.delete(key);
-      this.#note({ key, value: undefined, version: this.revision });
+      this.#recordEvent({ key, value: undefined, version: this.revision });
     }
   }
 
-  #note(event: StateEvent): void {
+  #recordEvent(event: StateEvent): void {
     this.#events.push(event);
     if (this.#events.length > KEPT_EVENTS) this.#dropped = this.#events.shift()!.version;
   }
@@ -137,13 +155,13 @@
   /** Changes after a revision; null: they are not kept any more. */
   #eventsAfter(revision: number, prefix: string): StateEvent[] | null {
     if (revision < this.#dropped) return null;
-    const later = this.#events.filter((e) => e.version > revision);
+    const later = this.#events.filter((event) => event.version > revision);
     const { staleReads } = this;
     if (staleReads !== null && later.length > staleReads.keptEvents) return null;
-    const events = later.filter((e) => e.key.startsWith(prefix));
+    const events = later.filter((event) => event.key.startsWith(prefix));
     if (staleReads === null) return events;
-    const last = new Map(events.map((e) => [e.key, e]));
-    return shuffled([...last.values()], this.sim.random);
+    const lastByKey = new Map(events.map((event) => [event.key, event]));
+    return shuffled([...lastByKey.values()], this.sim.random);
   }
 
   /** Forgets changes, as if many had been made since. */
@@ -152,6 +170,7 @@
     this.#events = [];
   }
 
+  /** Answers a request of the host `from`; the promise of one that gets no answer stays open. */
   handle(method: string, path: string, body: Buffer, from: string): HttpResponse | Promise<HttpResponse> {
     this.requests++;
     if (this.outage || this.refused.has(from)) return answer(503, { error: 'trouble' });
@@ -166,42 +185,47 @@
     const { unanswered } = this;
     if (unanswered !== null && method === 'POST' && path === STATE_PATHS.txn && this.sim.random() < unanswered.share) {
       if (unanswered.atOnce) this.#carryOut(method, path, body);
-      // After newer ones of the same controller, too.
-      else {
-        this.sim.after(2000 + 10_000 * this.sim.random(), () => {
-          if (this.#carryOut(method, path, body).status === 200) this.carriedOutLate++;
-        });
-      }
+      else this.#carryOutLate(method, path, body);
       return new Promise(() => undefined);
     }
     return this.#carryOut(method, path, body);
   }
 
+  /** Carries a transaction out seconds later, maybe after newer ones of the same controller. */
+  #carryOutLate(method: string, path: string, body: Buffer): void {
+    const { least, most } = LATE_WRITE_MS;
+    this.sim.after(least + (most - least) * this.sim.random(), () => {
+      if (this.#carryOut(method, path, body).status === 200) this.carriedOutLate++;
+    });
+  }
+
   /** The answer to a transaction that the limits do not allow; null: they allow it. */
-  #capacityBackoffOf(conditions: readonly Condition[], changes: readonly Change[]): HttpResponse | null {
+  #refusalByLimits(conditions: readonly Condition[], changes: readonly Change[]): HttpResponse | null {
     const { limits } = this;
     if (limits === null) return null;
-    const large = changes.find((c) => 'put' in c && JSON.stringify(c.value).length > limits.valueKb * 1024);
-    if (
-      large !== undefined ||
-      changes.length > limits.txnOps ||
-      conditions.length > limits.txnOps * CONDITIONS_PER_CHANGE
-    ) {
-      this.onInvalid(
-        large === undefined ? `${changes.length} changes` : `value of ${JSON.stringify(large).slice(0, 40)}`,
-      );
+    const large = changes.find(
+      (change) => 'put' in change && JSON.stringify(change.value).length > limits.valueKb * 1024,
+    );
+    const isTooLong = changes.length > limits.txnOps || conditions.length > limits.txnOps * CONDITIONS_PER_CHANGE;
+    if (large !== undefined || isTooLong) {
+      const why = large === undefined ? `${changes.length} changes` : `value of ${JSON.stringify(large).slice(0, 40)}`;
+      this.onInvalid(why);
       return answer(400, { error: 'too large' });
     }
+    if (this.#mayWrite(changes.length, limits.writesPerS)) return null;
+    this.tooMany++;
+    return answer(429, { error: 'too many changes' });
+  }
+
+  /** Takes so many changes out of what the rate allows now; false: it does not allow them. */
+  #mayWrite(changes: number, writesPerS: number): boolean {
     const { now } = this.sim;
-    const filled = this.#writeTokens + ((now - this.#filledAt) / 1000) * limits.writesPerS;
-    this.#writeTokens = Math.min(limits.writesPerS, filled);
+    const filled = this.#writeTokens + ((now - this.#filledAt) / 1000) * writesPerS;
+    this.#writeTokens = Math.min(writesPerS, filled);
     this.#filledAt = now;
-    if (this.#writeTokens < changes.length) {
-      this.tooMany++;
-      return answer(429, { error: 'too many changes' });
-    }
-    this.#writeTokens -= changes.length;
-    return null;
+    if (this.#writeTokens < changes) return false;
+    this.#writeTokens -= changes;
+    return true;
   }
 
   #carryOut(method: string, path: string, body: Buffer): HttpResponse {
@@ -209,58 +233,71 @@
     switch (request?.kind) {
       case undefined:
         return answer(400, { error: 'malformed' });
-      case 'txn': {
-        const { conditions, changes } = txnRequestOf(decode(body));
-        this.changes += changes.length;
-        const refusal = this.#capacityBackoffOf(conditions, changes);
-        if (refusal !== null) return refusal;
-        this.largestTxn = Math.max(this.largestTxn, changes.length);
-        for (const c of changes) {
-          if ('put' in c && c.lease !== undefined && !this.#leases.has(c.lease))
-            return answer(400, { error: 'no such lease' });
-        }
-        const failed = conditions.filter((c) => (this.data.get(c.key)?.version ?? 0) !== c.version).map((c) => c.key);
-        if (failed.length > 0) return answer(409, revisionMap(this.revision, failed));
-        if (changes.length > 0) this.revision++;
-        for (const c of changes) {
-          if ('put' in c) {
-            this.largestValue = Math.max(this.largestValue, JSON.stringify(c.value).length);
-            this.data.set(c.put, { value: c.value, version: this.revision, lease: c.lease ?? null });
-            this.#note({ key: c.put, value: c.value, version: this.revision });
-          } else if (this.data.delete(c.remove)) {
-            this.#note({ key: c.remove, value: undefined, version: this.revision });
-          }
-        }
-        for (const c of changes) if ('put' in c) this.onStored(c.put);
-        return answer(200, revisionMap(this.revision));
-      }
-      case 'grant': {
-        const id = this.#nextLease++;
-        const ttlMs = leaseTtlOf(decode(body));
-        this.#leases.set(id, { ttlMs, until: this.sim.now + ttlMs });
-        return answer(200, leaseGrantedMap(id));
-      }
-      case 'renew': {
-        const lease = this.#leases.get(request.lease);
-        if (lease === undefined) return answer(404, {});
-        lease.until = this.sim.now + lease.ttlMs;
-        return answer(200, {});
-      }
+      case 'txn':
+        return this.#compareAndSwap(body);
+      case 'grant':
+        return this.#grant(leaseTtlOf(decode(body)));
+      case 'renew':
+        return this.#renew(request.lease);
       case 'release':
         this.#end(request.lease);
         return answer(200, {});
-      case 'list': {
-        const all = [...this.data]
-          .filter(([key]) => key.startsWith(request.prefix) && key > request.after)
-          .sort(([a], [b]) => (a < b ? -1 : 1));
-        const limit = Math.min(request.limit, this.staleReads?.pageItems ?? Infinity);
-        const items = all.slice(0, limit).map(([key, e]) => ({ key, value: e.value, version: e.version }));
-        return answer(200, listMap(items, all.length > items.length, this.revision));
-      }
+      case 'list':
+        return this.#list(request.prefix, request.after, request.limit);
       case 'follow': {
         const events = this.#eventsAfter(request.after, request.prefix);
         return events === null ? answer(410, {}) : answer(200, eventsMap(events, this.revision));
       }
     }
   }
+
+  #compareAndSwap(body: Buffer): HttpResponse {
+    const { conditions, changes } = txnRequestOf(decode(body));
+    this.changes += changes.length;
+    const refusal = this.#refusalByLimits(conditions, changes);
+    if (refusal !== null) return refusal;
+    this.largestTxn = Math.max(this.largestTxn, changes.length);
+    if (changes.some((change) => 'put' in change && change.lease !== undefined && !this.#leases.has(change.lease)))
+      return answer(400, { error: 'no such lease' });
+    const failed = conditions.filter(({ key, version }) => (this.data.get(key)?.version ?? 0) !== version);
+    const failedKeys = failed.map(({ key }) => key);
+    if (failedKeys.length > 0) return answer(409, revisionMap(this.revision, failedKeys));
+    if (changes.length > 0) this.revision++;
+    for (const change of changes) this.#apply(change);
+    for (const change of changes) if ('put' in change) this.onStored(change.put);
+    return answer(200, revisionMap(this.revision));
+  }
+
+  #apply(change: Change): void {
+    if ('put' in change) {
+      const { put: key, value, lease } = change;
+      this.largestValue = Math.max(this.largestValue, JSON.stringify(value).length);
+      this.data.set(key, { value, version: this.revision, lease: lease ?? null });
+      this.#recordEvent({ key, value, version: this.revision });
+    } else if (this.data.delete(change.remove)) {
+      this.#recordEvent({ key: change.remove, value: undefined, version: this.revision });
+    }
+  }
+
+  #grant(ttlMs: number): HttpResponse {
+    const id = this.#nextLease++;
+    this.#leases.set(id, { ttlMs, until: this.sim.now + ttlMs });
+    return answer(200, leaseGrantedMap(id));
+  }
+
+  #renew(id: number): HttpResponse {
+    const lease = this.#leases.get(id);
+    if (lease === undefined) return answer(404, {});
+    lease.until = this.sim.now + lease.ttlMs;
+    return answer(200, {});
+  }
+
+  #list(prefix: string, after: string, requestedItems: number): HttpResponse {
+    const all = [...this.data]
+      .filter(([key]) => key.startsWith(prefix) && key > after)
+      .sort(([a], [b]) => (a < b ? -1 : 1));
+    const limit = Math.min(requestedItems, this.staleReads?.pageItems ?? Infinity);
+    const items = all.slice(0, limit).map(([key, { value, version }]) => ({ key, value, version }));
+    return answer(200, listMap(items, all.length > items.length, this.revision));
+  }
 }
--- a/packages/testkit/src/standins/worker.ts
+++ b/packages/testkit/src/standins/worker.ts
@@ -1,3 +1,5 @@
+// A stand-in of a worker, the agent on a machine: it sends heartbeats, executes commands, and runs tasks in simulated
+// or real time.
 import type { Http, HttpResponse } from '@gingerlock/clients';
 import {
   decodeCommands,
@@ -12,6 +14,7 @@
 import type { Handler, HostEventKind } from '../simulation/network';
 import type { Scheduler } from '../simulation/sim';
 
+/** One attempt at a task, as the worker has it until it is asked to forget it. */
 interface RunningTask {
   readonly task: string;
   readonly attempt: number;
@@ -23,22 +26,44 @@
   cancelTimer: () => void;
 }
 
+/** How long a worker waits for an answer, and how long after it was asked for it still counts. */
+const ANSWER_TIMEOUT_MS = 4000;
+
+/** How soon after a change the next heartbeat is sent. */
+const CHANGE_REPORT_MS = 500;
+
+/** How long a worker waits before it tries another controller, and the most where it is redirected to one. */
+const RETRY_MS = 1000;
+const REDIRECT_WITHIN_MS = 500;
+
+/** How often a worker looks whether its lease has expired. */
+const LEASE_CHECK_MS = 20;
+
+/** How long the fetch of an image takes that the machine has. */
+const CACHED_FETCH_MS = 10;
+
+/** How soon a task ends with an error that fails wherever it runs, or any task on a machine at fault. */
+const FAILS_AFTER_MS = 300;
+
 /** What a worker needs of the network that it is on. */
 export interface WorkerNetwork {
   readonly hosts: { set(address: string, handler: Handler): unknown; delete(address: string): unknown };
   http(from: string, alive: () => boolean): Http;
-  /** Runs what happens on a host: at once, or when it goes on. */
+  /** Runs what happens on a host: at once, or when it no longer hangs. */
   on(host: string, run: () => void, eventKind?: HostEventKind): void;
 }
 
+/** What a worker needs of the deployment that it is in. */
 export interface WorkerWorld {
   readonly sim: Scheduler;
   readonly network: WorkerNetwork;
+  /** The names of all controllers. */
   readonly controllers: readonly string[];
   readonly heartbeatIntervalMs: number;
   readonly workerLeaseMs: number;
+  /** The job of this id, if any user has submitted it. */
   job(id: string): JobSpec | undefined;
-  /** Where the worker of a machine takes commands, if not at its name. */
+  /** Where the worker of a machine listens for commands, if not at its name. */
   addressOf?(machine: string): string;
   /** How long a machine of the type takes to fetch the image of a job. */
   fetchMs(job: JobSpec, type: string): number;
@@ -55,28 +80,34 @@
   onCommanded(taskName: string, attempt: number, machine: string): void;
 }
 
-/** A stand-in of one worker, by the protocol's page. */
+/**
+ * A worker as the protocol describes it. Its public fields are what its heartbeats contain, and its faults.
+ */
 export class SimWorker {
   agentEpoch = 1;
   sequenceNumber = 0;
   fencingToken = 0;
   noticeS: number | null = null;
   alive = true;
-  /** Where it takes commands. */
+  /** Where it listens for commands. */
   readonly addr: string;
-  /** Tasks end with an error shortly after their start. */
+  /** The machine is at fault: tasks end with an error shortly after their start. */
   isQuarantined = false;
   /** Tasks take so many times as long. */
   slowness = 1;
+  /** By task and attempt, with a space between. */
   readonly tasks = new Map<string, RunningTask>();
   readonly #images = new Set<string>();
-  /** When the last answered report was sent, or the session began. */
+  /** When the last heartbeat that was answered was sent, or the agent epoch began. */
   #leaseFrom: number;
+  /** The index of the controller that gets the next heartbeat. */
   #target = 0;
-  #nextTimer: () => void = () => undefined;
-  /** One report is in flight at a time. */
+  /** Cancels the timer of the next heartbeat. */
+  #cancelNext: () => void = () => undefined;
+  /** One heartbeat is in flight at a time. */
   #inFlight = false;
-  #soon = false;
+  /** Something has changed since the heartbeat that is in flight. */
+  #isChangePending = false;
 
   constructor(
     readonly world: WorkerWorld,
@@ -94,7 +125,7 @@
       this.addr,
       (_method, path, body) =>
         new Promise((resolve) => {
-          // A hanging machine that goes on executes what has come meanwhile.
+          // A machine that no longer hangs executes what has come meanwhile.
           world.network.on(name, () => resolve(path === '/inspect' ? this.inspect() : this.command(body)));
         }),
     );
@@ -102,29 +133,30 @@
 
   /** A timer of this machine: while it hangs nothing happens on it. */
   #after(ms: number, run: () => void): () => void {
-    let over = false;
+    let isCancelled = false;
     const cancel = this.world.sim.after(ms, () =>
       this.world.network.on(this.name, () => {
-        if (!over) run();
+        if (!isCancelled) run();
       }),
     );
     return () => {
-      over = true;
+      isCancelled = true;
       cancel();
     };
   }
 
+  /** Once the lease has expired, the worker stops all tasks and begins a new agent epoch. */
   #watchLease(): void {
     const { sim, workerLeaseMs } = this.world;
     if (!this.alive) return;
     if (sim.now - this.#leaseFrom > workerLeaseMs) {
-      for (const t of [...this.tasks.values()]) this.#leave(t);
+      for (const task of [...this.tasks.values()]) this.#leave(task);
       this.tasks.clear();
       this.agentEpoch++;
       this.#leaseFrom = sim.now;
     }
-    // The lease ends on a machine that hangs, too: it may go on within its lease, says the protocol, and not after it.
-    sim.after(20, () => this.#watchLease());
+    // The lease expires on a machine that hangs, too: tasks may run within the lease and not after it.
+    sim.after(LEASE_CHECK_MS, () => this.#watchLease());
   }
 
   /** A `/inspect` request. */
@@ -135,30 +167,32 @@
   /** A direct `/commands` request, however late it comes. */
   command(body: Buffer): HttpResponse {
     const { fencingToken, agentEpoch, commands } = decodeCommands(body);
-    const stale = fencingToken < this.fencingToken || agentEpoch !== this.agentEpoch;
-    if (!stale) {
-      const higher = fencingToken > this.fencingToken;
+    const isStale = fencingToken < this.fencingToken || agentEpoch !== this.agentEpoch;
+    if (!isStale) {
+      const isNewToken = fencingToken > this.fencingToken;
       this.fencingToken = fencingToken;
-      for (const c of commands) this.#execute(c);
-      if (higher) this.#changed();
+      for (const command of commands) this.#execute(command);
+      if (isNewToken) this.#changed();
     }
-    return { status: stale ? 409 : 200, body: this.#body() };
+    return { status: isStale ? 409 : 200, body: this.#body() };
   }
 
+  /** The machine is gone with all that is on it. */
   die(): void {
     if (!this.alive) return;
     this.world.network.hosts.delete(this.addr);
     this.alive = false;
-    for (const t of this.tasks.values()) this.#leave(t);
+    for (const task of this.tasks.values()) this.#leave(task);
     this.tasks.clear();
   }
 
-  /** The cloud will take the machine. */
+  /** The cloud will take the machine back after so many seconds. */
   notice(seconds: number): void {
     this.noticeS = seconds;
     this.#changed();
   }
 
+  /** The next heartbeat; each has a sequence number of its own. */
   #body(): Buffer {
     return encodeHeartbeat({
       machine: this.name,
@@ -170,82 +204,98 @@
       sequenceNumber: ++this.sequenceNumber,
       fencingToken: this.fencingToken,
       noticeS: this.noticeS,
-      tasks: [...this.tasks.values()].map((t) => ({
-        task: t.task,
-        attempt: t.attempt,
-        state: t.state,
-        cause: t.cause,
-        saved: t.saved,
+      tasks: [...this.tasks.values()].map(({ task, attempt, state, cause, saved }) => ({
+        task,
+        attempt,
+        state,
+        cause,
+        saved,
       })),
     });
   }
 
-  #leave(t: RunningTask): void {
-    t.cancelTimer();
-    if (t.state === 'running' || t.state === 'saving') this.world.offTask(t.task, this.name);
+  /** The task no longer runs, whatever it did. */
+  #leave({ cancelTimer, state, task }: RunningTask): void {
+    cancelTimer();
+    if (state === 'running' || state === 'saving') this.world.offTask(task, this.name);
   }
 
+  /** Sends one heartbeat to the controller whose turn it is, and schedules the next. */
   async #sendHeartbeat(): Promise<void> {
-    const { sim, network, controllers, heartbeatIntervalMs } = this.world;
+    const { heartbeatIntervalMs, sim } = this.world;
     if (!this.alive) return;
     this.#inFlight = true;
-    this.#soon = false;
+    this.#isChangePending = false;
+    const usualMs = heartbeatIntervalMs * (0.75 + sim.random() / 2);
+    let waitMs = await this.#exchangeHeartbeat(usualMs);
+    this.#inFlight = false;
+    if (!this.alive) return;
+    if (this.#isChangePending) waitMs = Math.min(waitMs, CHANGE_REPORT_MS);
+    this.#cancelNext = this.#after(waitMs, () => void this.#sendHeartbeat());
+  }
+
+  /** Sends a heartbeat and handles the answer; returns how long to wait for the next. */
+  async #exchangeHeartbeat(usualMs: number): Promise<number> {
+    const { sim, network, controllers } = this.world;
     const sentAt = sim.now;
-    const agentEpoch = this.agentEpoch;
+    const { agentEpoch } = this;
     const body = this.#body();
     const target = controllers[this.#target]!;
-    let wait = heartbeatIntervalMs * (0.75 + sim.random() / 2);
     const http = network.http(this.name, () => this.alive);
     try {
-      const answer = await http(target, 'POST', '/checkin', body, 4000);
-      if (answer.status === 200) {
-        if (this.#take(answer, agentEpoch, sentAt)) wait = 500;
-      } else if (answer.status === 421) {
-        const to = decodeRedirect(answer.body);
-        const index = to === null ? -1 : controllers.indexOf(to);
-        if (index >= 0 && index !== this.#target) {
-          this.#target = index;
-          wait = sim.random() * 500;
-        } else {
-          this.#target = (this.#target + 1) % controllers.length;
-          wait = 1000;
-        }
-      } else throw new Error('refused');
+      const answer = await http(target, 'POST', '/checkin', body, ANSWER_TIMEOUT_MS);
+      if (answer.status === 200) return this.#handleAnswer(answer, agentEpoch, sentAt) ? CHANGE_REPORT_MS : usualMs;
+      if (answer.status === 421) return this.#followRedirect(answer);
     } catch {
-      this.#target = (this.#target + 1) % controllers.length;
-      wait = 1000;
+      // No answer, or one that can't be read: another controller is tried, as after any other status.
     }
-    this.#inFlight = false;
-    if (!this.alive) return;
-    if (this.#soon) wait = Math.min(wait, 500);
-    this.#nextTimer = this.#after(wait, () => void this.#sendHeartbeat());
+    this.#tryNextController();
+    return RETRY_MS;
   }
 
-  /** Takes an answer; true if something changed. */
-  #take(answer: HttpResponse, agentEpoch: number, sentAt: number): boolean {
+  /**
+   * The controller names another one that owns the machine's partition; returns how long to wait before that is tried.
+   */
+  #followRedirect({ body }: HttpResponse): number {
+    const { controllers, sim } = this.world;
+    const owner = decodeRedirect(body);
+    const index = owner === null ? -1 : controllers.indexOf(owner);
+    if (index >= 0 && index !== this.#target) {
+      this.#target = index;
+      return sim.random() * REDIRECT_WITHIN_MS;
+    }
+    this.#tryNextController();
+    return RETRY_MS;
+  }
+
+  #tryNextController(): void {
+    this.#target = (this.#target + 1) % this.world.controllers.length;
+  }
+
+  /** Handles the answer of an owner; true if something changed. */
+  #handleAnswer(answer: HttpResponse, agentEpoch: number, sentAt: number): boolean {
     const { fencingToken, commands } = decodeCommands(answer.body);
     if (!this.alive || agentEpoch !== this.agentEpoch || fencingToken < this.fencingToken) return false;
-    // Late: it hung meanwhile.
-    if (this.world.sim.now - sentAt > 4000) return false;
-    const higher = fencingToken > this.fencingToken;
+    // Too late: the machine hung meanwhile.
+    if (this.world.sim.now - sentAt > ANSWER_TIMEOUT_MS) return false;
+    const isNewToken = fencingToken > this.fencingToken;
     this.fencingToken = fencingToken;
     this.#leaseFrom = Math.max(this.#leaseFrom, sentAt);
-    for (const c of commands) this.#execute(c);
-    return commands.length > 0 || higher;
+    for (const command of commands) this.#execute(command);
+    return commands.length > 0 || isNewToken;
   }
 
-  #execute(c: WorkerCommand): void {
-    const key = `${c.task} ${c.attempt}`;
+  #execute(command: WorkerCommand): void {
+    const key = `${command.task} ${command.attempt}`;
     const known = this.tasks.get(key);
-    switch (c.op) {
+    switch (command.op) {
       case 'start':
-        if (known === undefined) {
-          this.world.onCommanded(c.task, c.attempt, this.name);
-          this.#start(c.task, c.attempt);
-        }
+        if (known !== undefined) return;
+        this.world.onCommanded(command.task, command.attempt, this.name);
+        this.#start(command.task, command.attempt);
         return;
       case 'stop':
-        if (known !== undefined && known.state !== 'exited') this.#stop(known, c.graceS);
+        if (known !== undefined && known.state !== 'exited') this.#stop(known, command.graceS);
         return;
       case 'forget':
         if (known?.state === 'exited') this.tasks.delete(key);
@@ -254,34 +304,34 @@
   }
 
   /**
-   * A running task saves if it has checkpoints and the time for one; any other ends at once, and so does one that is
-   * told a second time.
+   * A running task saves if it has checkpoints and the time for one; any other ends at once, and so does a saving one
+   * without grace.
    */
-  #stop(t: RunningTask, graceS: number): void {
-    const job = this.world.job(parseTaskName(t.task)!.job)!;
-    const runMs = t.runsSince === null ? 0 : this.world.sim.now - t.runsSince;
-    if (t.state === 'saving' && graceS > 0) return;
-    if (t.state !== 'running' || job.checkpointS <= 0 || graceS < job.saveS) {
-      if (job.kind === 'array' && t.state === 'running') this.world.stoppedTask(t.task, runMs, false);
-      this.#exit(t, 'stopped');
+  #stop(running: RunningTask, graceS: number): void {
+    const job = this.world.job(parseTaskName(running.task)!.job)!;
+    const runMs = running.runsSince === null ? 0 : this.world.sim.now - running.runsSince;
+    if (running.state === 'saving' && graceS > 0) return;
+    if (running.state !== 'running' || job.checkpointS <= 0 || graceS < job.saveS) {
+      if (job.kind === 'array' && running.state === 'running') this.world.stoppedTask(running.task, runMs, false);
+      this.#exit(running, 'stopped');
       return;
     }
-    t.cancelTimer();
-    t.state = 'saving';
+    running.cancelTimer();
+    running.state = 'saving';
     this.#changed();
-    t.cancelTimer = this.#after(job.saveS * 1000, () => {
-      this.world.stoppedTask(t.task, runMs, true);
-      t.saved = true;
-      this.#exit(t, 'stopped');
+    running.cancelTimer = this.#after(job.saveS * 1000, () => {
+      this.world.stoppedTask(running.task, runMs, true);
+      running.saved = true;
+      this.#exit(running, 'stopped');
     });
   }
 
+  /** The task fetches its image and then runs, unless it is unknown or another attempt at it is still here. */
   #start(taskName: string, attempt: number): void {
     const { world } = this;
-    const { sim } = world;
     const parsed = parseTaskName(taskName);
     const job = parsed === null ? undefined : world.job(parsed.job);
-    const t: RunningTask = {
+    const running: RunningTask = {
       task: taskName,
       attempt,
       state: 'fetching',
@@ -290,32 +340,38 @@
       runsSince: null,
       cancelTimer: () => undefined,
     };
-    const busy = [...this.tasks.values()].some((o) => o.task === taskName && o.state !== 'exited');
-    this.tasks.set(`${taskName} ${attempt}`, t);
-    if (job === undefined || busy) {
-      t.state = 'exited';
-      t.cause = job === undefined ? 'unknown' : 'busy';
+    const isBusy = [...this.tasks.values()].some(({ task, state }) => task === taskName && state !== 'exited');
+    this.tasks.set(`${taskName} ${attempt}`, running);
+    if (job === undefined || isBusy) {
+      running.state = 'exited';
+      running.cause = job === undefined ? 'unknown' : 'busy';
       return;
     }
-    t.cancelTimer = this.#after(this.#images.has(job.image) ? 10 : world.fetchMs(job, this.type), () => {
-      this.#images.add(job.image);
-      t.state = 'running';
-      t.runsSince = sim.now;
-      world.onTask(taskName, this.name, attempt);
-      this.#changed();
-      if (this.isQuarantined || world.isBroken(job.id)) t.cancelTimer = this.#after(300, () => this.#exit(t, 'error'));
-      else if (job.kind === 'array') {
-        const leftMs = job.estimateS * 1000 * (0.5 + sim.random()) - (world.savedMs.get(taskName) ?? 0);
-        t.cancelTimer = this.#after(Math.max(0, leftMs) * this.slowness, () => this.#exit(t, 'done'));
-      }
-    });
+    const fetchMs = this.#images.has(job.image) ? CACHED_FETCH_MS : world.fetchMs(job, this.type);
+    running.cancelTimer = this.#after(fetchMs, () => this.#run(running, job));
+  }
+
+  #run(running: RunningTask, job: JobSpec): void {
+    const { world } = this;
+    this.#images.add(job.image);
+    running.state = 'running';
+    running.runsSince = world.sim.now;
+    world.onTask(running.task, this.name, running.attempt);
+    this.#changed();
+    if (this.isQuarantined || world.isBroken(job.id)) {
+      running.cancelTimer = this.#after(FAILS_AFTER_MS, () => this.#exit(running, 'error'));
+    } else if (job.kind === 'array') {
+      const savedMs = world.savedMs.get(running.task) ?? 0;
+      const leftMs = job.estimateS * 1000 * (0.5 + world.sim.random()) - savedMs;
+      running.cancelTimer = this.#after(Math.max(0, leftMs) * this.slowness, () => this.#exit(running, 'done'));
+    }
   }
 
-  #exit(t: RunningTask, cause: ExitCause): void {
-    this.#leave(t);
-    t.state = 'exited';
-    t.cause = cause;
-    if (cause === 'done') this.done(t.task);
+  #exit(running: RunningTask, cause: ExitCause): void {
+    this.#leave(running);
+    running.state = 'exited';
+    running.cause = cause;
+    if (cause === 'done') this.done(running.task);
     this.#changed();
   }
 
@@ -325,14 +381,14 @@
     if (running?.state === 'running') this.#exit(running, 'error');
   }
 
-  /** Told of every completed task. */
+  /** Called with every completed task. */
   done: (taskName: string) => void = () => undefined;
 
-  /** A change is reported soon: the pending timer is brought forward. */
+  /** The next heartbeat, with the change, is brought forward. */
   #changed(): void {
-    this.#soon = true;
+    this.#isChangePending = true;
     if (this.#inFlight) return;
-    this.#nextTimer();
-    this.#nextTimer = this.#after(500, () => void this.#sendHeartbeat());
+    this.#cancelNext();
+    this.#cancelNext = this.#after(CHANGE_REPORT_MS, () => void this.#sendHeartbeat());
   }
 }
