--- a/packages/testkit/src/audits/borrowing-audit.ts
+++ b/packages/testkit/src/audits/borrowing-audit.ts
@@ -17,25 +17,31 @@
   readonly guestTeam: string;
 }
 
-/** What is stored of reclaims stands below this. */
+/** The prefix of the keys under which reclaims are stored. */
 export const RECLAIM_PREFIX = 'g/b/';
 
-/** The leader's view of what runs may be as old as this many report intervals. */
+/** The leader's view of what runs may be as old as this many heartbeat intervals. */
 const VIEW_INTERVALS = 3;
 
-/** Once all is over, a reclaim may stand for its bound as a leader sees it, and for a new leader to look. */
-const SLACK_REPORTS = 20;
+/**
+ * Once all faults are over, a reclaim may outlast its bound by this many heartbeat intervals, for a new leader to see
+ * it.
+ */
+const SLACK_INTERVALS = 20;
 
+/** GPUs that each team used at a moment. */
 interface Sample {
   readonly at: number;
   readonly use: ReadonlyMap<string, number>;
 }
 
+/** Audits reclaims. */
 export class BorrowingAudit {
   /** By key: the reclaims that are stored now, and since when. */
   readonly stored = new Map<string, { readonly record: ReclaimRecord; readonly since: number }>();
   /** How often each task was named as a victim. */
   readonly stops = new Map<string, number>();
+  /** How many reclaims there have been. */
   decided = 0;
   #samples: Sample[] = [];
 
@@ -58,7 +64,7 @@
     return use;
   }
 
-  /** Looks at everything once more: to be called again and again. */
+  /** Checks all reclaims and takes a sample of what teams use; to be called periodically. */
   audit(quietAt: number): void {
     const { now } = this.world.sim;
     const before = now - this.world.heartbeatIntervalMs * VIEW_INTERVALS;
@@ -89,7 +95,7 @@
     this.#checkGuarantees(key, record);
   }
 
-  /** One reclaim at a time for each machine and each task that gets room. */
+  /** One reclaim at a time for each machine and each task that it is for. */
   #checkPromisedOnce(key: string, { machine, job, tasks }: ReclaimRecord): void {
     for (const [other, { record }] of this.stored) {
       if (other === key) continue;
@@ -147,11 +153,11 @@
     return gpus;
   }
 
-  /** Once all troubles are over, no reclaim is left standing for longer than a leader lets it. */
+  /** Once all faults are over, no reclaim stays for longer than a leader lets it. */
   #checkEnds(now: number, quietAt: number): void {
     const { cancellationBoundMs, heartbeatIntervalMs } = this.world;
     const boundMs =
-      (cancellationBoundMs + this.world.longestSaveMs) * ABANDONED_BOUNDS + heartbeatIntervalMs * SLACK_REPORTS;
+      (cancellationBoundMs + this.world.longestSaveMs) * ABANDONED_BOUNDS + heartbeatIntervalMs * SLACK_INTERVALS;
     for (const [key, { since }] of this.stored) {
       if (now - Math.max(since, quietAt) > boundMs) this.world.reportViolation('endless_reclaim', key);
     }
--- a/packages/testkit/src/audits/group-audit.ts
+++ b/packages/testkit/src/audits/group-audit.ts
@@ -17,10 +17,13 @@
   tasksOn(job: string): number;
 }
 
-/** An owner that reads the state service has taken a change in after so many report intervals. */
+/** An owner that reads the state service acts on a change after so many heartbeat intervals. */
 const READ_INTERVALS = 3;
 
-/** Once all troubles are over, a group may be on its way for so many times `cancel_s`, beside what its times allow. */
+/**
+ * Once all faults are over, a group may be between two states for so many times `cancel_s`, beside what its times
+ * allow.
+ */
 const ON_THE_WAY_CANCELS = 2;
 
 interface SeenRecord {
@@ -35,6 +38,7 @@
   wholeMs: number;
 }
 
+/** Audits replica groups. */
 export class GroupAudit {
   /** By job: the record that is stored now, and since when. */
   readonly seen = new Map<string, SeenRecord>();
@@ -42,8 +46,9 @@
   readonly #startedIn = new Map<string, number>();
   /** By task and attempt: the generation in which it was started. */
   readonly #generationOf = new Map<string, number>();
+  /** By job. */
   readonly uptime = new Map<string, GroupUptime>();
-  /** How often groups came to each state. */
+  /** By state: how often groups came to it. */
   readonly moves = new Map<string, number>();
   #auditedAt = 0;
   readonly #reported = new Set<string>();
@@ -73,7 +78,7 @@
     );
   }
 
-  /** All members' room is kept as the record says so, by the owners that have the partitions then. */
+  /** The resources of all members are reserved as the record says, by the owners that have the partitions then. */
   #checkHeld(job: string, { members, generation }: GroupRecord): void {
     for (const [rank, { partitionId, machine }] of members.entries()) {
       const owner = this.#ownerOf(partitionId);
@@ -116,7 +121,7 @@
     this.#generationOf.set(`${taskName} ${attempt}`, generation);
   }
 
-  /** Looks at everything once more: to be called again and again. */
+  /** Checks what only time can show, and counts up-time; to be called periodically. */
   audit(quietAt: number): void {
     const { now } = this.world.sim;
     const sinceMs = now - this.#auditedAt;
@@ -150,15 +155,15 @@
   #countUptime(sinceMs: number): void {
     for (const { spec } of this.world.users.open()) {
       if (!this.world.isGroup(spec.id)) continue;
-      const up = this.world.tasksOn(spec.id);
+      const runningMembers = this.world.tasksOn(spec.id);
       const uptime = this.uptime.get(spec.id) ?? { partialMs: 0, wholeMs: 0 };
       this.uptime.set(spec.id, uptime);
-      if (up >= spec.tasks) uptime.wholeMs += sinceMs;
-      else if (up > 0) uptime.partialMs += sinceMs;
+      if (runningMembers >= spec.tasks) uptime.wholeMs += sinceMs;
+      else if (runningMembers > 0) uptime.partialMs += sinceMs;
     }
   }
 
-  /** No room is kept without a record that says so. An owner that can't read the state service can't know. */
+  /** No resources are reserved without a record that says so. An owner that can't read the state service can't know. */
   #checkKept({ groups, context, partitionId, claimTable }: PartitionOwner): void {
     const { clock, watchCache } = context;
     const { now } = this.world.sim;
@@ -176,10 +181,10 @@
     }
   }
 
-  /** Once all troubles are over, a group is not on its way for ever. */
+  /** Once all faults are over, no group stays between two states. */
   #checkProgress(quietAt: number): void {
     const { world } = this;
-    const bound = world.groupBoundMs + world.cancellationBoundMs * ON_THE_WAY_CANCELS;
+    const boundMs = world.groupBoundMs + world.cancellationBoundMs * ON_THE_WAY_CANCELS;
     for (const [job, { record, at, version }] of this.seen) {
       if (!world.state.data.has(KEYS.group(job))) {
         this.seen.delete(job);
@@ -187,7 +192,7 @@
       }
       if (record.state === 'waiting' || record.state === 'serving') continue;
       const key = `${job} ${version}`;
-      if (world.sim.now - Math.max(at, quietAt) < bound || this.#reported.has(key)) continue;
+      if (world.sim.now - Math.max(at, quietAt) < boundMs || this.#reported.has(key)) continue;
       this.#reported.add(key);
       world.reportViolation('group_stuck', `${job} is ${record.state} since ${Math.round(at)}: ${record.reason}`);
     }
--- a/packages/testkit/src/audits/liveness.ts
+++ b/packages/testkit/src/audits/liveness.ts
@@ -1,4 +1,4 @@
-// What may not fail once all troubles are over: work starts where there is room, machines are not rented for it in
+// What must hold once all faults are over: work starts where resources are free, machines are not rented for it in
 // vain, and questions are answered.
 import { type Resources, fitsIn, NO_RESOURCES, countFitting, allowsMachine, subtractResources } from '@gingerlock/core';
 import { type JobSpec, jobRecord, KEYS, parseTaskName } from '@gingerlock/wire';
@@ -29,7 +29,8 @@
 }
 
 /**
- * A job may wait this many times `cancel_s` though there is room: until then what may still run had to be waited for.
+ * A job may wait this many times `cancel_s` though resources are free: until then what may still run had to be waited
+ * for.
  */
 const WAIT_CANCELS = 2;
 
@@ -39,6 +40,7 @@
 /** So many machines in a row may come up and go again, unused, while the same job waits for just such a machine. */
 const MOST_VAIN_RENTALS = 2;
 
+/** Audits that work makes progress. */
 export class Liveness {
   /** By job: since when a task of it could have started all the time, and none did. */
   readonly #waiting = new Map<string, { since: number; started: number }>();
@@ -52,35 +54,38 @@
 
   constructor(readonly world: LivenessAuditedWorld) {}
 
+  /** A machine has come up. */
   machineUp(machine: string): void {
     this.#upSince.set(machine, this.world.sim.now);
   }
 
+  /** A task of the job runs on the machine now. */
   taskStarted(job: string, machine: string): void {
     this.#startsOf.set(job, (this.#startsOf.get(job) ?? 0) + 1);
     this.#vainRentals.delete(job);
     this.#usedMachines.add(machine);
   }
 
-  /** The controllers give a machine back. */
+  /** The controllers return a machine. */
   machineReturned(worker: SimWorker): void {
     const { world } = this;
     const upSince = this.#upSince.get(worker.name) ?? -Infinity;
     if (upSince < world.quietAt || this.#usedMachines.has(worker.name)) return;
     for (const observed of world.users.open()) {
       const { id } = observed.spec;
-      // For moments its team's limit leaves room again and again: only what could have started all the time is left
+      // For moments its team's limit allows one more again and again: only what could have started all the time is left
       // out.
       const waitsSince = this.#waiting.get(id)?.since ?? Infinity;
       if (waitsSince > upSince + world.heartbeatIntervalMs || !this.#wantsMore(observed) || world.isGroup(id)) continue;
-      if (!this.#limitLeaves(observed.spec) || !this.#couldStartOn(worker, observed.spec, this.#zonesOf(id))) continue;
+      if (!this.#isWithinLimit(observed.spec) || !this.#couldStartOn(worker, observed.spec, this.#zonesOf(id)))
+        continue;
       const times = (this.#vainRentals.get(id) ?? 0) + 1;
       this.#vainRentals.set(id, times);
       if (times === MOST_VAIN_RENTALS + 1) world.reportViolation('rented_in_vain', `${id} waits, ${worker.name} goes`);
     }
   }
 
-  /** `quietAt`: when the last trouble ended. */
+  /** Checks what only time can show; `quietAt` is when the last fault ended. To be called periodically. */
   audit(quietAt: number): void {
     const { world } = this;
     const { now } = world.sim;
@@ -107,16 +112,16 @@
     }
     const pauseMs = world.isGroup(spec.id) ? world.groupBoundMs : 0;
     if (now - known.since <= world.cancellationBoundMs * WAIT_CANCELS + pauseMs) return;
-    if (this.#limitLeaves(spec)) world.reportViolation('left_waiting', `${spec.id} since ${Math.round(known.since)}`);
+    if (this.#isWithinLimit(spec)) world.reportViolation('left_waiting', `${spec.id} since ${Math.round(known.since)}`);
     this.#waiting.set(spec.id, { since: now, started });
   }
 
-  /** Whether the job has a task that could be started, but for room and limits. */
+  /** Whether the job has a task that could be started, but for free resources and limits. */
   #wantsMore(observed: ObservedStatus): boolean {
     const { world } = this;
     const { id, tasks } = observed.spec;
     return (
-      this.#on(id).length + world.doneOf(id) < tasks &&
+      this.#machinesOf(id).length + world.doneOf(id) < tasks &&
       !world.users.isUnwanted(observed) &&
       !world.isBroken(id) &&
       world.users.isReady(observed)
@@ -124,29 +129,29 @@
   }
 
   /** The machines on which tasks of the job are. */
-  #on(id: string): string[] {
+  #machinesOf(id: string): string[] {
     return [...this.world.runningTasks()]
       .filter(([taskName]) => taskName.startsWith(`${id}/`))
       .map(([, machine]) => machine);
   }
 
   /**
-   * Whether its team's limit leaves room for one more task of the job beside all that is assigned to others of the
+   * Whether its team's limit allows one more task of the job beside all that is assigned to others of the
    * team: that counts before it runs. What is assigned of the job itself may be just what waits.
    */
-  #limitLeaves(spec: JobSpec): boolean {
+  #isWithinLimit(spec: JobSpec): boolean {
     const { world } = this;
-    let gpus = this.#on(spec.id).length * spec.gpus;
+    let gpus = this.#machinesOf(spec.id).length * spec.gpus;
     for (const observed of world.users.observedByJob.values()) {
       const { id, team, gpus: each } = observed.spec;
-      if (team === spec.team && id !== spec.id) gpus += each * this.#assigned(id);
+      if (team === spec.team && id !== spec.id) gpus += each * this.#assignedTasksOf(id);
     }
-    const wanted = world.isGroup(spec.id) ? spec.gpus * spec.tasks : spec.gpus;
-    return gpus + wanted <= world.gpusMax;
+    const nextGpus = world.isGroup(spec.id) ? spec.gpus * spec.tasks : spec.gpus;
+    return gpus + nextGpus <= world.gpusMax;
   }
 
   /** How many unfinished tasks of the job its stored record assigns. */
-  #assigned(id: string): number {
+  #assignedTasksOf(id: string): number {
     const stored = this.world.state.data.get(KEYS.job(id));
     const record = stored === undefined ? null : jobRecord.read(stored.value);
     if (record === null || record.final !== null) return 0;
@@ -154,12 +159,13 @@
     return Math.max(0, assigned - this.world.doneOf(id));
   }
 
+  /** Whether a task of the job could start now on some machine, or all members of a replica group at once. */
   #couldStart(spec: JobSpec): boolean {
     const { world } = this;
     let gpus = 0;
     for (const taskName of world.runningTasks().keys()) {
-      const s = world.job(parseTaskName(taskName)!.job)!;
-      if (s.team === spec.team) gpus += s.gpus;
+      const running = world.job(parseTaskName(taskName)!.job)!;
+      if (running.team === spec.team) gpus += running.gpus;
     }
     // All members of a replica group start together or not at all.
     if (world.isGroup(spec.id)) return gpus + spec.gpus * spec.tasks <= world.gpusMax && this.#couldStartWhole(spec);
@@ -183,7 +189,7 @@
 
   /** The zones in which tasks of the job are, one for each. */
   #zonesOf(id: string): (string | undefined)[] {
-    return this.#on(id).map((machine) => this.world.workers.get(machine)?.zone);
+    return this.#machinesOf(id).map((machine) => this.world.workers.get(machine)?.zone);
   }
 
   #couldStartOn(worker: SimWorker, spec: JobSpec, zones: readonly (string | undefined)[]): boolean {
@@ -194,6 +200,7 @@
     return fitsIn(spec, this.#freeOn(worker));
   }
 
+  /** What the tasks on the machine leave free. */
   #freeOn(worker: SimWorker): Resources {
     const { world } = this;
     let available = world.capacityOfType(worker.type);
--- a/packages/testkit/src/audits/operations-audit.ts
+++ b/packages/testkit/src/audits/operations-audit.ts
@@ -1,4 +1,4 @@
-// What must hold in the troubles that operators met beside the protocol's rules: who is at fault is told apart, what
+// What must hold in the faults that operators met beside the protocol: only machines at fault are quarantined, what
 // fails is not retried without bound, and no rented machine is forgotten.
 import type { MachineType } from '@gingerlock/wire';
 import type { InspectableWorld } from './audited-world';
@@ -15,8 +15,8 @@
 }
 
 /**
- * How often the tasks of a broken job may be started: so many times each while it is found out, and a trial in so
- * many reports.
+ * How often the tasks of a broken job may be started: so many times each until it counts as crash-looping, and one
+ * probe in so many heartbeat intervals.
  */
 const STARTS_PER_TASK = 3;
 const PROBE_INTERVALS = 2;
@@ -27,8 +27,11 @@
  */
 const MOST_BOOTS = 8;
 
+/** Audits quarantine, retries and rented machines. */
 export class OperationsAudit {
-  readonly #condemned = new Set<string>();
+  /** Machines that were reported as quarantined though never at fault. */
+  readonly #reportedHealthy = new Set<string>();
+  /** Machines that were reported as never come up. */
   readonly #forgotten = new Set<string>();
 
   constructor(readonly world: OperationsAuditedWorld) {}
@@ -47,22 +50,23 @@
     }
   }
 
+  /** Checks what only time can show; to be called periodically. */
   audit(quietAt: number): void {
     for (const { controller } of this.world.nodes) {
       for (const { claimTable } of controller?.owned() ?? []) {
         for (const machine of claimTable.machines.values()) {
-          if (claimTable.isQuarantined(machine)) this.#condemns(machine.name);
+          if (claimTable.isQuarantined(machine)) this.#checkQuarantined(machine.name);
         }
       }
     }
     this.#checkRented(quietAt);
   }
 
-  #condemns(machine: string): void {
+  #checkQuarantined(machine: string): void {
     const { world } = this;
     world.recordOccurrence('condemned');
-    if (world.everUnhealthy.has(machine) || this.#condemned.has(machine)) return;
-    this.#condemned.add(machine);
+    if (world.everUnhealthy.has(machine) || this.#reportedHealthy.has(machine)) return;
+    this.#reportedHealthy.add(machine);
     world.reportViolation('condemned_healthy', machine);
   }
 
--- a/packages/testkit/src/audits/ownership-audit.ts
+++ b/packages/testkit/src/audits/ownership-audit.ts
@@ -1,5 +1,4 @@
-// Checks the statements on which `ran_twice` rests, while a day goes on: they break long before a task starts a
-// second time.
+// Checks the statements on which `ran_twice` rests, while a scenario runs: they break long before a task starts twice.
 import type { PartitionOwner } from '@gingerlock/daemon';
 import { type TaskEntry, tasksAssignedTo } from '@gingerlock/core';
 import { jobRecord, type JobRecord, KEYS, parseTaskName, type AssignedRange } from '@gingerlock/wire';
@@ -15,12 +14,14 @@
   return taskIndex >= from && taskIndex < from + count;
 }
 
+/** Audits what owners and the leader believe of tasks against where these run. */
 export class OwnershipAudit {
   /** Records of jobs as they were parsed last, by key. */
   readonly #records = new Map<string, { readonly version: number; readonly record: JobRecord }>();
 
   constructor(readonly world: OwnershipAuditedWorld) {}
 
+  /** Checks all tasks; to be called periodically. */
   audit(): void {
     for (const { controller } of this.world.nodes) {
       for (const owner of controller?.owned() ?? []) this.#checkClaims(owner);
@@ -58,7 +59,7 @@
   }
 
   /**
-   * Whether the task may be started by its owner or given back by it. One that is leaving is neither any more once
+   * Whether the task may be started by its owner or returned by it. One that is leaving is neither any more once
    * the record has been written without it: it may run elsewhere before its former partition has read that.
    */
   #isFree(partitionId: number, { job, index, state }: TaskEntry): boolean {
@@ -70,7 +71,7 @@
     );
   }
 
-  /** What may be started, or given back to be started elsewhere, runs nowhere. */
+  /** What may be started, or returned to be started elsewhere, runs nowhere. */
   #checkFree({ name, state }: TaskEntry): void {
     const machine = this.world.runningTasks().get(name);
     if (machine !== undefined) this.world.reportViolation('free_but_running', `${name} is ${state} and on ${machine}`);
--- a/packages/testkit/src/loopback/loopback-groups.ts
+++ b/packages/testkit/src/loopback/loopback-groups.ts
@@ -154,7 +154,7 @@
     }
   }
 
-  /** All members have taken part, each once and under one generation, and no later generation has answered before. */
+  /** All members have contributed, each once and under one generation, and no later generation has answered before. */
   #check(answer: GroupAnswer): void {
     const { generation, worldSize, partials } = answer;
     const ranks = new Set(partials.map(({ rank }) => rank));
--- a/packages/testkit/src/loopback/loopback-settings.ts
+++ b/packages/testkit/src/loopback/loopback-settings.ts
@@ -7,9 +7,11 @@
 
 const TEAMS: readonly string[] = ['red', 'blue'];
 
-/** `report_s`, `lease_s` and `cancel_s`, in seconds: short, as real time passes in the tests. */
+/** `report_s` of the settings: short, as real time passes in the tests. */
 export const HEARTBEAT_INTERVAL_S = 0.4;
+/** `lease_s` of the settings. */
 export const WORKER_LEASE_S = 3;
+/** `cancel_s` of the settings. */
 export const CANCELLATION_BOUND_S = 8;
 
 /** The type of all machines. */
--- a/packages/testkit/src/simulation/deployment.ts
+++ b/packages/testkit/src/simulation/deployment.ts
@@ -1,12 +1,13 @@
 // What a simulated deployment is made of: its zones, machine types and clocks. A further deployment is further data.
 import type { MachineType } from '@gingerlock/wire';
 
+/** A kind of deployment. */
 export interface Deployment {
   readonly zones: readonly string[];
   /** The zones of the controllers, one after the other; zones may have none. */
   readonly controllerZones: readonly string[];
   readonly types: readonly MachineType[];
-  /** How far off a controller's time of day may be. */
+  /** How far off a controller's time of day may be, in milliseconds. */
   readonly maxClockSkewMs: number;
   /** This share of the machines that are rented never comes up. */
   readonly neverUp: number;
@@ -14,6 +15,7 @@
   readonly fetch: 'by type' | null;
 }
 
+/** The usual zones. */
 export const ZONES: readonly string[] = ['north', 'south', 'east'];
 
 /** One machine type, a controller in each zone. */
--- a/packages/testkit/src/simulation/sim-link.ts
+++ b/packages/testkit/src/simulation/sim-link.ts
@@ -1,4 +1,4 @@
-// The link between simulated controllers.
+// The links between simulated controllers.
 import { decodePeer, encodePeer, MAX_FRAME_BYTES, type PeerLink, type PeerMessage } from '@gingerlock/peer';
 import type { Network } from './network';
 import type { Invariant } from '../audits/invariants';
@@ -25,7 +25,7 @@
 export class SimLink implements PeerLink {
   readonly nodes: readonly string[];
   onMessage: (from: string, message: PeerMessage) => void = () => undefined;
-  readonly #lastHeardFrom = new Map<string, { link: SimLink; at: number }>();
+  readonly #lastContacts = new Map<string, { link: SimLink; at: number }>();
 
   readonly frameBytes: number;
 
@@ -33,16 +33,16 @@
     readonly world: LinkedWorld,
     readonly node: string,
   ) {
-    this.nodes = world.nodes.map((n) => n.name).filter((n) => n !== node);
+    this.nodes = world.nodes.map(({ name }) => name).filter((name) => name !== node);
     this.frameBytes = world.options.frameBytes ?? MAX_FRAME_BYTES;
   }
 
   alive(node: string): boolean {
-    const lastHeardFrom = this.#lastHeardFrom.get(node);
+    const lastContact = this.#lastContacts.get(node);
     // The end of a process ends its connections.
-    if (lastHeardFrom === undefined || this.world.nodes.find((n) => n.name === node)!.link !== lastHeardFrom.link)
+    if (lastContact === undefined || this.world.nodes.find(({ name }) => name === node)!.link !== lastContact.link)
       return false;
-    return this.world.sim.now - lastHeardFrom.at < this.world.heartbeatIntervalMs * 2;
+    return this.world.sim.now - lastContact.at < this.world.heartbeatIntervalMs * 2;
   }
 
   send(node: string, told: PeerMessage): boolean {
@@ -53,11 +53,11 @@
     if (bytes.length > this.frameBytes)
       this.world.reportViolation('frame_too_large', `${message.kind}: ${bytes.length} bytes`);
     if (message.kind === 'PartitionStatusFragment') this.world.recordOccurrence('summary piece');
-    const to = this.world.nodes.find((n) => n.name === node)!;
+    const to = this.world.nodes.find(({ name }) => name === node)!;
     const { link } = to;
     const { network } = this.world;
-    const way = { from: this.node, to: node, request: '', body: bytes };
-    network.observe({ what: 'frame sent', ...way });
+    const route = { from: this.node, to: node, request: '', body: bytes };
+    network.observe({ what: 'frame sent', ...route });
     // A connection ends with its process: nothing goes over from one process to the next.
     if (link === null) return false;
     this.world.peerBytes += bytes.length;
@@ -65,8 +65,8 @@
     network.sendOneWay(`peer:${this.node}`, `peer:${node}`, () =>
       network.on(node, () => {
         if (to.link !== link) return;
-        network.observe({ what: 'frame received', ...way });
-        link.#lastHeardFrom.set(this.node, { link: this, at: this.world.sim.now });
+        network.observe({ what: 'frame received', ...route });
+        link.#lastContacts.set(this.node, { link: this, at: this.world.sim.now });
         link.onMessage(this.node, decodePeer(bytes));
       }),
     );
--- a/packages/testkit/src/simulation/sim.ts
+++ b/packages/testkit/src/simulation/sim.ts
@@ -1,6 +1,7 @@
+// Simulated time and chance.
 import type { Clock } from '@gingerlock/clients';
 
-/** Small seeded generator (mulberry32): the same seed gives the same day. */
+/** A small seeded generator (mulberry32) of numbers from 0 to 1: the same seed gives the same scenario. */
 export function seeded(seed: number): () => number {
   let a = seed >>> 0;
   return () => {
@@ -23,7 +24,7 @@
   /** In milliseconds. */
   readonly now: number;
   readonly random: () => number;
-  /** Runs once after so many milliseconds; returns a function that gives that up. */
+  /** Runs once after so many milliseconds; returns a function that cancels that. */
   after(ms: number, run: () => void): () => void;
 }
 
@@ -72,6 +73,7 @@
     return top;
   }
 
+  /** Runs all events until then. */
   async run(until: number): Promise<void> {
     while (this.#heap.length > 0 && this.#heap[0]!.at <= until) {
       const event = this.#pop()!;
@@ -87,7 +89,7 @@
   clock(
     drift: number,
     wallOffMs: () => number,
-    alive: () => boolean,
+    isAlive: () => boolean,
     on: (run: () => void) => void = (run) => run(),
   ): Clock {
     const start = this.now;
@@ -95,14 +97,14 @@
       now: () => (this.now - start) * (1 + drift),
       wall: () => 1_700_000_000_000 + this.now + wallOffMs(),
       after: (ms, callback) => {
-        let over = false;
+        let isCancelled = false;
         const cancel = this.after(ms / (1 + drift), () =>
           on(() => {
-            if (!over && alive()) callback();
+            if (!isCancelled && isAlive()) callback();
           }),
         );
         return () => {
-          over = true;
+          isCancelled = true;
           cancel();
         };
       },
--- a/packages/testkit/src/simulation/traffic.ts
+++ b/packages/testkit/src/simulation/traffic.ts
@@ -1,4 +1,4 @@
-// What an observer is told of the messages of a simulated deployment, as bytes at the moment they leave or reach a
+// What an observer gets of the messages of a simulated deployment, as bytes at the moment they leave or reach a
 // process.
 
 /** A message as it crosses the edge of a process, or the end of the wait for one that did not come. */
@@ -22,7 +22,7 @@
   readonly body?: Uint8Array | null;
 }
 
-/** Is told of each event as it happens; it must change nothing. */
+/** Is called with each event as it happens; it must change nothing. */
 export type TrafficObserver = (event: TrafficEvent) => void;
 
 /** A request that is put to a controller in its own process, as users and late copies do, not over the network. */
@@ -33,7 +33,7 @@
   readonly body: Uint8Array | null;
 }
 
-/** Runs a direct request; the observer is told of it and of its answer. */
+/** Runs a direct request; the observer gets it and its answer. */
 export function observeDirect<
   A extends Pick<TrafficEvent, 'retryAfterS'> & Required<Pick<TrafficEvent, 'status' | 'body'>>,
 >(observe: TrafficObserver, request: DirectRequest, run: () => Promise<A>): Promise<A> {
--- a/packages/testkit/src/standins/cloud-records.ts
+++ b/packages/testkit/src/standins/cloud-records.ts
@@ -1,11 +1,13 @@
 // What the cloud stand-in has rented, now and at earlier times: its list may describe the past.
 import type { CloudMachine } from '@gingerlock/wire';
 
+/** A machine as the cloud has it; `bornAt` is when it was rented, in the scheduler's time. */
 export type RentedMachine = CloudMachine & { readonly bornAt: number };
 
-/** For so long it is kept how things stood. */
+/** For how long earlier states are kept. */
 const KEPT_MS = 120_000;
 
+/** All machines that the cloud has rented out, and how they stood earlier. */
 export class CloudRecords {
   readonly #machines = new Map<string, RentedMachine>();
   /** When something changed that the history does not have yet. */
@@ -32,6 +34,7 @@
     return this.#history.at(-1)?.machines ?? [];
   }
 
+  /** The machines as they stood at a moment; none if that is not kept. */
   machinesAt(at: number): readonly RentedMachine[] {
     this.#keep();
     return this.#history.findLast((entry) => entry.at <= at)?.machines ?? [];
--- a/packages/testkit/src/standins/cloud.ts
+++ b/packages/testkit/src/standins/cloud.ts
@@ -16,6 +16,7 @@
 import { CloudRecords, type RentedMachine } from './cloud-records';
 import type { Scheduler } from '../simulation/sim';
 
+/** What the cloud is made with. */
 export interface CloudOptions {
   readonly sim: Scheduler;
   readonly types: readonly MachineType[];
@@ -42,19 +43,22 @@
   return { status, body: encode(map) };
 }
 
+/** The cloud. Its fields set faults. */
 export class SimCloud {
+  /** Nobody is served. */
   outage = false;
   /** Machines that are rented now are up within two seconds. */
   fastBoots = false;
+  /** How boots of machines that are rented now go wrong; null: they don't. */
   bootFault: BootFault | null = null;
   /** What is listed in place of the machine types; null: they are. */
   listedTypes: unknown = null;
   /** The list describes how machines stood so long ago. */
   listAgeMs = 0;
   readonly #records = new CloudRecords();
-  /** By the name of the request: what it was given. */
+  /** By the name of the request: the machines that it got. */
   readonly #requests = new Map<string, string[]>();
-  #machines = 0;
+  #rentedCount = 0;
 
   /** Machines of each type and either kind that each zone has now. */
   capacity: number;
@@ -65,7 +69,7 @@
 
   /** How many machines there have ever been. */
   get machinesRented(): number {
-    return this.#machines;
+    return this.#rentedCount;
   }
 
   /** What is rented now, as it is. */
@@ -76,7 +80,7 @@
   /** Rents a machine that comes up after so long; null: it never does. */
   boot(type: MachineType, zone: string, spot: boolean, afterMs: number | null): string {
     const { sim, onUp } = this.options;
-    const name = `m-${String(++this.#machines).padStart(6, '0')}`;
+    const name = `m-${String(++this.#rentedCount).padStart(6, '0')}`;
     const described = { name, addr: `${name}:9000`, type: type.name, zone, spot, ageS: 0, bornAt: sim.now };
     this.#records.set({ ...described, state: 'booting' }, sim.now);
     if (afterMs === null) return name;
@@ -98,7 +102,7 @@
     this.#records.set({ ...strange, state: 'running', bornAt: sim.now }, sim.now);
   }
 
-  /** The machine has stopped by itself and is listed as failed, or was taken. */
+  /** The machine has stopped by itself and is listed as failed, or was taken back. */
   end(name: string, listedAs: 'failed' | 'gone'): void {
     const { now } = this.options.sim;
     const machine = this.#records.get(name);
@@ -107,6 +111,7 @@
     else this.#records.delete(name, now);
   }
 
+  /** Answers a request. */
   handle(method: string, path: string, body: Buffer): HttpResponse {
     if (this.outage) return answer(503, { error: 'trouble' });
     const request = parseCloudRequest(method, path);
@@ -128,10 +133,11 @@
   #rent({ request, type: name, zone, spot, count }: RentRequest): HttpResponse {
     const known = this.#requests.get(request);
     if (known !== undefined) return answer(200, rentedMap(known));
-    const type = this.options.types.find((t) => t.name === name);
+    const type = this.options.types.find((known) => known.name === name);
     if (type === undefined || !type.zones.includes(zone)) return answer(400, {});
-    const isLike = (m: RentedMachine): boolean => m.type === name && m.zone === zone && m.spot === spot;
-    const used = this.rented.filter((m) => isLike(m) && m.state !== 'failed').length;
+    const isLike = (machine: RentedMachine): boolean =>
+      machine.type === name && machine.zone === zone && machine.spot === spot;
+    const used = this.rented.filter((machine) => isLike(machine) && machine.state !== 'failed').length;
     const granted = Math.min(count, this.capacity - used);
     if (granted <= 0) return answer(503, { error: 'no capacity' });
     const names = Array.from({ length: granted }, () => this.boot(type, zone, spot, this.#nextBootMs(type)));
@@ -151,8 +157,10 @@
 
   #list(after: string, limit: number): HttpResponse {
     const describedAt = this.options.sim.now - this.listAgeMs;
-    const all = this.#records.machinesAt(describedAt).filter((m) => m.name > after);
-    const page = all.slice(0, limit).map((m): CloudMachine => ({ ...m, ageS: (describedAt - m.bornAt) / 1000 }));
+    const all = this.#records.machinesAt(describedAt).filter((machine) => machine.name > after);
+    const page = all
+      .slice(0, limit)
+      .map((machine): CloudMachine => ({ ...machine, ageS: (describedAt - machine.bornAt) / 1000 }));
     return answer(200, machineListMap(page, all.length > page.length));
   }
 }
--- a/packages/testkit/src/standins/pipelines.ts
+++ b/packages/testkit/src/standins/pipelines.ts
@@ -4,6 +4,7 @@
 import { seeded } from '../simulation/sim';
 import type { SimUsers } from './users';
 
+/** What users of pipelines need of the deployment. */
 export interface PipelineWorld {
   readonly sim: Sim;
   readonly users: SimUsers;
@@ -19,7 +20,7 @@
 /** What the users of pipelines decide, each as a probability. */
 const CHANCE = { edge: 0.6, earlier: 0.3, last: 0.15, cancelled: 0.3 };
 
-/** Each pipeline draws from a generator of its own, so that other arrivals stay as they are. */
+/** A user of one pipeline, with random numbers of its own, so that other arrivals stay as they are. */
 export class PipelineUser {
   readonly #random: () => number;
 
@@ -55,7 +56,9 @@
     // A pipeline hangs together: each job but the first needs another.
     if (awaits.length === 0 && before.length > 0) awaits.push(before.at(-1)!.id);
     if (this.#chance(CHANCE.earlier)) {
-      const earlier = [...this.world.users.observedByJob.values()].filter((t) => t.accepted && t.spec.kind === 'array');
+      const earlier = [...this.world.users.observedByJob.values()].filter(
+        ({ accepted, spec }) => accepted && spec.kind === 'array',
+      );
       const one = earlier[Math.floor(this.#random() * earlier.length)];
       if (one !== undefined && !awaits.includes(one.spec.id)) awaits.push(one.spec.id);
     }
--- a/packages/testkit/src/standins/users.ts
+++ b/packages/testkit/src/standins/users.ts
@@ -1,5 +1,5 @@
-// Stand-ins of users, and the rules of what they are told: nothing accepted is forgotten, nothing goes back, no
-// answer is older than one that any user has been given before it was asked for.
+// Stand-ins of users, and the invariants of what they see: nothing accepted is forgotten, no job goes back from a final
+// state, and no answer is older than one that any user got before it was asked for.
 import type { Controller } from '@gingerlock/daemon';
 import {
   decodeJobState,
@@ -13,11 +13,12 @@
 import type { Sim } from '../simulation/sim';
 import { observeDirect, type TrafficObserver } from '../simulation/traffic';
 
+/** What users need of the deployment that they use. */
 export interface UsersWorld {
   readonly sim: Sim;
   readonly network: { readonly observe: TrafficObserver };
   readonly cancellationBoundMs: number;
-  /** Controllers that say nothing to anybody, users included. */
+  /** Controllers that answer nobody, users included. */
   readonly silent: ReadonlySet<string>;
   readonly nodes: readonly { readonly controller: Controller | null }[];
   reportViolation(rule: Invariant, detail: string): void;
@@ -25,15 +26,19 @@
   doneOf(id: string): number;
 }
 
-/** What the users of one job have been told. */
+/** What the user of one job has seen of it so far. */
 export interface ObservedStatus {
   readonly spec: JobSpec;
+  /** When its user began to submit it. */
   readonly since: number;
   accepted: boolean;
+  /** Done or cancelled, once an answer said so. */
   final: JobStatus | null;
+  /** When its user got the answer that it is cancelled. */
   cancelledAt: number | null;
   /** When its user wants it cancelled. */
   cancelAt: number;
+  /** Whether a cancellation was ever sent. */
   cancelAsked: boolean;
   /** When a question about it was last answered. */
   answeredAt: number;
@@ -55,19 +60,21 @@
 
 type Answer = { readonly status: number; readonly body: Buffer | null; readonly retryAfterS?: number };
 
-/** A user waits this long for an answer, says the protocol. */
+/** How long a user waits for an answer, by the protocol. */
 const PATIENCE_MS = 5000;
 
+/** All users, who put their requests to controllers directly, and check every answer. */
 export class SimUsers {
+  /** By id of the job. */
   readonly observedByJob = new Map<string, ObservedStatus>();
-  /** Until when all nodes are asked within milliseconds after each piece of news. */
+  /** Until when all nodes are asked within milliseconds after each answer with something new. */
   closeLooksUntil = 0;
   #oddRequests = 0;
 
   constructor(readonly world: UsersWorld) {}
 
   #anyController(): Controller | null {
-    const up = this.world.nodes.filter((n) => n.controller !== null);
+    const up = this.world.nodes.filter(({ controller }) => controller !== null);
     return up[Math.floor(this.world.sim.random() * up.length)]?.controller ?? null;
   }
 
@@ -118,7 +125,7 @@
     }
   }
 
-  /** Calls a job off, from now on until that is answered for. */
+  /** Cancels a job: asks from now on until an answer says what became of it. */
   async cancel(id: string): Promise<void> {
     const observed = this.observedByJob.get(id);
     if (observed === undefined || !observed.accepted || observed.cancelAsked) return;
@@ -214,7 +221,7 @@
     const { sim, cancellationBoundMs } = this.world;
     if (status === 'done' || status === 'cancelled') return;
     const late = this.#dependenciesOf(observed.spec.id).find(
-      (t) => t.cancelledAt !== null && sim.now - t.cancelledAt > cancellationBoundMs,
+      ({ cancelledAt }) => cancelledAt !== null && sim.now - cancelledAt > cancellationBoundMs,
     );
     if (late !== undefined)
       this.world.reportViolation('orphaned', `${observed.spec.id} is ${status} after ${late.spec.id}`);
@@ -224,10 +231,10 @@
     const { world } = this;
     const { id, tasks } = observed.spec;
     const { status } = decodeJobState(reply.body!);
-    const final = status === 'done' || status === 'cancelled';
+    const isFinal = status === 'done' || status === 'cancelled';
     if (known.final !== null && status !== known.final)
       world.reportViolation('went_back', `${id}: ${known.final}, then ${status}`);
-    if (final && observed.final !== null && status !== observed.final)
+    if (isFinal && observed.final !== null && status !== observed.final)
       world.reportViolation('went_back', `${id}: ${observed.final} and ${status}`);
     if (status === 'cancelled') {
       if (!observed.cancelAsked && !this.#dependenciesOf(id).some((before) => before.cancelAsked))
@@ -236,10 +243,10 @@
     }
     if (status === 'done' && world.doneOf(id) < tasks) world.reportViolation('not_done', id);
     this.#checkOrphaned(observed, status);
-    const news = !observed.accepted || (final && observed.final === null);
+    const isNews = !observed.accepted || (isFinal && observed.final === null);
     observed.accepted = true;
-    if (final) observed.final = status;
-    if (news && world.sim.now < this.closeLooksUntil) this.#lookClosely(observed);
+    if (isFinal) observed.final = status;
+    if (isNews && world.sim.now < this.closeLooksUntil) this.#lookClosely(observed);
   }
 
   /** All nodes are asked, and the submission repeated, within milliseconds; some users cancel at once. */
@@ -257,13 +264,13 @@
   async sendOddRequest(like: JobSpec): Promise<void> {
     const { world } = this;
     const { sim } = world;
-    const pick = (matches: (t: ObservedStatus) => boolean): ObservedStatus | undefined => {
+    const pick = (matches: (observed: ObservedStatus) => boolean): ObservedStatus | undefined => {
       const fitting = [...this.observedByJob.values()].filter(matches);
       return fitting[Math.floor(sim.random() * fitting.length)];
     };
     const controller = this.#anyController();
-    const unfinished = pick((t) => t.accepted && t.final === null);
-    const done = pick((t) => t.final === 'done');
+    const unfinished = pick(({ accepted, final }) => accepted && final === null);
+    const done = pick(({ final }) => final === 'done');
     const turn = this.#oddRequests++ % 4;
     if (turn === 0 && unfinished !== undefined) await this.#ask(unfinished, 'submit', controller);
     if (turn === 1 && done !== undefined) await this.#ask(done, 'cancel', controller);
@@ -288,10 +295,11 @@
 
   /** Jobs that were accepted and are neither done nor cancelled. */
   open(): ObservedStatus[] {
-    return [...this.observedByJob.values()].filter((t) => t.accepted && t.final === null);
+    return [...this.observedByJob.values()].filter(({ accepted, final }) => accepted && final === null);
   }
 
+  /** How many jobs are done, as their users know. */
   finished(): number {
-    return [...this.observedByJob.values()].filter((t) => t.final === 'done').length;
+    return [...this.observedByJob.values()].filter(({ final }) => final === 'done').length;
   }
 }
