--- a/packages/core/test/assigned-ranges.test.ts
+++ b/packages/core/test/assigned-ranges.test.ts
@@ -23,29 +23,29 @@
   const placements: (Placement | null)[] = Array.from({ length: TASKS }, () => null);
   for (const { from, count, partitionId, zone, term } of assignedRanges) {
     for (let task = from; task < from + count; task++) {
-      assert.equal(placements[task], null, `task ${task} is in two rounds`);
+      assert.equal(placements[task], null, `task ${task} is in two ranges`);
       placements[task] = { partitionId, zone, term };
     }
   }
   return placements;
 }
 
-test('joined rounds assign every unfinished task as before, and no round could be joined with the next', () => {
+test('merged ranges assign every unfinished task as before, and no range could be merged with the next', () => {
   fc.assert(
     fc.property(assignment, tasks, (places, finished) => {
       const isFinished = (task: number): boolean => finished.has(task);
-      const joined = mergeRanges(assignedRangesOf(places), isFinished);
-      const after = placesOf(joined);
+      const merged = mergeRanges(assignedRangesOf(places), isFinished);
+      const after = placesOf(merged);
       for (let task = 0; task < TASKS; task++) {
         if (!isFinished(task)) assert.deepEqual(after[task], places[task], `task ${task}`);
       }
-      assert.deepEqual(mergeRanges(joined, isFinished), joined);
+      assert.deepEqual(mergeRanges(merged, isFinished), merged);
     }),
     { seed: 391 },
   );
 });
 
-test('tasks are taken out of the rounds of their own partition only', () => {
+test('tasks are taken out of the ranges of their own partition only', () => {
   fc.assert(
     fc.property(assignment, tasks, fc.nat({ max: 2 }), (places, removed, partitionId) => {
       const left = placesOf(withoutTasks(mergeRanges(assignedRangesOf(places)), partitionId, removed));
@@ -58,7 +58,7 @@
   );
 });
 
-test('the ranges that are in no round are exactly the unassigned tasks', () => {
+test('the tasks that are in no range are exactly the unassigned tasks', () => {
   fc.assert(
     fc.property(assignment, (places) => {
       const ranges = unassignedRanges(mergeRanges(assignedRangesOf(places)), TASKS);
@@ -70,7 +70,7 @@
   );
 });
 
-test('one round per partition covers all that the partition may run, under no higher a term', () => {
+test('one range per partition covers all that the partition may run, under no higher a term', () => {
   fc.assert(
     fc.property(assignment, (places) => {
       const covers = coverPerPartition(assignedRangesOf(places));
--- a/packages/core/test/claim-table.test.ts
+++ b/packages/core/test/claim-table.test.ts
@@ -19,7 +19,7 @@
 };
 const spec = specOf('j-000001', { kind: 'service', priority: 'high' });
 
-/** The claim table of an owner with term 2 of the part. */
+/** The claim table of an owner with term 2 of the partition. */
 function claimTableOf(
   jobs: JobTable,
   fencedUntil: number,
@@ -39,7 +39,7 @@
   });
 }
 
-/** The job with its four tasks assigned to the part. */
+/** The job with its four tasks assigned to the partition. */
 function assigned(jobs: JobTable, term: number, version: number): void {
   const assignedRanges = [{ from: 0, count: 4, partitionId: 0, zone: null, term }];
   jobs.applyJob(
@@ -50,7 +50,7 @@
 }
 
 /** The claim table of a new owner: four tasks were assigned before its time, and three machines may hold them. */
-function taken(): ClaimTable {
+function tableOfNewOwner(): ClaimTable {
   const jobs = new JobTable(() => 64);
   assigned(jobs, 1, 5);
   const claimTable = claimTableOf(jobs, 20_000, ['m-1', 'm-2', 'm-3']);
@@ -73,11 +73,11 @@
   };
 }
 
-test('tasks that no machine has reported count as missing once most machines of the part were heard', () => {
-  const claimTable = taken();
+test('tasks that no machine has reported count as missing once most machines of the partition have sent a heartbeat', () => {
+  const claimTable = tableOfNewOwner();
   assert.equal(claimTable.missingServices(3500).gpus, 0);
   for (const name of ['m-1', 'm-2']) {
-    // The first answer shows it our term; the next report proves that it knows it.
+    // The first answer shows it our term; the next heartbeat proves that it knows it.
     claimTable.handleHeartbeat(heartbeat(name, 1, TOKENS_PER_TERM), 3500, true);
     assert.equal(claimTable.missingServices(3600).gpus, 0);
     claimTable.handleHeartbeat(heartbeat(name, 2, 2 * TOKENS_PER_TERM), 3700, true);
@@ -85,9 +85,10 @@
   assert.equal(claimTable.missingServices(3800).gpus, 4);
 });
 
-// Of a zone that was cut off for long nothing was rented before its tasks were known to be gone: a boot was waited for on top.
-test('tasks of a part of which nothing is heard count as missing a boot before it is cleared, and not sooner', () => {
-  const claimTable = taken();
+// Of a zone that was cut off for long nothing was rented before its tasks were known to be gone: a boot was waited for
+// on top.
+test('tasks of a partition without any heartbeat count as missing a boot before its fencing period ends, and not sooner', () => {
+  const claimTable = tableOfNewOwner();
   const bootMs = type.bootS * 1000;
   assert.equal(claimTable.missingServices(claimTable.fencedUntil - bootMs - 1).gpus, 0);
   assert.equal(claimTable.missingServices(claimTable.fencedUntil - bootMs).gpus, 4);
@@ -95,18 +96,18 @@
   assert.equal(claimTable.missingServices(claimTable.fencedUntil).gpus, 0);
 });
 
-// A worker that never takes a token is not answered for ever, as its lease would stay in doubt. A machine that came up deaf just
-// as its part changed hands was counted among those, and refused long after it could hear again.
-test('a machine that can hold no earlier task is answered however often it has not taken the token', () => {
-  const claimTable = taken();
+// A worker that never takes a token is not answered for ever, as its lease would stay in doubt. A machine that came up
+// deaf just as its part changed hands was counted among those, and refused long after it could hear again.
+test('a machine that can hold no earlier task is answered however often it has not accepted the token', () => {
+  const claimTable = tableOfNewOwner();
   const answers = (machine: string): string[] =>
     Array.from({ length: 8 }, (_, i) => claimTable.handleHeartbeat(heartbeat(machine, i + 1, 0), 1000 + i, true).kind);
   assert.deepEqual(new Set(answers('m-new')), new Set(['answer']));
   assert.equal(answers('m-1').at(-1), 'refuse');
 });
 
-// While all is read anew, page by page, the record of a job may be seen before that of its part's next owner.
-test('what was assigned to a later owner of the part is not this one’s to start', () => {
+// While all is read anew, page by page, the record of a job may be seen before that of its partition's next owner.
+test('what was assigned to a later owner of the partition is not this one’s to start', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 0, []);
   claimTable.tick(1);
@@ -121,7 +122,7 @@
   assert.equal(claimTable.tasksByJob.get(spec.id)?.size, 4);
 });
 
-test('a job that a peer says is called off starts nothing more, also when older records of it come in after that', () => {
+test('a job that a peer reports as cancelled starts nothing more, also when older records of it come in after that', () => {
   const jobs = new JobTable(() => 64);
   assigned(jobs, 2, 5);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
@@ -133,7 +134,7 @@
       sequenceNumber * 1000,
       true,
     );
-    return outcome.kind === 'answer' ? outcome.commands.map((c) => c.op) : [];
+    return outcome.kind === 'answer' ? outcome.commands.map(({ op }) => op) : [];
   };
   assert.deepEqual(starts(1), ['start', 'start', 'start', 'start']);
   jobs.markCancelled(spec.id);
@@ -146,17 +147,17 @@
   assert.equal(claimTable.returnable([], 2500).get(spec.id)?.length, 4);
 });
 
-// A machine that was gone before its new owner could hear it stayed in the membership: each later owner of the part kept all waiting
-// tasks back for it until its fencing period.
-test('machines that were not heard until the clearing leave the membership, and those that were heard stay', () => {
-  const claimTable = taken();
+// A machine that was gone before its new owner could hear it stayed in the membership: each later owner of the
+// partition kept all waiting tasks back for it until its fencing period.
+test('machines that are silent until the fencing period ends leave the membership, and those with a heartbeat stay', () => {
+  const claimTable = tableOfNewOwner();
   claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * TOKENS_PER_TERM), claimTable.fencedUntil - 1000, true);
   assert.deepEqual(claimTable.tick(claimTable.fencedUntil - 1), []);
   assert.deepEqual(claimTable.tick(claimTable.fencedUntil), ['m-2', 'm-3']);
   assert.deepEqual(claimTable.tick(claimTable.fencedUntil + 1), []);
 });
 
-/** Writes the job's record with the given rounds, and has the claim table take it. */
+/** Writes the job's record with the given ranges, and has the claim table take it. */
 function reassign(
   jobs: JobTable,
   claimTable: ClaimTable,
@@ -179,9 +180,9 @@
   term: 2,
 });
 
-// Given back, and assigned to the same partition in another zone before the owner had read of either, a task kept the zone of its
-// first assignment: a job that is bound to one zone ran in two.
-test('a task that is given back and assigned anew to another zone starts in that zone alone', () => {
+// Returned, and assigned to the same partition in another zone before the owner had read of either, a task kept the
+// zone of its first assignment: a job that is bound to one zone ran in two.
+test('a task that is returned and assigned anew to another zone starts in that zone alone', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 20_000, ['m-1', 'm-2']);
   reassign(jobs, claimTable, [rangeOf(0, 4, 'a')], 5);
@@ -190,14 +191,14 @@
   const starts = (machine: string, zone: string): number => {
     const outcome = claimTable.handleHeartbeat({ ...heartbeat(machine, 1, 2 * TOKENS_PER_TERM), zone }, 9000, true);
     assert.ok(outcome.kind === 'answer');
-    return outcome.commands.filter((c) => c.op === 'start').length;
+    return outcome.commands.filter(({ op }) => op === 'start').length;
   };
   assert.equal(starts('m-1', 'a'), 0);
   assert.equal(starts('m-2', 'b'), 4);
 });
 
-// Entries were dropped with their claims as soon as the record lacked them, and made anew as waiting when it had them again: the
-// task was started again while it ran.
+// Entries were dropped with their claims as soon as the record lacked them, and made anew as waiting when it had them
+// again: the task was started again while it ran.
 test('a claimed task that its record does not name for a while is stopped, and not started again before it has ended', () => {
   const jobs = new JobTable(() => 64);
   const alarms: string[] = [];
@@ -209,7 +210,7 @@
       5000 + sequenceNumber * 2000,
       true,
     );
-    return outcome.kind === 'answer' ? outcome.commands.map((c) => `${c.op} ${c.task}`) : [];
+    return outcome.kind === 'answer' ? outcome.commands.map(({ op, task }) => `${op} ${task}`) : [];
   };
   reassign(jobs, claimTable, [rangeOf(0, 1, null)], 5);
   assert.deepEqual(commands('m-1', 1, []), [`start ${spec.id}/0`]);
@@ -229,7 +230,7 @@
   assert.equal(claimTable.tasksByJob.has(spec.id), false);
 });
 
-test('a report that contradicts earlier ones of its machine is refused and changes nothing', () => {
+test('a heartbeat that contradicts earlier ones of its machine is refused and changes nothing', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
   const fencingToken = 2 * TOKENS_PER_TERM;
@@ -242,7 +243,8 @@
   assert.equal(claimTable.handleHeartbeat(heartbeat('m-1', 2, fencingToken), 3000, true).kind, 'answer');
 });
 
-// A controller that stood still found all its machines silent on going on: they got no work and their room was rented anew.
+// A controller that stood still found all its machines silent on going on: they got no work and machines were rented in
+// their place.
 test('machines are not silent because their owner stood still, and their leases run out all the same', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
@@ -253,7 +255,7 @@
   claimTable.resumedAfterStall(resumedAt);
   assert.equal(claimTable.isSuspect(machine, resumedAt), false);
   assert.equal(claimTable.silentMs(machine, resumedAt + 500), 500);
-  // It is still not heard.
+  // It is still silent.
   assert.equal(claimTable.isSuspect(machine, resumedAt + clusterConfig.heartbeatIntervalMs * 3 + 1), true);
   assert.deepEqual(claimTable.tick(1000 + clusterConfig.workerLeaseMs * 2), ['m-1']);
 });
@@ -269,9 +271,9 @@
       sequenceNumber * 1000,
       true,
     );
-    return outcome.kind === 'answer' ? outcome.commands.filter((c) => c.op === 'start').length : -1;
+    return outcome.kind === 'answer' ? outcome.commands.filter(({ op }) => op === 'start').length : -1;
   };
-  // Each answer with starts is lost, as the next report shows: the tasks are started anew.
+  // Each answer with starts is lost, as the next heartbeat shows: the tasks are started anew.
   assert.equal(starts(1), 4);
   assert.equal(starts(2), 4);
   claimTable.resumedAfterStall(2500);
@@ -281,7 +283,7 @@
   assert.equal(starts(5), 0);
 });
 
-/** Reports of a machine that carries the owner's token, at the time of its count in seconds. */
+/** Heartbeats of a machine that carries the owner's token, at the time of its count in seconds. */
 function failedOn(
   claimTable: ClaimTable,
   machine: string,
@@ -301,11 +303,11 @@
     sequenceNumber * 1000,
     true,
   );
-  return outcome.kind === 'answer' ? outcome.commands.map((c) => c.op) : [];
+  return outcome.kind === 'answer' ? outcome.commands.map(({ op }) => op) : [];
 }
 
 // Sixty tasks of a broken array were each retried for themselves, on every machine, and stopped other work for it.
-test('a job whose tasks failed on two machines starts no more of them, plans for none, and is given back marked', () => {
+test('a job whose tasks failed on two machines starts no more of them, plans for none, and is returned marked', () => {
   const jobs = new JobTable(() => 64);
   assigned(jobs, 2, 5);
   const claimTable = claimTableOf(jobs, 20_000, ['m-1', 'm-2']);
@@ -320,7 +322,7 @@
   const job = jobs.live.get(spec.id)!;
   assert.equal(claimTable.isCrashLooping(job), true);
   const outcome = claimTable.handleHeartbeat(heartbeat('m-1', 5, 2 * TOKENS_PER_TERM), 5000, true);
-  assert.ok(outcome.kind === 'answer' && outcome.commands.every((c) => c.op !== 'start'));
+  assert.ok(outcome.kind === 'answer' && outcome.commands.every(({ op }) => op !== 'start'));
   const { unschedulable } = planPlacements(claimTable, 5200);
   assert.deepEqual(unschedulable, []);
   const back = claimTable.returnable([], 7000).get(spec.id)!;
@@ -329,7 +331,7 @@
   assert.equal(claimTable.isQuarantined(claimTable.machines.get('m-1')!), false);
 });
 
-test('of a job that its record marks as failing a task that was assigned alone is started once, by any owner', () => {
+test('of a job that its record marks as crash-looping a task that was assigned alone is started once, by any owner', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
   const assign = (count: number, version: number): void => {
@@ -347,7 +349,7 @@
       sequenceNumber * 1000,
       true,
     );
-    return outcome.kind === 'answer' ? outcome.commands.filter((c) => c.op === 'start').length : -1;
+    return outcome.kind === 'answer' ? outcome.commands.filter(({ op }) => op === 'start').length : -1;
   };
   assign(4, 5);
   assert.equal(starts(1), 0);
@@ -359,7 +361,8 @@
   assert.equal(claimTable.returnable([], 9000).get(spec.id)?.length, 1);
 });
 
-// With a flood of one-task jobs of a team of guests, the completed tasks of all others waited behind theirs for the limit on changes.
+// With a flood of one-task jobs of a team of guests, the completed tasks of all others waited behind theirs for the
+// limit on changes.
 test('completed tasks are written in the order of their urgency, and those that waited for a lease before all others', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
@@ -415,13 +418,14 @@
     true,
   );
   assert.deepEqual(alarms, ['unknown exit cause']);
-  assert.ok(outcome.kind === 'answer' && outcome.commands.filter((c) => c.op === 'forget').length === 2);
+  assert.ok(outcome.kind === 'answer' && outcome.commands.filter(({ op }) => op === 'forget').length === 2);
   assert.equal(claimTable.failures.verdictOn(spec.id), null);
   assert.ok(claimTable.tasksByJob.get(spec.id)!.get(0)!.claim!.attempt > attempt);
 });
 
-// Batch work that waited for the next report was told of as neither free room nor its own: room for services was rented for it.
-test('what waiting tasks are expected to take is told by their rank, until they are bound', () => {
+// Batch work that waited for the next heartbeat was reported as neither free nor its own: machines were rented for
+// services.
+test('what waiting tasks are expected to use is reported by their priority class, until they are bound', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
   claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * TOKENS_PER_TERM), 100, true);
@@ -430,11 +434,11 @@
   const machine = claimTable.machines.get('m-1')!;
   assert.deepEqual([...plannedByPriority(claimTable)], []);
   const { freeByMachine } = planPlacements(claimTable, 300);
-  const rank = PRIORITIES.indexOf('high');
+  const priority = PRIORITIES.indexOf('high');
   const planned = plannedByPriority(claimTable).get(machine)!;
   assert.deepEqual(
     planned.map(({ gpus }) => gpus),
-    PRIORITIES.map((_, i) => (i === rank ? 4 : 0)),
+    PRIORITIES.map((_, i) => (i === priority ? 4 : 0)),
   );
-  assert.equal(freeByMachine.get(machine)!.gpus + planned[rank]!.gpus, type.gpus);
+  assert.equal(freeByMachine.get(machine)!.gpus + planned[priority]!.gpus, type.gpus);
 });
--- a/packages/core/test/cost.test.ts
+++ b/packages/core/test/cost.test.ts
@@ -1,4 +1,4 @@
-// What a report and a packing cost, counted in looks at machines: each look asks for the machine's type.
+// What a heartbeat and a planning cost, counted in looks at machines: each look asks for the machine's type.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobRecord, type MachineType, type Heartbeat } from '@gingerlock/wire';
@@ -20,8 +20,11 @@
 };
 const TASKS = 6;
 
-/** A part of so many machines with six replicas on each: looks of one unchanged report, and of a packing with so many waiting. */
-function costs(count: number, waiting: number): { report: number; packing: number } {
+/**
+ * A partition of so many machines with six replicas on each: looks of one unchanged heartbeat, and of a planning with
+ * so many waiting.
+ */
+function costs(count: number, waiting: number): { heartbeat: number; planning: number } {
   let looks = 0;
   const types = new Map([[type.name, type]]);
   const jobs = new JobTable(() => 64);
@@ -47,10 +50,10 @@
     },
     membership: [],
   });
-  const id = (m: number): string => `j-${String(m).padStart(6, '0')}`;
-  const heartbeat = (m: number, sequenceNumber: number): Heartbeat => ({
-    machine: `m-${m}`,
-    addr: `m-${m}:1`,
+  const id = (machineIndex: number): string => `j-${String(machineIndex).padStart(6, '0')}`;
+  const heartbeat = (machineIndex: number, sequenceNumber: number): Heartbeat => ({
+    machine: `m-${machineIndex}`,
+    addr: `m-${machineIndex}:1`,
     type: type.name,
     zone: 'a',
     spot: false,
@@ -59,18 +62,18 @@
     fencingToken: 2 * TOKENS_PER_TERM,
     noticeS: null,
     tasks: Array.from({ length: TASKS }, (_, i) => ({
-      task: `${id(m)}/${i}`,
-      attempt: m * 100 + i,
+      task: `${id(machineIndex)}/${i}`,
+      attempt: machineIndex * 100 + i,
       state: 'running' as const,
       cause: null,
       saved: false,
     })),
   });
-  for (let m = 0; m < count; m++) {
-    job(id(m), TASKS);
-    claimTable.syncJob(id(m), 0);
-    claimTable.handleHeartbeat(heartbeat(m, 1), 1, false);
-    claimTable.setMember(`m-${m}`, true);
+  for (let machineIndex = 0; machineIndex < count; machineIndex++) {
+    job(id(machineIndex), TASKS);
+    claimTable.syncJob(id(machineIndex), 0);
+    claimTable.handleHeartbeat(heartbeat(machineIndex, 1), 1, false);
+    claimTable.setMember(`m-${machineIndex}`, true);
   }
   if (waiting > 0) {
     job('j-999999', waiting);
@@ -79,21 +82,21 @@
   looks = 0;
   const outcome = claimTable.handleHeartbeat(heartbeat(0, 2), 2, false);
   assert.deepEqual(outcome, { kind: 'answer', fencingToken: 2 * TOKENS_PER_TERM, commands: [] });
-  const ofReport = looks;
+  const ofHeartbeat = looks;
   looks = 0;
   const { unschedulable } = planPlacements(claimTable, 3);
   assert.equal(unschedulable.length, 0);
-  return { report: ofReport, packing: looks };
+  return { heartbeat: ofHeartbeat, planning: looks };
 }
 
-test('an unchanged report costs the same in a part of 40 machines and in one of 900', () => {
-  assert.equal(costs(900, 0).report, costs(40, 0).report);
-  assert.equal(costs(900, 50).report, costs(40, 50).report);
+test('an unchanged heartbeat costs the same in a partition of 40 machines and in one of 900', () => {
+  assert.equal(costs(900, 0).heartbeat, costs(40, 0).heartbeat);
+  assert.equal(costs(900, 50).heartbeat, costs(40, 50).heartbeat);
 });
 
-test('a packing grows no faster than the machines of the part, nor than the waiting tasks', () => {
-  const small = costs(40, 4).packing;
-  assert.ok(costs(900, 4).packing <= small * (900 / 40) * 1.1);
-  assert.ok(costs(40, 16).packing <= small * 4 * 1.1);
-  assert.ok(costs(900, 0).packing <= 900);
+test('a planning grows no faster than the machines of the partition, nor than the waiting tasks', () => {
+  const small = costs(40, 4).planning;
+  assert.ok(costs(900, 4).planning <= small * (900 / 40) * 1.1);
+  assert.ok(costs(40, 16).planning <= small * 4 * 1.1);
+  assert.ok(costs(900, 0).planning <= 900);
 });
--- a/packages/core/test/dependencies.test.ts
+++ b/packages/core/test/dependencies.test.ts
@@ -78,23 +78,23 @@
     assert.equal(job.cancelled, model.isCancelled(id), `${id} cancelled`);
     assert.equal(job.ready, model.isReady(id), `${id} ready`);
     if (job.cancelled) continue;
-    assert.equal(job.effectivePriority, model.effectivePriority(id), `${id} rank`);
+    assert.equal(job.effectivePriority, model.effectivePriority(id), `${id} priority`);
     assert.equal(job.startBy, model.startBy(id), `${id} latest start`);
   }
 }
 
-/** Every job that looks different afterwards; the job itself whose record is applied is told by the caller. */
-function derivedBy(table: JobTable, apply: () => void): { told: Set<string>; changed: Set<string> } {
+/** Every job that looks different afterwards; the job itself whose record is applied is reported by the caller. */
+function derivedBy(table: JobTable, apply: () => void): { notified: Set<string>; changed: Set<string> } {
   const look = (): Map<string, string> =>
     new Map([...table.live.values()].map((j) => [j.id, [j.ready, j.cancelled, j.effectivePriority, j.startBy].join()]));
   const before = look();
-  const told = new Set<string>();
-  table.onDerived = (id) => told.add(id);
+  const notified = new Set<string>();
+  table.onDerived = (id) => notified.add(id);
   apply();
   const changed = new Set(
     [...look()].filter(([id, now]) => before.has(id) && before.get(id) !== now).map(([id]) => id),
   );
-  return { told, changed };
+  return { notified, changed };
 }
 
 function play(steps: readonly (typeof step extends fc.Arbitrary<infer S> ? S : never)[]): {
@@ -105,11 +105,11 @@
   const table = new JobTable(() => 64);
   let version = 0;
   const apply = (id: string): void => {
-    const { told, changed } = derivedBy(table, () => {
+    const { notified, changed } = derivedBy(table, () => {
       table.applyJob(id, jobRecord.write(model.recordOf(id)), ++version);
     });
     changed.delete(id);
-    for (const other of changed) assert.ok(told.has(other), `nobody was told that ${other} has changed`);
+    for (const other of changed) assert.ok(notified.has(other), `no callback for ${other}, which has changed`);
     check(table, model);
   };
   for (const s of steps) {
@@ -133,7 +133,7 @@
 
 const days = fc.array(step, { minLength: 1, maxLength: 30 });
 
-test('readiness, cancellation and urgency follow every change, and whoever depends on it is told', () => {
+test('readiness, cancellation and urgency follow every change, and whoever depends on it is notified', () => {
   fc.assert(
     fc.property(days, (steps) => void play(steps)),
     { seed: 391, numRuns: 300 },
@@ -156,7 +156,7 @@
   );
 });
 
-test('a controller that another has told of a cancellation passes it on to the jobs after it', () => {
+test('a controller to which a peer has reported a cancellation passes it on to the jobs after it', () => {
   const { model, table } = play([]);
   assert.equal(model.jobs.size, 0);
   const accept = (id: string, awaits: string[]): void => {
--- a/packages/core/test/failure-attribution.test.ts
+++ b/packages/core/test/failure-attribution.test.ts
@@ -1,5 +1,5 @@
-// Broken jobs fail on every machine, and machines at fault fail every job. An owner once took any machine on which two jobs had failed
-// for one at fault: a few broken arrays had it drain and return most of a healthy fleet.
+// Broken jobs fail on every machine, and machines at fault fail every job. An owner once took any machine on which two
+// jobs had failed for one at fault: a few broken arrays had it drain and return most of a healthy fleet.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -14,7 +14,7 @@
   longestRunMs: 0,
 };
 
-test('a job that failed on two machines and runs on none is failing, and convicts neither of them', () => {
+test('a job that failed on two machines and runs on none is crash-looping, and neither of them is held responsible', () => {
   const failures = new FailureAttribution(CLUSTER_CONFIG);
   for (const machine of ['m-1', 'm-2']) {
     failures.failed('j-1', machine, 0, 100);
@@ -26,7 +26,7 @@
   assert.equal(failures.isOnProbation('m-1', 200), false);
 });
 
-test('a machine gets no new work for a while when two jobs failed there, and is convicted once both run elsewhere', () => {
+test('a machine gets no new work for a while when two jobs failed there, and is quarantined once both run elsewhere', () => {
   const failures = new FailureAttribution(CLUSTER_CONFIG);
   failures.failed('j-1', 'm-1', 0, 100);
   failures.failed('j-2', 'm-1', 0, 100);
@@ -41,7 +41,7 @@
   assert.equal(failures.isQuarantined('m-1'), true);
 });
 
-test('a job that takes long to fail has to run longer elsewhere before a machine is convicted for it', () => {
+test('a job that takes long to fail has to run longer elsewhere before a machine is held responsible for it', () => {
   const failures = new FailureAttribution(CLUSTER_CONFIG);
   for (const job of ['j-1', 'j-2']) failures.failed(job, 'm-1', 20_000, 100);
   failures.review(() => ({ ...UNKNOWN, runningOn: 1, longestRunMs: 40_000 }));
@@ -50,7 +50,7 @@
   assert.equal(failures.isQuarantined('m-1'), true);
 });
 
-test('a task that completes clears its machine, and convicts those on which its job failed', () => {
+test('a task that completes exonerates its machine, and has those on which its job failed held responsible', () => {
   const failures = new FailureAttribution(CLUSTER_CONFIG);
   for (const job of ['j-1', 'j-2']) {
     failures.failed(job, 'm-1', 0, 100);
@@ -73,13 +73,13 @@
   failures.failed('j-1', 'm-2', 0, 400);
   failures.review(() => UNKNOWN);
   assert.equal(failures.verdictOn('j-1'), 'crash-looping');
-  // Nor does it convict the machine, should it run after all.
+  // Nor is the machine held responsible, should it run after all.
   failures.failed('j-2', 'm-1', 0, 150);
   for (const job of ['j-1', 'j-2']) failures.completed(job, 'm-3', 500);
   assert.equal(failures.isQuarantined('m-1'), false);
 });
 
-test('a job that is over is forgotten, and convicts only if it was done', () => {
+test('a job that is over is forgotten, and machines are held responsible for it only if it was done', () => {
   for (const hasCompleted of [true, false]) {
     const failures = new FailureAttribution(CLUSTER_CONFIG);
     for (const job of ['j-1', 'j-2']) failures.failed(job, 'm-1', 0, 100);
@@ -90,7 +90,7 @@
 });
 
 // The hard case: both at the same time, in any order.
-test('whatever fails in which order, machines at fault alone are convicted and broken jobs alone end as failing', () => {
+test('whatever fails in which order, machines at fault alone are quarantined and broken jobs alone end as crash-looping', () => {
   const machines = ['m-0', 'm-1', 'm-2', 'm-3', 'm-4', 'm-5'];
   const jobs = ['j-0', 'j-1', 'j-2', 'j-3', 'j-4'];
   fc.assert(
--- a/packages/core/test/finished-pages.test.ts
+++ b/packages/core/test/finished-pages.test.ts
@@ -37,21 +37,21 @@
       const { table, job } = tableWith(100_000);
       let version = 1;
       const large = new Map<string, BitSet>();
-      for (const t of before) {
-        const page = Math.floor(t / PAGE_TASKS);
+      for (const taskIndex of before) {
+        const page = Math.floor(taskIndex / PAGE_TASKS);
         const key = KEYS.finished(job.id, PARTITION_ID, page);
-        large.set(key, (large.get(key) ?? new BitSet()).with(t - page * PAGE_TASKS));
+        large.set(key, (large.get(key) ?? new BitSet()).with(taskIndex - page * PAGE_TASKS));
       }
       for (const [key, bits] of large) store(table, key, bits, ++version);
-      for (const t of after) {
+      for (const taskIndex of after) {
         const limits = { pageTasks: PAGE_TASKS, valueBytes: VALUE_BYTES };
-        const { key, first, bits } = finishedPageFor(job, PARTITION_ID, t, limits);
-        const written = store(table, key, bits.with(t - first), ++version);
+        const { key, first, bits } = finishedPageFor(job, PARTITION_ID, taskIndex, limits);
+        const written = store(table, key, bits.with(taskIndex - first), ++version);
         assert.ok(written <= VALUE_BYTES, `${key} takes ${written} characters`);
       }
       const finished = new Set([...before, ...after]);
       assert.equal(job.finishedCount, finished.size);
-      for (const t of finished) assert.ok(job.isFinished(t), `task ${t}`);
+      for (const taskIndex of finished) assert.ok(job.isFinished(taskIndex), `task ${taskIndex}`);
     }),
     { seed: 391, numRuns: 200 },
   );
@@ -59,8 +59,11 @@
 
 test('tasks that fit into the page of the format of before go there, so that the version before reads them', () => {
   const { job } = tableWith(90);
-  for (const t of [0, 41, 89]) {
-    const { key, first } = finishedPageFor(job, PARTITION_ID, t, { pageTasks: PAGE_TASKS, valueBytes: VALUE_BYTES });
+  for (const taskIndex of [0, 41, 89]) {
+    const { key, first } = finishedPageFor(job, PARTITION_ID, taskIndex, {
+      pageTasks: PAGE_TASKS,
+      valueBytes: VALUE_BYTES,
+    });
     assert.deepEqual({ key, first }, { key: KEYS.finished(job.id, PARTITION_ID, 0), first: 0 });
   }
 });
--- a/packages/core/test/ownership.test.ts
+++ b/packages/core/test/ownership.test.ts
@@ -23,11 +23,11 @@
   readonly data = new Map<string, { value: unknown; version: number; lease: number | null }>();
   revision = 0;
 
-  run(txn: Transaction, leaseValid: (lease: number) => boolean): number {
-    for (const c of txn.changes) if ('put' in c && c.lease !== undefined && !leaseValid(c.lease)) return 0;
-    if (txn.conditions.some((c) => (this.data.get(c.key)?.version ?? 0) !== c.version)) return 0;
+  run(transaction: Transaction, leaseValid: (lease: number) => boolean): number {
+    for (const c of transaction.changes) if ('put' in c && c.lease !== undefined && !leaseValid(c.lease)) return 0;
+    if (transaction.conditions.some((c) => (this.data.get(c.key)?.version ?? 0) !== c.version)) return 0;
     this.revision++;
-    for (const c of txn.changes) this.#apply(c);
+    for (const c of transaction.changes) this.#apply(c);
     return this.revision;
   }
 
@@ -62,7 +62,7 @@
   return new Ownership('0', clusterConfig, { node, process }, () => turn);
 }
 
-/** Decides on the store as it stands, which has to lead to a takeover. */
+/** Decides on the store as it stands, which has to lead to an acquisition. */
 function decideToTake(ownership: Ownership, clusterState: Store, lease: number, now: number, wallOff = 0): Acquisition {
   const decision = ownership.decide(clusterState.view('0'), lease, now, WALL + now + wallOff);
   assert.ok(decision.kind === 'acquire');
@@ -128,9 +128,9 @@
       const nodes = [0, 1, 2].map((n) => ({ ownership: make(n), n, oldView: clusterState.view('0') }));
       for (const { n } of nodes) leases.set(n, nextLease++);
       const valid = (lease: number): boolean => [...leases.values()].includes(lease);
-      const late: { txn: Transaction; lease: number }[] = [];
+      const late: { transaction: Transaction; lease: number }[] = [];
       const outcomes: (() => void)[] = [];
-      /** By controller: no tenure below this term may begin or go on there. */
+      /** By controller: no earlier term than this may begin or go on there. */
       const renounced = new Map<Ownership, number>();
       let highest = 0;
       const conclude = (ownership: Ownership, attempt: Acquisition | Resumption, version: number): void => {
@@ -139,11 +139,11 @@
         if (version === 0) ownership.failed(attempt);
         else if (attempt.kind === 'resume') ownership.resumed(attempt);
         else {
-          const taken = ownership.acquired(attempt, version, now, now, WALL + now);
-          if (taken !== null) {
-            assert.equal(taken.term, attempt.term);
-            assert.equal(taken.version, version);
-            confirmAcquisition(taken, clusterState);
+          const ownershipTerm = ownership.acquired(attempt, version, now, now, WALL + now);
+          if (ownershipTerm !== null) {
+            assert.equal(ownershipTerm.term, attempt.term);
+            assert.equal(ownershipTerm.version, version);
+            confirmAcquisition(ownershipTerm, clusterState);
           }
         }
         if (isPending) return;
@@ -151,32 +151,32 @@
         assert.equal(ownership.state, state, 'the outcome of an earlier attempt changed the state');
         assert.equal(ownership.ownershipTerm, ownershipTerm);
       };
-      for (const s of steps) {
-        now += s.after;
-        const node = nodes[s.node]!;
+      for (const step of steps) {
+        now += step.after;
+        const node = nodes[step.node]!;
         const { ownership } = node;
-        if (s.what === 'restart') {
+        if (step.what === 'restart') {
           // The lease of the dead process lives on for a while: its hold stays, and names this controller.
           node.ownership = make(node.n);
           leases.set(node.n, nextLease++);
           continue;
         }
-        if (s.what === 'lose lease') {
+        if (step.what === 'lose lease') {
           const lease = leases.get(node.n)!;
           leases.set(node.n, nextLease++);
           clusterState.dropLease(lease);
           continue;
         }
-        if (s.what === 'late') {
+        if (step.what === 'late') {
           const held = late.shift();
-          if (held !== undefined) clusterState.run(held.txn, valid);
+          if (held !== undefined) clusterState.run(held.transaction, valid);
           continue;
         }
-        if (s.what === 'outcome') {
+        if (step.what === 'outcome') {
           outcomes.shift()?.();
           continue;
         }
-        if (s.what === 'asked') {
+        if (step.what === 'asked') {
           const term = clusterState.view('0').owner?.record.term;
           if (term === undefined) continue;
           const before = ownership.ownershipTerm;
@@ -185,18 +185,18 @@
           assert.equal(ended, ownership.ownershipTerm === before ? null : before);
           continue;
         }
-        if (s.what === 'release') {
+        if (step.what === 'release') {
           const attempt = ownership.release(clusterState.view('0'));
           if (attempt === null) continue;
           assert.equal(ownership.ownershipTerm, null);
           assert.ok(!attempt.ownershipTerm.isCurrent);
           // Sent twice, or so late that it comes after all else.
-          late.push({ txn: attempt.transaction, lease: leases.get(node.n)! });
-          if (s.after % 2 === 0) clusterState.run(attempt.transaction, valid);
+          late.push({ transaction: attempt.transaction, lease: leases.get(node.n)! });
+          if (step.after % 2 === 0) clusterState.run(attempt.transaction, valid);
           ownership.released(attempt);
           continue;
         }
-        const view = s.what === 'stale' ? node.oldView : clusterState.view('0');
+        const view = step.what === 'stale' ? node.oldView : clusterState.view('0');
         node.oldView = clusterState.view('0');
         const before = ownership.ownershipTerm;
         const decision = ownership.decide(view, leases.get(node.n)!, now, WALL + now);
@@ -205,9 +205,9 @@
           assert.equal(ownership.ownershipTerm.version, view.owner?.version, 'the view shows another');
         if (decision.kind === 'acquire' || decision.kind === 'resume') {
           // A copy of the request may come once more, later.
-          late.push({ txn: decision.transaction, lease: leases.get(node.n)! });
+          late.push({ transaction: decision.transaction, lease: leases.get(node.n)! });
           const version = clusterState.run(decision.transaction, valid);
-          if (s.slow) outcomes.push(() => conclude(ownership, decision, version));
+          if (step.slow) outcomes.push(() => conclude(ownership, decision, version));
           else conclude(ownership, decision, version);
         }
         const owner = clusterState.view('0').owner;
@@ -242,12 +242,12 @@
   clusterState.dropLease(1);
   const other = take(ownershipOf('b', '3'), clusterState, 1, 2000);
   assert.ok(other.fencedUntil >= 2000 + clusterConfig.cancellationBoundMs);
-  // Its restart does not shorten the wait that began with the takeover between controllers.
+  // Its restart does not shorten the wait that began with the failover between controllers.
   const otherAgain = take(ownershipOf('b', '4'), clusterState, 1, 3000);
   assert.ok(otherAgain.fencedUntil >= 2000 + clusterConfig.cancellationBoundMs);
 });
 
-test('a resource that was given back is fenced for a worker lease, but not for less than the takeover that preceded it', () => {
+test('a resource that was released is fenced for a worker lease, but not for less than the failover that preceded it', () => {
   const clusterState = new Store();
   const giveBack = (ownership: Ownership): void => {
     const attempt = ownership.release(clusterState.view('0'))!;
@@ -284,19 +284,22 @@
         const clusterState = new Store();
         take(ownershipOf('a', 'a0'), clusterState, 1, 0);
         clusterState.dropLease(1);
-        // The takeover may have been carried out, and the owner before may have read, until its answer came.
+        // The acquisition may have been carried out, and the owner before may have read, until its answer came.
         let second = take(ownershipOf('b', 'b1'), clusterState, 3, at, at + takeMs);
         const backAt = at + takeMs + 1000;
         if (restarted) second = take(ownershipOf('b', 'b2'), clusterState, 3, backAt, backAt, skew);
         const gone = at + takeMs + maxAnswerContactAgeMs(clusterConfig) + clusterConfig.workerLeaseMs;
-        assert.ok(gone <= second.fencedUntil, `may run until ${gone}, cleared at ${second.fencedUntil}`);
+        assert.ok(gone <= second.fencedUntil, `may run until ${gone}, fenced until ${second.fencedUntil}`);
       },
     ),
     { seed: 391, numRuns: 1000 },
   );
 });
 
-/** Whether an owner restarted by its clock takes the one before for gone only when it is; clocks are off by what is given. */
+/**
+ * Whether an owner restarted by its clock takes the one before for gone only when it is; clocks are off by what is
+ * given.
+ */
 function waitsLongEnough(told: number, at: number, takeMs: number, offs: readonly [number, number]): boolean {
   const ownership = (process: string): Ownership =>
     new Ownership('0', { ...clusterConfig, maxClockSkewMs: told }, { node: 'b', process }, () => 0);
@@ -331,8 +334,8 @@
   assert.ok(mutant.failed);
 });
 
-// After a crash in the middle of a cut the wait for a cancellation began anew, though the controller that had crashed was back
-// and could say that it owned nothing.
+// After a crash in the middle of a cut the wait for a cancellation began anew, though the controller that had crashed
+// was back and could say that it owned nothing.
 test('an owner before that has given the resource up leaves a worker lease, and the one before it its own time', () => {
   const ttl = stateLeaseMs(clusterConfig);
   const span = fc.integer({ min: 0, max: 30_000 });
@@ -361,9 +364,9 @@
   );
 });
 
-// A takeover that was carried out long after it had been decided on, as after an outage, left a time that was too early; if its
-// process then ended before it had taken the resource once more, the next one counted from that time.
-test('a takeover under way for long leaves no time that a later owner counts from, whoever that is', () => {
+// An acquisition that was carried out long after it had been decided on, as after an outage, left a time that was too
+// early; if its process then ended before it had acquired the resource once more, the next one counted from that time.
+test('an acquisition under way for long leaves no time that a later owner counts from, whoever that is', () => {
   const decided = 1000;
   const carriedOut = decided + 60_000;
   for (const [node, process] of [
@@ -381,15 +384,15 @@
     clusterState.dropLease(1);
     const now = carriedOut + 500;
     const after = take(ownershipOf(node, process), clusterState, 1, now);
-    // The first owner may have read for the last time just before the resource was taken from it.
+    // The first owner may have read for the last time just before another acquired the resource.
     const gone = carriedOut + maxAnswerContactAgeMs(clusterConfig) + clusterConfig.workerLeaseMs;
-    assert.ok(after.fencedUntil >= gone, `${node}: may run until ${gone}, cleared at ${after.fencedUntil}`);
+    assert.ok(after.fencedUntil >= gone, `${node}: may run until ${gone}, fenced until ${after.fencedUntil}`);
     after.previousOwnerEnded('b', now + 100, WALL + now + 100);
-    assert.ok(after.fencedUntil >= gone, `${node}, asked: may run until ${gone}, cleared at ${after.fencedUntil}`);
+    assert.ok(after.fencedUntil >= gone, `${node}, asked: may run until ${gone}, fenced until ${after.fencedUntil}`);
   }
 });
 
-test('a takeover that was carried out in time stands, however long the reading after it takes', () => {
+test('an acquisition that was carried out in time stands, however long the reading after it takes', () => {
   const clusterState = new Store();
   const takeAndRead = (node: string, now: number): OwnershipTerm => {
     const ownership = ownershipOf(node);
@@ -406,8 +409,8 @@
   assert.ok(second.fencedUntil >= 1000 + 100 + maxAnswerContactAgeMs(clusterConfig) + clusterConfig.workerLeaseMs);
 });
 
-// While the answer to its resumption was out, an owner did not look at the owner record: it answered workers as long as it could
-// read, though each read showed the next owner.
+// While the answer to its resumption was out, an owner did not look at the owner record: it answered workers as long as
+// it could read, though each read showed the next owner.
 test('an owner that is putting its hold back ends as soon as a view shows another owner', () => {
   const clusterState = new Store();
   const first = ownershipOf('a');
@@ -422,9 +425,9 @@
   assert.equal(first.ownershipTerm, null);
 });
 
-// The outcome of a resumption was taken for that of whatever was under way when it came: a takeover begun since was given up
-// though it had been carried out, or stood under a term that its record did not have.
-test('the outcome of a resumption that comes during a later takeover leaves that takeover alone', () => {
+// The outcome of a resumption was taken for that of whatever was under way when it came: an acquisition begun since was
+// given up though it had been carried out, or stood under a term that its record did not have.
+test('the outcome of a resumption that comes during a later acquisition leaves that acquisition alone', () => {
   const clusterState = new Store();
   const first = ownershipOf('a');
   take(first, clusterState, 1, 0);
@@ -435,18 +438,19 @@
   assert.equal(first.renounceBefore(between.term), resumption.ownershipTerm);
   clusterState.dropLease(3);
   const now = 1000 + acquisitionBoundMs(clusterConfig);
-  const takeover = decideToTake(first, clusterState, 2, now);
+  const acquisition = decideToTake(first, clusterState, 2, now);
   assert.equal(first.failed(resumption), false);
   assert.equal(first.resumed(resumption), false);
   assert.equal(first.state, 'acquiring');
-  const version = clusterState.run(takeover.transaction, () => true);
-  const ownershipTerm = first.acquired(takeover, version, now, now, WALL + now);
+  const version = clusterState.run(acquisition.transaction, () => true);
+  const ownershipTerm = first.acquired(acquisition, version, now, now, WALL + now);
   assert.equal(ownershipTerm?.term, clusterState.view('0').owner?.record.term);
   assert.ok(!resumption.ownershipTerm.isCurrent);
 });
 
-// Asked while its takeover waited for a read, a controller said that it did not own the partition, and then opened it.
-test('a takeover under way is given up for a later owner that asks, and never opened', () => {
+// Asked while its acquisition waited for a read, a controller said that it did not own the partition, and then opened
+// it.
+test('an acquisition under way is given up for a later owner that asks, and never opened', () => {
   const clusterState = new Store();
   const first = ownershipOf('a');
   const attempt = decideToTake(first, clusterState, 1, 0);
