--- a/packages/clients/src/key-value-store.ts
+++ b/packages/clients/src/key-value-store.ts
@@ -1,4 +1,5 @@
-// Client of the consensus-backed key-value store: reads, compare-and-swap transactions and leases, within the rate limits.
+// Client of the consensus-backed key-value store: reads, compare-and-swap transactions and leases, within the rate
+// limits.
 import {
   type Change,
   type Condition,
@@ -74,16 +75,19 @@
 }
 
 /**
- * Sends each request once and repeats nothing. Reads and lease requests reject with `OverloadedError` if the rate limiter does
- * not admit them in time, with `NoResponseError` if no complete answer came, with `StoreRejectedError`, and with
- * `MalformedMessageError` if the answer can't be decoded.
+ * Sends each request once and repeats nothing. Reads and lease requests reject with `OverloadedError` if the rate
+ * limiter does not admit them in time, with `NoResponseError` if no complete answer came, with `StoreRejectedError`,
+ * and with `MalformedMessageError` if the answer can't be decoded.
  */
 export class KeyValueStore {
   /** The highest revision that any answer has named. */
   highestRevision = 0;
   /** Transactions that are under way. */
   pendingTransactions = 0;
-  /** When a transaction last ended with an unknown outcome, by the steady clock: it may be carried out yet. Null: none did. */
+  /**
+   * When a transaction last ended with an unknown outcome, by the steady clock: it may be carried out yet. Null: none
+   * did.
+   */
   outcomeUnknownSince: number | null = null;
 
   constructor(readonly options: KeyValueStoreOptions) {}
@@ -107,8 +111,8 @@
   }
 
   /**
-   * Reads the changes after a revision. Null: that is too long ago, or the changes are too many for one answer, and all has to
-   * be listed again.
+   * Reads the changes after a revision. Null: that is too long ago, or the changes are too many for one answer, and all
+   * has to be listed again.
    */
   async follow(prefix: string, after: number): Promise<StoreChanges | null> {
     const answer = await this.#changesAfter(prefix, after);
@@ -130,8 +134,9 @@
   }
 
   /**
-   * Makes all of the changes if all of the conditions hold, else none. Never rejects: the result says what is known of the
-   * outcome. `patienceMs`: how long to wait for the rate limiter; by default long enough for a transaction of this size.
+   * Makes all of the changes if all of the conditions hold, else none. Never rejects: the result says what is known of
+   * the outcome. `patienceMs`: how long to wait for the rate limiter; by default long enough for a transaction of this
+   * size.
    */
   async compareAndSwap(
     urgency: Urgency,
--- a/packages/clients/src/watch-cache.ts
+++ b/packages/clients/src/watch-cache.ts
@@ -3,7 +3,9 @@
 import type { Clock } from './ports';
 import type { KeyValueStore } from './key-value-store';
 
-/** Hears of each change of the copy. `value`: undefined if the key was removed; `version`: the revision of the change. */
+/**
+ * Hears of each change of the copy. `value`: undefined if the key was removed; `version`: the revision of the change.
+ */
 export type OnChange = (key: string, value: unknown, version: number) => void;
 
 /** What a watch cache works with. */
@@ -75,7 +77,9 @@
     this.#cancelTimer?.();
   }
 
-  /** Resolves after a read that began after this call; rejects if that read fails, or one under way at the call does. */
+  /**
+   * Resolves after a read that began after this call; rejects if that read fails, or one under way at the call does.
+   */
   linearizableRead(): Promise<void> {
     return new Promise((resolve, reject) => {
       this.#waiters.push({ resolve, reject });
@@ -91,8 +95,8 @@
   }
 
   /**
-   * Applies changes that this controller has made itself at the revision, ahead of reading them. If the copy is past that
-   * revision already, they are left alone: a key that was removed since would come back for ever.
+   * Applies changes that this controller has made itself at the revision, ahead of reading them. If the copy is past
+   * that revision already, they are left alone: a key that was removed since would come back for ever.
    */
   applyOwn(changes: readonly Change[], revision: number): void {
     if (revision <= this.revision) return;
--- a/packages/clients/test/key-value-store.test.ts
+++ b/packages/clients/test/key-value-store.test.ts
@@ -127,22 +127,22 @@
   return { watchCache, seen, keyValueStore };
 }
 
-test('a barrier waits for a read that began after it: what was written before shows', async () => {
+test('a linearizable read began after the call: what was written before shows', async () => {
   const sim = new Sim(3);
   const service = new SimStateService(sim);
   const { watchCache, seen, keyValueStore } = watchCacheOf(sim, service);
   watchCache.start();
   await sim.run(1000);
-  let shown: unknown = 'not yet';
-  // Another controller writes while a read of ours is under way; the poll comes right after.
+  let valueRead: unknown = 'not yet';
+  // Another controller writes while a read of this one is under way; the linearizable read comes right after.
   sim.after(0, () => {
     void keyValueStore.compareAndSwap(URGENCY.accept, [], [{ put: 'g/x', value: { a: 1 } }]).then(async () => {
       await watchCache.linearizableRead();
-      shown = seen.get('g/x');
+      valueRead = seen.get('g/x');
     });
   });
   await sim.run(1200);
-  assert.deepEqual(shown, { a: 1 });
+  assert.deepEqual(valueRead, { a: 1 });
   // Too old to follow: all is read again, and what was removed meanwhile goes.
   void keyValueStore.compareAndSwap(URGENCY.accept, [], [{ remove: 'g/x' }, { put: 'g/y', value: 2 }]);
   sim.after(20, () => service.forgetEvents());
@@ -151,7 +151,7 @@
   watchCache.stop();
 });
 
-test('reads follow the time, not the number of polls and hints that wait for them', async () => {
+test('the number of reads depends on the time, not on how many callers and hints wait for them', async () => {
   const reads = async (polls: number): Promise<number> => {
     const sim = new Sim(5);
     const service = new SimStateService(sim);
@@ -176,13 +176,13 @@
   assert.ok((await reads(5000)) <= few * 1.1);
 });
 
-test('our own removal is not undone by a read that was under way', async () => {
+test('an own removal is not undone by a read that was under way', async () => {
   const sim = new Sim(4);
   const service = new SimStateService(sim);
   const { watchCache, seen, keyValueStore } = watchCacheOf(sim, service);
-  void keyValueStore.compareAndSwap(URGENCY.accept, [], [{ put: 'g/r', value: 1 }]).then((r) => {
-    assert.equal(r.kind, 'done');
-    // The read that will bring the key begins now; ours removes it and hears so first.
+  void keyValueStore.compareAndSwap(URGENCY.accept, [], [{ put: 'g/r', value: 1 }]).then((result) => {
+    assert.equal(result.kind, 'done');
+    // The read that will bring the key begins now; the own removal is known first.
     watchCache.applyOwn([{ remove: 'g/r' }], 5);
   });
   await sim.run(100);
@@ -192,7 +192,7 @@
   watchCache.stop();
 });
 
-// Events came in the order of the service's choice: a removal that stood before the change it followed was undone by it.
+// The store may give events in any order: a removal that stands before the change it followed must not be undone by it.
 test('changes that come in any order leave what the last of each key says', async () => {
   const sim = new Sim(6);
   const service = new SimStateService(sim);
@@ -219,8 +219,9 @@
   watchCache.stop();
 });
 
-// The answer to a change of ours came after a read had shown that its key was gone again: the key came back for ever.
-test('a change of our own that was read already and undone since is not taken once more', async () => {
+// The answer to an own change may come after a read has shown that its key is gone again: the key must not come back
+// for ever.
+test('an own change that was read already and undone since is not applied once more', async () => {
   const sim = new Sim(7);
   const service = new SimStateService(sim);
   const { watchCache, seen, keyValueStore } = watchCacheOf(sim, service);
--- a/packages/daemon/src/api/job-api.ts
+++ b/packages/daemon/src/api/job-api.ts
@@ -28,9 +28,10 @@
 const RETRY_S = 1;
 
 /**
- * Any controller answers for any job. A reply other than 5xx and 429 shows no older state than any reply that any controller has
- * given before the request: it rests on a linearizable read, or on a state that can't change any more. A request may be repeated
- * at will; a submission is identified by its job's id.
+ * Any controller answers for any job. A reply other than 5xx and 429 shows no older state than any reply that any
+ * controller has given before the request: it rests on a linearizable read, on a commit of its own, or on a state that
+ * can't change any more. Only the number of running tasks may lag, by `DISPLAY_LAG_MS`. A request may be repeated at
+ * will; a submission is identified by its job's id.
  */
 export class JobApi {
   constructor(
@@ -53,8 +54,8 @@
   }
 
   /**
-   * Replies 201 once the job is stored, 200 if it was before, 400 if the body can't be decoded, 422 if the job can never run,
-   * 429 if there are too many requests, or 503 if the outcome is not known or the store can't be reached.
+   * Replies 201 once the job is stored, 200 if it was before, 400 if the body can't be decoded, 422 if the job can
+   * never run, 429 if there are too many requests, or 503 if the outcome is not known or the store can't be reached.
    */
   async submit(body: Buffer): Promise<Reply> {
     let spec: JobSpec;
@@ -128,8 +129,8 @@
   }
 
   /**
-   * Replies 200 once the cancellation is stored, or the job was over before; 404 if it was never accepted; 503 if the outcome is
-   * not known or the store can't be reached.
+   * Replies 200 once the cancellation is stored, or the job was over before; 404 if it was never accepted; 503 if the
+   * outcome is not known or the store can't be reached.
    */
   async cancel(id: string): Promise<Reply> {
     if (!isJobId(id)) return refusal(404, 'no such job');
@@ -189,7 +190,10 @@
   }
 }
 
-/** The reply to a submission that is to be refused. A job that was accepted before, perhaps elsewhere, is never refused now. */
+/**
+ * The reply to a submission that is to be refused. A job that was accepted before, perhaps elsewhere, is never refused
+ * now.
+ */
 function refusedUnlessKnown(polled: Reply, reason: string): Reply {
   return polled.status === 404 ? refusal(422, reason) : polled;
 }
--- a/packages/daemon/src/api/job-records.ts
+++ b/packages/daemon/src/api/job-records.ts
@@ -1,4 +1,5 @@
-// The stored records that requests of users write, and what users are shown of a job. Pure functions of the cluster state.
+// The stored records that requests of users write, and what users are shown of a job. Pure functions of the cluster
+// state.
 import { coverPerPartition, type Job, type JobTable } from '@gingerlock/core';
 import { type JobRecord, jobRecord, type JobSpec, type JobState } from '@gingerlock/wire';
 
@@ -12,8 +13,8 @@
 }
 
 /**
- * The record of a job that is accepted now. Dependencies that are done need not be kept: they remain so. With a cancelled one
- * the job is cancelled at once. `acceptedAt`: time of day in milliseconds.
+ * The record of a job that is accepted now. Dependencies that are done need not be kept: they remain so. With a
+ * cancelled one the job is cancelled at once. `acceptedAt`: time of day in milliseconds.
  */
 export function newJobRecord(spec: JobSpec, { finals }: JobTable, acceptedAt: number): JobRecord {
   if (spec.awaits.some((id) => finals.get(id) === 'cancelled')) return { final: 'cancelled' };
@@ -29,8 +30,8 @@
 }
 
 /**
- * The stored value of a live job once it is cancelled. `isTooLarge`: the store rejected the record as it is, since it was stored
- * under a larger limit on values; its ranges are merged then.
+ * The stored value of a live job once it is cancelled. `isTooLarge`: the store rejected the record as it is, since it
+ * was stored under a larger limit on values; its ranges are merged then.
  */
 export function cancelledJobValue(job: Job, isTooLarge: boolean): unknown {
   const { spec, acceptedAt, isCrashLooping } = job;
--- a/packages/daemon/src/api/rendezvous.ts
+++ b/packages/daemon/src/api/rendezvous.ts
@@ -1,4 +1,5 @@
-// Answers the members of replica groups: who belongs to the group, and for how long a member may serve without asking again.
+// Answers the members of replica groups: who belongs to the group, and for how long a member may serve without asking
+// again.
 import { type ReplicaGroupSettings, serveLeaseMs } from '@gingerlock/replica-groups';
 import {
   decodeRendezvousQuestion,
@@ -22,12 +23,12 @@
   ) {}
 
   /**
-   * Replies 200 with the group and a serve lease, 409 if the asking attempt does not belong to the serving generation, 400 if the
-   * body can't be decoded, or 503.
+   * Replies 200 with the group and a serve lease, 409 if the asking attempt does not belong to the serving generation,
+   * 400 if the body can't be decoded, or 503.
    *
-   * Any controller answers, whoever owns the member's partition. A lease is granted only after a read that began after the
-   * question came: what it shows held after the question was sent, from which the member counts its lease. So all leases of a
-   * generation have expired one lease after its end was stored.
+   * Any controller answers, whoever owns the member's partition. A lease is granted only after a read that began after
+   * the question came: what it shows held after the question was sent, from which the member counts its lease. So all
+   * leases of a generation have expired one lease after its end was stored.
    */
   async ask(body: Buffer): Promise<Reply> {
     let question: RendezvousQuestion;
--- a/packages/daemon/src/api/server.ts
+++ b/packages/daemon/src/api/server.ts
@@ -8,12 +8,14 @@
 /** Share of the sockets for users and workers: some stay free for the store, the cloud and the peers. */
 const SOCKETS_SHARE = 0.85;
 
-/** Above this share of the connections that it accepts, the server keeps none of workers open between two heartbeats. */
+/**
+ * Above this share of the connections that it accepts, the server keeps none of workers open between two heartbeats.
+ */
 const CROWDED_SHARE = 0.75;
 
 /**
- * Creates the server, which does not listen yet. `sockets`: how many the process may have open. Requests that are no valid HTTP
- * or too large get 400 without a body; an exception in the controller is logged and gets 503.
+ * Creates the server, which does not listen yet. `sockets`: how many the process may have open. Requests that are no
+ * valid HTTP or too large get 400 without a body; an exception in the controller is logged and gets 503.
  */
 export function openServer(controller: Controller, log: Log, sockets: number): FastifyInstance {
   const app = fastify({ logger: false, bodyLimit: MAX_BODY_BYTES, exposeHeadRoutes: false, trustProxy: false });
@@ -32,7 +34,9 @@
   return app;
 }
 
-/** Limits the connections of the server. Returns whether so many are open now that none is to be kept open when idle. */
+/**
+ * Limits the connections of the server. Returns whether so many are open now that none is to be kept open when idle.
+ */
 function limitConnections(app: FastifyInstance, maxConnections: number): () => boolean {
   let connections = 0;
   app.server.maxConnections = maxConnections;
@@ -47,7 +51,8 @@
   app.get('/up', (_request, reply) => send(reply, controller.up()));
   app.post('/checkin', async (request, reply) => {
     const answer = await controller.checkin(bodyOf(request.body));
-    // With more workers than sockets each keeps its connection for one heartbeat only: else the last ones never get one.
+    // With more workers than sockets each keeps its connection for one heartbeat only: else the last ones never get
+    // one.
     if (isCrowded()) void reply.header('connection', 'close');
     return send(reply, answer);
   });
--- a/packages/daemon/src/controller/controller.ts
+++ b/packages/daemon/src/controller/controller.ts
@@ -81,7 +81,9 @@
     });
   }
 
-  /** A tick that comes late by more than a heartbeat interval shows that this process did not run while its clocks did. */
+  /**
+   * A tick that comes late by more than a heartbeat interval shows that this process did not run while its clocks did.
+   */
   #noticeStall(now: number): void {
     const stalledMs = now - this.#tickedAt;
     this.#tickedAt = now;
--- a/packages/daemon/src/controller/health.ts
+++ b/packages/daemon/src/controller/health.ts
@@ -22,7 +22,8 @@
 
   /**
    * 200: users may be sent here. 503: the cluster state is not loaded yet, or this controller has lost contact with the
-   * store while a peer has it. During an outage for all controllers every one stays up: users get the errors either way.
+   * store while a peer has it. During an outage for all controllers every one stays up: users get the errors either
+   * way.
    */
   up(): Reply {
     const now = this.#clock.now();
--- a/packages/daemon/src/controller/owned-resources.ts
+++ b/packages/daemon/src/controller/owned-resources.ts
@@ -1,11 +1,12 @@
-// What this controller owns now: the owners of its partitions by partition, and the leader if the leadership is held here.
+// What this controller owns now: the owners of its partitions by partition, and the leader if the leadership is held
+// here.
 import type { Leader } from '../leader/leader';
 import type { PartitionOwner } from '../owner/partition-owner';
 import type { ClusterStateListener } from '../state/cluster-state';
 
 /**
- * Registry of the partitions owned here and of the leadership. `OwnershipHandover` fills it; changes of the cluster state
- * are passed on from here to the owners and the leader that they concern.
+ * Registry of the partitions owned here and of the leadership. `OwnershipHandover` fills it; changes of the cluster
+ * state are passed on from here to the owners and the leader that they concern.
  */
 export class OwnedResources implements ClusterStateListener {
   readonly #ownersById = new Map<number, PartitionOwner>();
@@ -50,7 +51,9 @@
     this.#ownersById.get(partitionId)?.claimTable.setMember(machine, isMember);
   }
 
-  /** Tells the owners and the leader that timers fired late: for a while this process did not run though its clocks did. */
+  /**
+   * Tells the owners and the leader that timers fired late: for a while this process did not run though its clocks did.
+   */
   resumedAfterStall(now: number): void {
     for (const { claimTable } of this.#ownersById.values()) claimTable.resumedAfterStall(now);
     this.leader?.resumedAfterStall(now);
--- a/packages/daemon/src/controller/partition-router.ts
+++ b/packages/daemon/src/controller/partition-router.ts
@@ -1,4 +1,5 @@
-// Where the partitions and their owners are, for heartbeats that come to a controller which does not own the worker's partition.
+// Where the partitions and their owners are, for heartbeats that come to a controller which does not own the worker's
+// partition.
 import type { Heartbeat } from '@gingerlock/wire';
 import type { Reply } from '../api/reply';
 import type { WorkerConnectivity } from '../ownership/worker-connectivity';
@@ -30,8 +31,9 @@
   }
 
   /**
-   * Who owns the partition, as far as this controller knows; null: nobody now. What an owner says of itself may be newer than
-   * the watch cache: thus a controller without contact with the store still sends workers to the right owner.
+   * Who owns the partition, as far as this controller knows; null: nobody now. What an owner says of itself may be
+   * newer than the watch cache: thus a controller without contact with the store still sends workers to the right
+   * owner.
    */
   ownerOf(partitionId: number): string | null {
     const { context, statuses } = this.options;
--- a/packages/daemon/src/controller/peer-dispatcher.ts
+++ b/packages/daemon/src/controller/peer-dispatcher.ts
@@ -14,7 +14,10 @@
 /** One handler for every kind of message between controllers. */
 export type PeerMessageHandlers = { readonly [Kind in PeerMessage['kind']]: PeerMessageHandler<Kind> };
 
-/** Every message also counts as a sign of life of its sender. A handler that throws is logged and does not harm the link. */
+/**
+ * Every message also counts as a sign of life of its sender. A handler that throws is logged and does not harm the
+ * link.
+ */
 export class PeerDispatcher {
   constructor(
     readonly handlers: PeerMessageHandlers,
@@ -35,7 +38,8 @@
   }
 
   #handle<Kind extends PeerMessage['kind']>(kind: Kind, from: string, message: PeerMessage, now: number): void {
-    // `kind` is the message's own, so the fields are those of the kind; the compiler does not follow that through the table.
+    // `kind` is the message's own, so the fields are those of the kind; the compiler does not follow that through the
+    // table.
     this.handlers[kind](from, message as PeerMessage & PeerMessages[Kind], now);
   }
 }
--- a/packages/daemon/src/controller/store-contact.ts
+++ b/packages/daemon/src/controller/store-contact.ts
@@ -1,4 +1,5 @@
-// How recent this controller's knowledge of the key-value store is: the bounds on answers to workers and users rest on it.
+// How recent this controller's knowledge of the key-value store is: the bounds on answers to workers and users rest on
+// it.
 import type { WatchCache } from '@gingerlock/clients';
 import type { PeerConfirmation } from '../peers/peer-confirmation';
 
@@ -13,8 +14,8 @@
   ) {}
 
   /**
-   * Up to when no submission, cancellation or acquisition can have been stored that this controller has not seen: by its
-   * own reads, or during an outage of the store by the confirmation of all peers.
+   * Up to when no submission, cancellation or acquisition can have been stored that this controller has not seen: by
+   * its own reads, or during an outage of the store by the confirmation of all peers.
    */
   coveredUntil(): number {
     return Math.max(this.watchCache.lastContactAt ?? -Infinity, this.confirmation.confirmedAt);
--- a/packages/daemon/src/controller/store-lease-keeper.ts
+++ b/packages/daemon/src/controller/store-lease-keeper.ts
@@ -1,4 +1,5 @@
-// Keeps this controller's lease in the key-value store. Hold records are attached to it: when it expires, the store removes them.
+// Keeps this controller's lease in the key-value store. Hold records are attached to it: when it expires, the store
+// removes them.
 import { type Clock, type KeyValueStore, sleep } from '@gingerlock/clients';
 import { type ClusterConfig, MAX_CLOCK_DRIFT, stateLeaseMs, timerMarginMs } from '@gingerlock/core';
 import type { Log } from './log';
@@ -10,7 +11,10 @@
 export interface StoreLease {
   /** The store's id of the lease, valid or not; null: none was granted, or the last one has expired. */
   readonly id: number | null;
-  /** When the lease was granted, by the steady clock. Only reads after this show which holds ended with the lease before. */
+  /**
+   * When the lease was granted, by the steady clock. Only reads after this show which holds ended with the lease
+   * before.
+   */
   readonly grantedAt: number;
   /** Whether the lease surely has not expired yet. */
   isValid(): boolean;
--- a/packages/daemon/src/controller/worker-endpoint.ts
+++ b/packages/daemon/src/controller/worker-endpoint.ts
@@ -20,7 +20,9 @@
 export class WorkerEndpoint {
   constructor(readonly options: WorkerEndpointOptions) {}
 
-  /** `body`: an encoded heartbeat. Replies 400 if it can't be decoded, and 503 while the partitions are not known yet. */
+  /**
+   * `body`: an encoded heartbeat. Replies 400 if it can't be decoded, and 503 while the partitions are not known yet.
+   */
   async checkin(body: Buffer): Promise<Reply> {
     const { context, owned, heartbeats, relay, workerConnectivity } = this.options;
     let heartbeat: Heartbeat;
--- a/packages/daemon/src/ownership/acquisition-order.ts
+++ b/packages/daemon/src/ownership/acquisition-order.ts
@@ -46,7 +46,10 @@
     return this.#orderFor(partitionId)[0]!;
   }
 
-  /** Heartbeat intervals for which this controller leaves the partition to those that come before it, by their state now. */
+  /**
+   * Heartbeat intervals for which this controller leaves the partition to those that come before it, by their state
+   * now.
+   */
   partitionDelay(partitionId: number): number {
     const delay = this.#delayIn(this.#orderFor(partitionId));
     return delay + (this.#isLeftToOthers(partitionId) ? ACQUISITION_DELAY.cutOff : 0);
--- a/packages/daemon/src/ownership/deployment-record.ts
+++ b/packages/daemon/src/ownership/deployment-record.ts
@@ -1,4 +1,5 @@
-// Creates the record of the deployment's settings that never change: how many partitions there are, their zones, and the page size.
+// Creates the record of the deployment's settings that never change: how many partitions there are, their zones, and
+// the page size.
 import { URGENCY } from '@gingerlock/clients';
 import { FORMAT, KEYS, type Meta, metaRecord } from '@gingerlock/wire';
 import type { ControllerContext } from '../controller/controller-context';
@@ -29,8 +30,8 @@
 }
 
 /**
- * Writes the record unless there is one: only the first controller that ever starts succeeds. If the outcome stays unknown, a
- * later read shows the record or this is called again.
+ * Writes the record unless there is one: only the first controller that ever starts succeeds. If the outcome stays
+ * unknown, a later read shows the record or this is called again.
  */
 export async function createDeploymentRecord(context: ControllerContext, order: AcquisitionOrder): Promise<void> {
   const changes = [{ put: KEYS.meta, value: metaRecord.write(newDeployment(context, order)) }];
--- a/packages/daemon/src/ownership/ownership-manager.ts
+++ b/packages/daemon/src/ownership/ownership-manager.ts
@@ -162,9 +162,9 @@
   }
 
   /**
-   * Answers a later owner of the given term that asks whether the partition is still owned here, ending an earlier term: without
-   * contact with the store this controller may be the last to learn of the failover. The answer no holds for ever, for all
-   * earlier terms.
+   * Answers a later owner of the given term that asks whether the partition is still owned here, ending an earlier
+   * term: without contact with the store this controller may be the last to learn of the failover. The answer no holds
+   * for ever, for all earlier terms.
    */
   ownsAfterQuery(partitionId: number, term: number): boolean {
     const ownership = this.#ownershipsByResource.get(String(partitionId));
@@ -174,8 +174,8 @@
   }
 
   /**
-   * Gives up a partition that is held here. Its term is over when this returns, whatever becomes of the write that lets others
-   * acquire the partition at once. False: it can't be released now, and nothing has changed.
+   * Gives up a partition that is held here. Its term is over when this returns, whatever becomes of the write that lets
+   * others acquire the partition at once. False: it can't be released now, and nothing has changed.
    */
   release(ownershipTerm: OwnershipTerm, reason: ReleaseReason): boolean {
     const { clusterState } = this.context;
--- a/packages/daemon/src/ownership/partition-releases.ts
+++ b/packages/daemon/src/ownership/partition-releases.ts
@@ -40,8 +40,8 @@
   }
 
   /**
-   * Gives a partition whose workers have long been unable to reach this controller to one that they do reach. Relaying carries
-   * them meanwhile, but costs a heartbeat seconds whenever the direct way is tried again.
+   * Gives a partition whose workers have long been unable to reach this controller to one that they do reach. Relaying
+   * carries them meanwhile, but costs a heartbeat seconds whenever the direct way is tried again.
    */
   #releaseUnreachable(owners: OwnersById, now: number): void {
     if (!this.#hasStoreContact()) return;
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Gives up partitions whose terms run out of attempt numbers: whoever acquires them, mostly this controller, does so under a
-   * new term.
+   * Gives up partitions whose terms run out of attempt numbers: whoever acquires them, mostly this controller, does so
+   * under a new term.
    */
   #releaseExhausted(owners: OwnersById): void {
     const { context, ownership } = this.options;
@@ -69,9 +69,9 @@
   }
 
   /**
-   * Returns a partition to its home once that is healthy: else rolling restarts leave one controller with most of the fleet,
-   * and its failure costs the most. One at a time, and not while anything is wrong: the workers of the partition have to find
-   * their new owner.
+   * Returns a partition to its home once that is healthy: else rolling restarts leave one controller with most of the
+   * fleet, and its failure costs the most. One at a time, and not while anything is wrong: the workers of the partition
+   * have to find their new owner.
    */
   #returnToHome(owners: OwnersById, now: number): void {
     const { context, ownership, order, peers } = this.options;
--- a/packages/daemon/src/ownership/previous-owners.ts
+++ b/packages/daemon/src/ownership/previous-owners.ts
@@ -1,5 +1,5 @@
-// Asks the controllers from which partitions were acquired whether they have given them up. If so, none of their workers has been
-// answered by them since, and the fencing period ends sooner.
+// Asks the controllers from which partitions were acquired whether they have given them up. If so, none of their
+// workers has been answered by them since, and the fencing period ends sooner.
 import type { PeerMessages } from '@gingerlock/peer';
 import type { PartitionOwner } from '../owner/partition-owner';
 import type { PeerChannel } from '../peers/peer-channel';
@@ -16,7 +16,10 @@
   readonly sentAt: number;
 }
 
-/** Repeats its queries for as long as a partition's fencing period is not over and its previous owner has not answered no. */
+/**
+ * Repeats its queries for as long as a partition's fencing period is not over and its previous owner has not answered
+ * no.
+ */
 export class PreviousOwnerQueries {
   /** Queries that may still be answered, by request id. */
   readonly #openById = new Map<string, OwnerQuery>();
@@ -44,7 +47,10 @@
     }
   }
 
-  /** Takes an answer that came at `now` by the steady clock and `wallNow` by the time of day. Answers to old terms are ignored. */
+  /**
+   * Takes an answer that came at `now` by the steady clock and `wallNow` by the time of day. Answers to old terms are
+   * ignored.
+   */
   onAnswer(from: string, { id, owns }: PeerMessages['OwnershipAnswer'], now: number, wallNow: number): void {
     const query = this.#openById.get(id);
     const owner = query === undefined ? undefined : this.ownersById.get(query.partitionId);
--- a/packages/daemon/src/ownership/worker-connectivity.ts
+++ b/packages/daemon/src/ownership/worker-connectivity.ts
@@ -1,5 +1,6 @@
-// Whether workers can reach this controller. One that is cut off from them keeps its store lease and so its partitions, though every
-// heartbeat has to be relayed by another controller: if that lasts, the partitions should go to one that the workers reach.
+// Whether workers can reach this controller. One that is cut off from them keeps its store lease and so its partitions,
+// though every heartbeat has to be relayed by another controller: if that lasts, the partitions should go to one that
+// the workers reach.
 import type { ClusterConfig } from '@gingerlock/core';
 
 /** Heartbeats that are relayed for this many worker leases, with none that comes directly, show that the cut lasts. */
--- a/packages/daemon/src/serve.ts
+++ b/packages/daemon/src/serve.ts
@@ -22,7 +22,9 @@
 /** A peer that was silent for this many heartbeat intervals counts as not alive. */
 const PEER_SILENCE_INTERVALS = 2;
 
-/** Starts one controller, which runs until the process is killed. Resolves once it serves; rejects if it can't listen. */
+/**
+ * Starts one controller, which runs until the process is killed. Resolves once it serves; rejects if it can't listen.
+ */
 export async function serve(settings: Settings): Promise<void> {
   const log = openLog(settings.node);
   process.on('unhandledRejection', (error) => log.error({ error: String(error) }, 'unhandled rejection'));
--- a/packages/daemon/src/state/cluster-state.ts
+++ b/packages/daemon/src/state/cluster-state.ts
@@ -1,4 +1,5 @@
-// The typed view of the cluster state over the watch cache: jobs, owners, holds, memberships, reclaims and replica groups.
+// The typed view of the cluster state over the watch cache: jobs, owners, holds, memberships, reclaims and replica
+// groups.
 import { JobTable, Partitioner, type OwnershipView, type Versioned } from '@gingerlock/core';
 import {
   type GroupRecord,
@@ -51,8 +52,9 @@
 }
 
 /**
- * What this controller's watch cache holds, parsed. It is as recent as the cache: every change that the cache takes, read or
- * own, is applied before the cache goes on. Readers who need the newest state wait for `WatchCache.linearizableRead` first.
+ * What this controller's watch cache holds, parsed. It is as recent as the cache: every change that the cache takes,
+ * read or own, is applied before the cache goes on. Readers who need the newest state wait for
+ * `WatchCache.linearizableRead` first.
  */
 export class ClusterState {
   /** The settings of the deployment that never change; null: not read yet, or not created yet. */
--- a/packages/daemon/src/state/commit-with-retry.ts
+++ b/packages/daemon/src/state/commit-with-retry.ts
@@ -33,12 +33,14 @@
   }
 
   /**
-   * Carries out a transaction, repeating the very same one until its outcome is known. Its conditions must be such that they
-   * can hold only once: then a repetition of a transaction that was carried out conflicts instead of being done twice.
+   * Carries out a transaction, repeating the very same one until its outcome is known. Its conditions must be such that
+   * they can hold only once: then a repetition of a transaction that was carried out conflicts instead of being done
+   * twice.
    *
-   * Returns the revision at which it was done; 0: not by this attempt, or it was abandoned because `isStillWanted`, asked
-   * after each pause, said no. Unless abandoned, the watch cache is at or past the outcome then. A caller who gets 0 must
-   * decide anew from the cache: a transaction whose first answer was lost may have been carried out all the same.
+   * Returns the revision at which it was done; 0: not by this attempt, or it was abandoned because `isStillWanted`,
+   * asked after each pause, said no. Unless abandoned, the watch cache is at or past the outcome then. A caller who
+   * gets 0 must decide anew from the cache: a transaction whose first answer was lost may have been carried out all the
+   * same.
    */
   async commitWithRetry(
     urgency: Urgency,
@@ -59,8 +61,8 @@
           return result.revision;
         case 'conflict':
         case 'no lease':
-          // It may conflict with its own first attempt, whose answer was lost. Nothing may be decided anew before that is seen:
-          // a task returned without its partition's knowing could be started there and by the next partition.
+          // It may conflict with its own first attempt, whose answer was lost. Nothing may be decided anew before that
+          // is seen: a task returned without its partition's knowing could be started there and by the next partition.
           while (!(await this.#caughtUp())) {
             await sleep(clock, pauseMs);
             if (!isStillWanted()) return 0;
--- a/packages/daemon/src/state/transaction-size-limit.ts
+++ b/packages/daemon/src/state/transaction-size-limit.ts
@@ -21,8 +21,8 @@
 }
 
 /**
- * Counts the conditions and changes of one transaction that is being put together. Changes that each fit may not fit together:
- * a transaction beyond a limit would be rejected for good, however often it is tried.
+ * Counts the conditions and changes of one transaction that is being put together. Changes that each fit may not fit
+ * together: a transaction beyond a limit would be rejected for good, however often it is tried.
  */
 export class TransactionSizeLimit {
   #changes = 0;
--- a/packages/daemon/test/cluster-state.test.ts
+++ b/packages/daemon/test/cluster-state.test.ts
@@ -4,8 +4,8 @@
 import { ClusterState } from '../src/state/cluster-state';
 import { specOf } from '../../core/test/fixtures';
 
-// A list gives the keys in their order, the finished pages first: placed by a page size that was not known yet, the tasks of a
-// second page once counted as the first tasks of the job after a restart.
+// A list gives the keys in their order, the finished pages first. Placed by a page size that is not known yet, the
+// tasks of a later page would count as other tasks of the job after a restart.
 test('finished pages that are read before the page size is known finish the right tasks', () => {
   const clusterState = new ClusterState();
   const spec = specOf('j-1', { tasks: 200 });
