--- a/packages/borrowing/src/execution.ts
+++ b/packages/borrowing/src/execution.ts
@@ -36,7 +36,7 @@
 export type WithdrawReason =
   'its tasks are gone' | 'its machine takes no work' | 'its room was taken' | 'it took too long';
 
-/** Is told of all reclaims of a partition. */
+/** Receives the state changes of all reclaims of a partition. */
 export interface ReclaimListener {
   /** A reclaim has changed its state; `detail` belongs to the line of the log. */
   moved(reclaim: Reclaim, detail: Record<string, unknown>): void;
@@ -45,7 +45,7 @@
 /** One reclaim on a machine of a partition, under one owner. */
 export class Reclaim {
   #state: ReclaimState = 'decided';
-  #why: WithdrawReason | null = null;
+  #withdrawReason: WithdrawReason | null = null;
 
   /** @param id names the record within the partition */
   constructor(
@@ -59,8 +59,8 @@
   }
 
   /** Why it was withdrawn; null: it was not. */
-  get why(): WithdrawReason | null {
-    return this.#why;
+  get withdrawReason(): WithdrawReason | null {
+    return this.#withdrawReason;
   }
 
   /** Whether its state is final, so that its record can be removed. */
@@ -76,9 +76,9 @@
     this.listener.moved(this, detail);
   }
 
-  #withdraw(why: WithdrawReason): void {
-    this.#why = why;
-    this.#transitionTo('withdrawn', { why });
+  #withdraw(reason: WithdrawReason): void {
+    this.#withdrawReason = reason;
+    this.#transitionTo('withdrawn', { why: reason });
   }
 
   /**
--- a/packages/borrowing/test/execution.test.ts
+++ b/packages/borrowing/test/execution.test.ts
@@ -21,7 +21,7 @@
 };
 const TERM = 3;
 
-/** One machine full of a batch job's tasks, and a service of two replicas that is to get room there. */
+/** One machine full of a batch job's tasks, and a service of two replicas that is to run there instead. */
 class Scene {
   readonly jobs = new JobTable(() => 64);
   readonly table: ClaimTable;
@@ -102,12 +102,12 @@
   }
 
   recordOf(victims: number, over: Partial<ReclaimRecord> = {}): ReclaimRecord {
-    const taken = this.held().slice(0, victims);
+    const chosen = this.held().slice(0, victims);
     return {
       machine: 'm',
       job: 'j-000002',
       tasks: [0, 1],
-      victims: taken.map((task) => ({ task: task.name, attempt: task.claim!.attempt })),
+      victims: chosen.map((task) => ({ task: task.name, attempt: task.claim!.attempt })),
       decidedAt: 0,
       reason: 'priority',
       ...over,
@@ -120,11 +120,11 @@
   }
 }
 
-function moveOf({ state, why }: Reclaim): string {
-  return why === null ? state : `${state}: ${why}`;
+function moveOf({ state, withdrawReason }: Reclaim): string {
+  return withdrawReason === null ? state : `${state}: ${withdrawReason}`;
 }
 
-test('victims are stopped with the time that they need to save, and the freed room goes to no one else', () => {
+test('victims are stopped with the time that they need to save, and what they free goes to no one else', () => {
   const scene = new Scene(4);
   const record = scene.recordOf(2);
   const stopped = scene.step(record);
@@ -132,7 +132,7 @@
     stopped.map((task) => [task.name, task.claim!.stopGraceS]),
     record.victims.map(({ task }) => [task, 5]),
   );
-  // Work that is as urgent and came earlier waits for room, too.
+  // Work that is as urgent and came earlier waits for capacity, too.
   scene.store('j-000000', jobOf('j-000000', { kind: 'service', priority: 'production' }).spec, 4);
   scene.table.syncJob('j-000000', scene.now);
   assert.deepEqual(scene.step(record), []);
--- a/packages/borrowing/test/fixtures.ts
+++ b/packages/borrowing/test/fixtures.ts
@@ -19,7 +19,7 @@
   };
 }
 
-/** A job of which so many tasks are assigned to partition 0. */
+/** A job with the first `assigned` tasks assigned to partition 0. */
 export function jobOf(id: string, over: Partial<JobSpec> = {}, assigned = 0): Job {
   const job = new Job(id);
   job.spec = {
--- a/packages/borrowing/test/planner.test.ts
+++ b/packages/borrowing/test/planner.test.ts
@@ -138,7 +138,7 @@
   assert.deepEqual([...new Set(plan.refused.map(({ why }) => why))], ['no task may be stopped for it']);
 });
 
-test('nothing is stopped where renting is sooner, while too many are under way, or of partitions that are not known', () => {
+test('nothing is stopped where renting is sooner, while too many are in progress, or of partitions that are not known', () => {
   const batch = jobOf('j-000009', { team: 'blue', checkpointS: 10, saveS: 20 });
   const surge = jobOf('j-000006', { kind: 'service', priority: 'high', tasks: 1 });
   const full = [batch, batch, batch, batch].map((job) => ({ job }));
@@ -154,7 +154,7 @@
   assert.deepEqual(whyOf({ scaleOutMs: () => 40_000 }), ['j-000009/0']);
 });
 
-test('a machine with a reclaim under way, and victims of one, are left alone', () => {
+test('a machine with a reclaim in progress, and victims of one, are left alone', () => {
   const batch = jobOf('j-000009', { team: 'blue' });
   const surge = jobOf('j-000006', { kind: 'service', priority: 'high', tasks: 8 });
   const full = [batch, batch, batch, batch].map((job) => ({ job }));
@@ -229,7 +229,7 @@
   return use;
 }
 
-test('on any fleet: room suffices, nobody is stopped in vain or twice, and no team is left below its guarantee', () => {
+test('on any fleet: victims free enough, nobody is stopped in vain or twice, and no team is left below its guarantee', () => {
   let decided = 0;
   fc.assert(
     fc.property(anyFleet, (drawn) => {
--- a/packages/clients/test/http.test.ts
+++ b/packages/clients/test/http.test.ts
@@ -6,7 +6,7 @@
 import { GingerlockError } from '@gingerlock/wire';
 import { KeepAliveHosts, nodeHttp, NoResponseError, ResponseTooLargeError } from '../src/index';
 
-test('connections are kept to so many hosts only, however many are asked', async () => {
+test('connections are kept alive to a bounded number of hosts, however many are used', async () => {
   const server = createServer((_request, response) => response.end('x')).listen(0, '127.0.0.1');
   await once(server, 'listening');
   const { port } = server.address() as AddressInfo;
--- a/packages/daemon/src/settings/platform-settings.ts
+++ b/packages/daemon/src/settings/platform-settings.ts
@@ -75,7 +75,7 @@
   readonly cloudRps: number;
   /** How many sockets this controller may have open. */
   readonly sockets: number;
-  /** What all controllers are told alike of the cluster. */
+  /** What is the same for all controllers. */
   readonly clusterConfig: ClusterConfig;
 }
 
--- a/packages/daemon/test/features.test.ts
+++ b/packages/daemon/test/features.test.ts
@@ -61,7 +61,7 @@
   }
   for (const gpus of [-1, '4', null])
     assert.throws(() => settingsOf(withTeams([{ ...team, gpus }]), {}), /facts\.teams\.0\.gpus/);
-  // Amounts are decimal numbers, says the protocol.
+  // Amounts are decimal numbers (PROTOCOL).
   assert.doesNotThrow(() => settingsOf(withTeams([{ ...team, gpus: 2.5 }]), {}, { borrowing: { enabled: true } }));
 });
 
--- a/packages/peer/src/avro-types.ts
+++ b/packages/peer/src/avro-types.ts
@@ -25,13 +25,17 @@
   return { schema: () => name };
 }
 
+/** Text. */
 export const avroString = primitive<string>('string');
+/** True or false. */
 export const avroBoolean = primitive<boolean>('boolean');
+/** Binary data. */
 export const avroBytes = primitive<Buffer>('bytes');
 /** An integer of 32 bits. */
 export const avroInt = primitive<number>('int');
 /** An integer of up to 53 bits, as far as a number is exact. */
 export const avroLong = primitive<number>('long');
+/** A number of 64 bits. */
 export const avroDouble = primitive<number>('double');
 
 /** A list of values of one type. */
--- a/packages/peer/src/messages.ts
+++ b/packages/peer/src/messages.ts
@@ -112,6 +112,7 @@
   GroupReports: { ...FRAGMENT_HEAD, groups: avroArray(GroupReport) },
 };
 
+/** An amount of each resource; see `Resources` in core. */
 export type PeerResources = ValueOf<typeof Resources>;
 
 /** The status of one machine; see `MachineStatus` in core. */
--- a/packages/peer/test/link.test.ts
+++ b/packages/peer/test/link.test.ts
@@ -108,7 +108,7 @@
   );
 });
 
-test('what a controller that owns every part of 900 machines tells in one go fits a connection twice over', () => {
+test('what a controller that owns every partition of 900 machines sends in one go fits a connection twice over', () => {
   const machine = (messages.find((m) => m.kind === 'PartitionStatus') as PeerMessage & { kind: 'PartitionStatus' })
     .machines[0]!;
   let bytes = 0;
@@ -170,7 +170,7 @@
 });
 
 // The system keeps a connection to a host that says nothing any more for minutes while there is something to send: a controller that
-// came back was not heard for as long.
+// came back stayed unreachable for as long.
 test('a connection that brings nothing is closed and opened anew, however much is sent on it', async () => {
   const silenceMs = 80;
   const sockets: Socket[] = [];
--- a/packages/replica-groups/test/next-record.test.ts
+++ b/packages/replica-groups/test/next-record.test.ts
@@ -92,7 +92,7 @@
     serving.members.map(({ attempt }) => attempt),
     [100, 101, 102],
   );
-  // Nothing is told of a group that serves well.
+  // There is no report on a group that serves and is well.
   assert.equal(nextRecord(groupJob(), serving, contextOf(1e9)), null);
 });
 
@@ -110,7 +110,7 @@
     assert.equal(ending.state, 'ending');
     assert.equal(ending.reason, 'machine silent');
     assert.equal(ending.avoid, 'm-2');
-    // One that was given back, by whomever, is as lost.
+    // One that was returned, by whomever, is as lost.
     const job = groupJob();
     job.assignedRanges = job.assignedRanges.slice(0, 1);
     assert.equal(next(record, 5000, [], job).state, 'ending');
@@ -123,7 +123,7 @@
   assert.equal(next(admitted, 1101 + startMs).reason, 'members did not start in time');
 });
 
-test('the next generation waits until all members are given back and all leases have run out', () => {
+test('the next generation waits until all members are returned and all leases have run out', () => {
   const serving = next(next(reserved, 1100, reportsOf('held')), 4000, reportsOf('running'));
   const ending = next(serving, 5000, reportsOf('running', { 0: { phase: 'lost', reason: 'member ended' } }));
   assert.equal(ending.hasServed, true);
@@ -169,18 +169,18 @@
     attempt: fc.nat(),
     reason: fc.constantFrom(null, 'machine lost' as const, 'member ended' as const),
   });
-  const told = fc.array(
+  const reports = fc.array(
     fc.record({ generation: fc.integer({ min: 0, max: 2 }), members: fc.array(report, { maxLength: 4 }) }),
     {
       maxLength: 2,
     },
   );
-  const step = fc.record({ told, assigned: fc.boolean(), waitMs: fc.integer({ min: 0, max: 40_000 }) });
+  const step = fc.record({ reports, assigned: fc.boolean(), waitMs: fc.integer({ min: 0, max: 40_000 }) });
   fc.assert(
     fc.property(fc.array(step, { maxLength: 30 }), (steps) => {
       let record = null as GroupRecord | null;
       let wall = 1000;
-      for (const { told: reports, assigned, waitMs } of steps) {
+      for (const { reports, assigned, waitMs } of steps) {
         wall += waitMs;
         const context = contextOf(
           wall,
--- a/packages/replica-groups/test/placement.test.ts
+++ b/packages/replica-groups/test/placement.test.ts
@@ -40,22 +40,22 @@
     if (left === 0) return true;
     const candidate = machines[at];
     if (candidate === undefined) return false;
-    for (let taken = 0; taken <= Math.min(left, candidate.capacity); taken++) {
-      const count = (inZone.get(candidate.zone) ?? 0) + taken;
+    for (let placed = 0; placed <= Math.min(left, candidate.capacity); placed++) {
+      const count = (inZone.get(candidate.zone) ?? 0) + placed;
       const zones = new Map(inZone).set(candidate.zone, count);
       const used = [...zones].filter(([, members]) => members > 0).map(([zone]) => zone);
       const allowed =
         count <= most &&
         (!spec.oneZone || used.length <= 1) &&
         (spec.zone === null || used.every((z) => z === spec.zone));
-      if (allowed && tryFrom(at + 1, left - taken, zones)) return true;
+      if (allowed && tryFrom(at + 1, left - placed, zones)) return true;
     }
     return false;
   };
   return tryFrom(0, spec.tasks, new Map());
 }
 
-test('a whole placement is found just where there is one, and keeps to room, zones and their bounds', () => {
+test('a whole placement is found if and only if there is one, and keeps to capacity, zones and their bounds', () => {
   const avoid = fc.option(fc.constantFrom('m-0', 'm-3'));
   fc.assert(
     fc.property(candidates, place, fc.integer({ min: 1, max: 6 }), avoid, (machines, where, tasks, avoided) => {
@@ -72,13 +72,13 @@
       if (job.spec.spread) {
         for (const zone of ZONES) assert.ok(zones.filter((z) => z === zone).length <= Math.ceil(tasks / 2));
       }
-      if (choice.missing > 0) assert.ok(choice.zones.length > 0, 'room would be of use somewhere');
+      if (choice.missing > 0) assert.ok(choice.zones.length > 0, 'capacity would be of use somewhere');
     }),
     { seed: 391, numRuns: 2000 },
   );
 });
 
-test('the machine for which the last generation ended is taken only where nothing else is whole', () => {
+test('the machine for which the last generation ended is chosen only if there is no whole placement without it', () => {
   const machine = (name: string, capacity: number): GroupCandidate => ({ machine: name, zone: 'a', capacity, cost: 0 });
   const job = jobOf({ tasks: 2 });
   const chosen = (machines: readonly GroupCandidate[]): string[] =>
--- a/packages/wire/src/keys.ts
+++ b/packages/wire/src/keys.ts
@@ -27,7 +27,7 @@
 /** The resource whose owner is the leader; the resource of a partition is its number. */
 export const LEADERSHIP = 'lead';
 
-/** A key taken apart; `other`: it is none that this version knows. */
+/** The parts of a key; `other`: it is none that this version knows. */
 export type ParsedKey =
   | { readonly kind: 'meta' | 'term' | 'types' | 'other' }
   | { readonly kind: 'owner' | 'hold' | 'confirmedTerm'; readonly resource: string }
@@ -38,7 +38,7 @@
   | { readonly kind: 'reclaim'; readonly partitionId: number; readonly id: string }
   | { readonly kind: 'group'; readonly job: string };
 
-/** Takes a key apart. Never throws: keys of later versions are `other`. */
+/** Parses a key. Never throws: keys of later versions are `other`. */
 export function parseKey(key: string): ParsedKey {
   const words = key.split('/');
   switch (words[1]) {
--- a/packages/wire/src/records.ts
+++ b/packages/wire/src/records.ts
@@ -81,7 +81,7 @@
   },
 };
 
-/** Bound to a lease of the store: while it exists, the owner of the resource is taken to be alive. */
+/** Bound to a lease of the store: while it exists, the owner of the resource counts as alive. */
 export interface HoldRecord {
   readonly node: string;
   /** Differs between two processes of one controller. */
--- a/packages/wire/src/workers.ts
+++ b/packages/wire/src/workers.ts
@@ -5,7 +5,7 @@
 import { decodeMap, encode, integer, MalformedMessageError } from './codec';
 import { isJobId } from './users';
 
-/** The state of a task on its machine. fetching: it waits for its image; saving: it was told to stop and saves. */
+/** The state of a task on its machine. fetching: it waits for its image; saving: it is being stopped and saves. */
 export type TaskState = 'fetching' | 'running' | 'saving' | 'exited';
 /**
  * Why a task has ended or was not started; `unrecognised`: the worker gave no cause, or one that PROTOCOL does not
--- a/packages/wire/test/formats.test.ts
+++ b/packages/wire/test/formats.test.ts
@@ -75,7 +75,7 @@
   plain,
 );
 
-test('a submission survives its round trip, on the wire and in the state service', () => {
+test('a submission survives its round trip, on the wire and in the key-value store', () => {
   fc.assert(
     fc.property(spec, (s) => {
       assert.deepEqual(wire.decodeSubmission(wire.encodeSubmission(s)), s);
@@ -93,7 +93,7 @@
   );
 });
 
-test('reports and orders survive their round trips, also with counts beyond 32 bits', () => {
+test('heartbeats and commands survive their round trips, also with counts beyond 32 bits', () => {
   fc.assert(
     fc.property(report, (heartbeat) =>
       assert.deepEqual(wire.decodeHeartbeat(wire.encodeHeartbeat(heartbeat)), heartbeat),
