--- a/packages/testkit/test/borrowing-off.test.ts
+++ b/packages/testkit/test/borrowing-off.test.ts
@@ -44,7 +44,7 @@
   assert.deepEqual(absent.keys, ['g/f', 'g/hold', 'g/j', 'g/meta', 'g/own', 'g/r', 'g/term', 'g/timed', 'g/types']);
 });
 
-test('records of reclaims that are left from when it was on are left alone, readable or not', async () => {
+test('records of reclaims from when borrowing was on are left alone, readable or not', async () => {
   const errors: string[] = [];
   const log = {
     error: (detail: object, message: string) => errors.push(`${message} ${JSON.stringify(detail)}`),
--- a/packages/testkit/test/borrowing.test.ts
+++ b/packages/testkit/test/borrowing.test.ts
@@ -116,14 +116,14 @@
 }
 
 for (const what of ['hang', 'mute', 'notice', 'die'] as const) {
-  test(`machines on which tasks are to be stopped are in trouble: ${what}`, async () => {
+  test(`machines with victims of a reclaim fail: ${what}`, async () => {
     const fault: Fault = { kind: 'victims trouble', what, share: 0.5, forMs: 5000 };
     const world = await play(20, [{ at: SURGE_AT, fault: fault }]);
     assert.ok((world.happened.get(`victims ${what}`) ?? 0) > 0);
   });
 }
 
-test('jobs are cancelled while room is got for them', async () => {
+test('jobs are cancelled while GPUs are reclaimed for them', async () => {
   const cancelled: Fault = { kind: 'beneficiaries cancelled', share: 0.7, forMs: 30_000 };
   const world = await play(30, [{ at: SURGE_AT, fault: cancelled }], { jobs: { checkpointS: 5, saveS: 2 } });
   assert.ok((world.happened.get('reclaim') ?? 0) > 2);
--- a/packages/testkit/test/deployments.test.ts
+++ b/packages/testkit/test/deployments.test.ts
@@ -5,7 +5,7 @@
 import { machineTypesMap } from '@gingerlock/wire';
 import fc from 'fast-check';
 import { ONE_TYPE, runScenario, TWO_TYPES, World } from '../src/index';
-import { combination, deployment, size } from './day-generator';
+import { combination, deployment, size } from './support/scenario-generator';
 
 test('a fleet of two types that starts empty gets its work done', async () => {
   const world = new World({ seed: 5, machines: 0, capacity: 4, deployment: TWO_TYPES });
@@ -41,7 +41,7 @@
   );
 });
 
-test('a cut of any zone breaks no rule, of the one without a controller too, and its machines serve again', async () => {
+test('a cut of any zone, of the one without a controller too, violates no invariant, and its machines serve again', async () => {
   for (const [zone, name] of TWO_TYPES.zones.entries()) {
     const world = new World({ seed: 40 + zone, machines: 8, capacity: 4, deployment: TWO_TYPES });
     const faults = [{ at: 20_000, fault: { kind: 'zone cut' as const, zone, how: 'hold' as const, forMs: 40_000 } }];
@@ -58,7 +58,7 @@
   }
 });
 
-test('clocks that jump from one end of a second to the other break no rule while controllers change', async () => {
+test('clocks that jump from one end of a second to the other violate no invariant while controllers change', async () => {
   const faults = [
     { at: 5000, fault: { kind: 'clocks jump' as const, everyMs: 700, forMs: 90_000 } },
     { at: 10_000, fault: { kind: 'leaders end' as const, times: 4, everyMs: 4000, backMs: 500 } },
@@ -74,7 +74,7 @@
   }
 });
 
-test('of types that make no sense or are gone from the list nothing is rented, and their machines are served', async () => {
+test('nothing is rented of types that make no sense or are no longer listed, and their machines are served', async () => {
   const world = new World({ seed: 71, machines: 8, capacity: 4, deployment: TWO_TYPES });
   const from = 30_000;
   // Types are read again every ten list lags.
--- a/packages/testkit/test/growth.test.ts
+++ b/packages/testkit/test/growth.test.ts
@@ -25,7 +25,7 @@
 
 // Five controllers share a state service that does not grow, and each has the same fraction of a core: work is
 // counted, as time would say more of the machine that runs the test.
-test('requests, changes and what controllers tell each other grow no faster than the fleet and its jobs', async () => {
+test('requests, changes and messages between controllers grow no faster than the fleet and its jobs', async () => {
   const counts: Record<string, number>[] = [];
   for (const times of [1, 2, 4]) {
     const sums = { requests: 0, changes: 0, peerBytes: 0, peerMessages: 0 };
@@ -46,7 +46,7 @@
   }
 });
 
-test('what one controller that owns every part asks of the state service grows no faster than the fleet', async () => {
+test('what one controller that owns every partition asks of the state service grows no faster than the fleet', async () => {
   const counts: { requests: number; changes: number }[] = [];
   for (const times of [1, 4]) {
     const world = new World({
--- a/packages/testkit/test/invariants.test.ts
+++ b/packages/testkit/test/invariants.test.ts
@@ -2,9 +2,9 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { runScenario, World, type WorldOptions } from '../src/index';
-import { combination, size } from './day-generator';
+import { combination, size } from './support/scenario-generator';
 
-test('no rule is broken on a quiet day, and its work gets done', async () => {
+test('no invariant is violated on a quiet day, and its work gets done', async () => {
   const world = new World({ seed: 8 });
   await runScenario(world, { seed: 8, forMs: 120_000, faults: [] });
   assert.deepEqual(world.violations, []);
--- a/packages/testkit/test/large-fleet.test.ts
+++ b/packages/testkit/test/large-fleet.test.ts
@@ -19,7 +19,7 @@
   return world;
 }
 
-test('summaries are told in pieces while controllers start, take over and restart, also when copies of pieces come late', async () => {
+test('partition statuses are published in fragments while controllers start, fail over and restart, also with late copies', async () => {
   const faults: TimedFault[] = [
     { at: 0, fault: { kind: 'late peer copies', share: 0.3, withinMs: 3000, forMs: 60_000 } },
     { at: 15_000, fault: { kind: 'crash', nodes: [-1], backMs: 6000 } },
@@ -29,7 +29,7 @@
   assert.ok((world.happened.get('summary piece') ?? 0) > 100);
 });
 
-test('a leader goes on while every tenth piece of a summary is lost', async () => {
+test('a leader keeps working while every tenth fragment of a partition status is lost', async () => {
   let pieces = 0;
   const world = await play(52, [], {
     frameBytes: FRAME_BYTES,
@@ -39,7 +39,7 @@
   assert.ok(world.users.finished() > 0);
 });
 
-test('a partition whose term runs out of attempts is taken anew under another one, and no number is given out twice', async () => {
+test('a partition whose term runs out of attempt numbers is acquired under another one, and no number is assigned twice', async () => {
   const limits = { attemptsPerTerm: 16 };
   const faults: TimedFault[] = [{ at: 20_000, fault: { kind: 'crash', nodes: [-1], backMs: 3000 } }];
   const world = new World({ seed: 53, controllers: 5, machines: 20, capacity: 12, load: 4, limits });
@@ -58,7 +58,7 @@
   assert.ok(Math.max(...terms) > 15, `terms up to ${Math.max(...terms)}`);
 });
 
-test('all machines of the membership are called within a lease of a takeover, though many of them never answer', async () => {
+test('all machines of the membership are asked for a heartbeat within a lease of a failover, though many never answer', async () => {
   const world = new World({
     seed: 54,
     controllers: 1,
--- a/packages/testkit/test/one-owner.test.ts
+++ b/packages/testkit/test/one-owner.test.ts
@@ -122,14 +122,14 @@
   assert.deepEqual(world.violations, []);
 });
 
-test('nor does a job that is bound to one zone start in another while the former owner’s workers run it', async () => {
+test('a job that is bound to one zone does not start in another while the former owner’s workers run it', async () => {
   const world = await busyWorld({ seed: 7, jobs: { ...SERVICE, oneZone: true } });
   await resumeUnanswered(world);
   assert.deepEqual(world.violations, []);
 });
 
 // The same without anything put between: on the code before, these two of the first forty seeds broke `ran_twice`.
-test('no rule is broken on days on which an owner’s lease lapses, and it then loses the state service as well', async () => {
+test('no invariant is violated when an owner’s lease expires and it then loses the state service as well', async () => {
   for (const seed of [9, 31]) {
     const world = new World({
       seed,
--- a/packages/testkit/test/operations.test.ts
+++ b/packages/testkit/test/operations.test.ts
@@ -146,7 +146,7 @@
   assert.deepEqual([owners[0], owners[2]], ['node-1', 'node-1']);
 });
 
-test('times of day jump within what is allowed while partitions and the lead change hands', async () => {
+test('times of day jump within what is allowed while partitions and the leadership change hands', async () => {
   for (const seed of [81, 82]) {
     await play(seed, [
       { at: START, fault: { kind: 'clocks jump', everyMs: 700, forMs: 60_000 } },
--- a/packages/testkit/test/ownership-term.test.ts
+++ b/packages/testkit/test/ownership-term.test.ts
@@ -16,7 +16,7 @@
 
 // Term and version of a partition were read anew after each write: the former owner's table went on being written
 // from under the version of the next tenure, which knew nothing of it.
-test('a write of a former tenure that is answered late is not followed by others under the next tenure', async () => {
+test('a write of a former ownership term that is answered late is not followed by others under the next term', async () => {
   // More machines than fit into one transaction have to be written down.
   const world = new World({ seed: 9, controllers: 2, machines: 60 });
   const memberships = KEYS.membership(0, '');
--- a/packages/testkit/test/rendezvous.test.ts
+++ b/packages/testkit/test/rendezvous.test.ts
@@ -46,7 +46,7 @@
   return { world, job, attempts: record.members.map(({ attempt }) => attempt!) };
 }
 
-test('every controller tells each member of a group that serves the same of it', async () => {
+test('every controller gives all members of a serving group the same answer', async () => {
   const { world, job, attempts } = await servingWorld();
   for (const [rank, attempt] of attempts.entries()) {
     for (const node of [0, 1, 2]) {
--- a/packages/testkit/test/replica-groups.test.ts
+++ b/packages/testkit/test/replica-groups.test.ts
@@ -5,7 +5,7 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { type Fault, GROUP_CLASS, runScenario, World, type WorldOptions } from '../src/index';
-import { groupCombination, groupsOfDay } from './group-day-generator';
+import { groupCombination, groupsOfDay } from './support/group-scenario-generator';
 
 /** Services of the class of their own, or all services of a day, are replica groups. */
 const FEATURES = { replica_groups: { enabled: true, classes: [GROUP_CLASS], backoff_reports: 1 } };
@@ -193,7 +193,7 @@
   }
 });
 
-test('with no room at all a group keeps nothing, and is up once there is room', async () => {
+test('without free resources a group reserves nothing, and is up once there are some', async () => {
   const world = new World({ seed: 9, machines: 1, capacity: 0, gpusMax: 40, features: FEATURES, load: 0.01 });
   const faults = [{ at: 3000, fault: groups({ count: 1, members: 4 }) }];
   world.sim.after(60_000, () => {
--- a/packages/testkit/test/group-mutants.ts
+++ b/packages/testkit/test/support/group-mutants.ts
@@ -3,7 +3,7 @@
 import { LeaderGroups, OwnerGroups } from '@gingerlock/daemon';
 import { PartitionGroups } from '@gingerlock/replica-groups';
 import { type GroupRecord, groupRecord } from '@gingerlock/wire';
-import { type Fault, GROUP_CLASS, type Invariant } from '../src/index';
+import { type Fault, GROUP_CLASS, type Invariant } from '../../src/index';
 import { type Mutant, patch } from './mutant';
 
 /** The rules that `GroupAudit` checks. */
--- a/packages/testkit/test/group-day-generator.ts
+++ b/packages/testkit/test/support/group-scenario-generator.ts
@@ -1,8 +1,8 @@
 // Draws troubles for days of replica groups: those of groups themselves beside those of controllers, machines, zones
 // and the state service.
 import fc from 'fast-check';
-import type { Fault } from '../src/index';
-import { combination } from './day-generator';
+import type { Fault } from '../../src/index';
+import { combination } from './scenario-generator';
 
 const seconds = (min: number, max: number): fc.Arbitrary<number> =>
   fc.integer({ min: min * 10, max: max * 10 }).map((n) => n * 100);
--- a/packages/testkit/test/mutant.ts
+++ b/packages/testkit/test/support/mutant.ts
@@ -1,5 +1,5 @@
 // What breaks the code on purpose for one test.
-import type { Fault, World, WorldOptions } from '../src/index';
+import type { Fault, World, WorldOptions } from '../../src/index';
 
 /** Replaces a method for one test; returns what puts it back. */
 export function patch<T extends object, K extends keyof T>(
--- /dev/null
+++ b/packages/testkit/test/support/placement-mutants.ts
@@ -0,0 +1,136 @@
+// Code broken on purpose, once for each check of where and when tasks run, and of what that rests on: see
+// mutants.test.ts.
+import { ClaimTable, Ownership } from '@gingerlock/core';
+import { PartitionOwner } from '@gingerlock/daemon';
+import type { Invariant } from '../../src/index';
+import { type Mutant, patch } from './mutant';
+import { beforeTick, dropStops, readJobsAs } from './patches';
+
+/** The mutants that `PlacementAudit` and `OwnershipAudit` must find. */
+export const PLACEMENT_MUTANTS = {
+  overcommitted: {
+    broken: 'machines are taken for larger than they are',
+    apply: () =>
+      patch(
+        ClaimTable.prototype,
+        'freeResources',
+        (original) =>
+          function (this: ClaimTable, machine) {
+            const available = original.call(this, machine);
+            return { cpus: available.cpus + 32, gpus: available.gpus + 8, memoryGb: available.memoryGb + 128 };
+          },
+      ),
+  },
+  ran_twice: {
+    broken: 'claims end after a little more than one heartbeat interval of silence',
+    apply: () =>
+      beforeTick((claimTable, now) => {
+        for (const m of claimTable.machines.values()) {
+          if (m.answeredAt !== null && now - m.answeredAt > claimTable.clusterConfig.heartbeatIntervalMs * 1.3)
+            m.answeredAt = -1e9;
+        }
+      }),
+  },
+  quota: {
+    broken: 'team limits are read ten times too high',
+    apply: (world) => {
+      for (const node of world().nodes) {
+        const teams = node.controller!.settings.clusterConfig.teams as unknown as Map<string, { gpusMax: number }>;
+        for (const team of teams.values()) team.gpusMax *= 10;
+      }
+      return () => undefined;
+    },
+  },
+  wrong_place: {
+    broken: 'zones of jobs are ignored',
+    apply: () =>
+      readJobsAs((job) => {
+        job.spec = { ...job.spec, spread: false, oneZone: false, zone: null };
+      }),
+  },
+  ran_cancelled: {
+    broken: 'workers never get commands to stop',
+    apply: dropStops,
+  },
+  start_cancelled: {
+    broken: 'owners keep the waiting tasks of cancelled jobs and start them',
+    faults: [{ kind: 'machines hang', machine: 0, count: 6, forMs: 5500 }],
+    apply: () => {
+      const kept = patch(ClaimTable.prototype, 'returnable', () => () => new Map());
+      const started = patch(
+        ClaimTable.prototype,
+        'waitingTasks',
+        () =>
+          function* (this: ClaimTable, job) {
+            for (const task of this.tasksByJob.get(job.id)?.values() ?? []) if (task.state === 'waiting') yield task;
+          },
+      );
+      return () => {
+        kept();
+        started();
+      };
+    },
+  },
+  too_early: {
+    broken: 'every job counts as ready',
+    faults: [{ kind: 'pipelines', everyMs: 4000, forMs: 30_000, seed: 3 }],
+    apply: () =>
+      readJobsAs((job) => {
+        job.ready = true;
+      }),
+  },
+  deposed_owner: {
+    broken: 'owners do not look at the records while they restore their holds',
+    faults: [{ kind: 'lapsed apart', node: 0, lapseMs: 3000, forMs: 40_000 }],
+    apply: () => {
+      const decides = patch(
+        Ownership.prototype,
+        'decide',
+        (original) =>
+          function (this: Ownership, ...view) {
+            return this.state === 'resuming' ? { kind: 'none' } : original.apply(this, view);
+          },
+      );
+      const answers = patch(
+        PartitionOwner.prototype,
+        'isOwner',
+        () =>
+          function (this: PartitionOwner) {
+            return this.ownershipTerm.isCurrent;
+          },
+      );
+      return () => {
+        decides();
+        answers();
+      };
+    },
+  },
+  free_but_running: {
+    broken: 'fencing periods last for a heartbeat interval',
+    faults: [
+      { kind: 'mute machines', machine: 0, count: 24, how: 'lose', forMs: 5000 },
+      { kind: 'crash', nodes: [0, 1], backMs: 10_000 },
+    ],
+    apply: () =>
+      beforeTick((claimTable) => {
+        claimTable.fencedUntil = Math.min(
+          claimTable.fencedUntil,
+          claimTable.openedAt + claimTable.clusterConfig.heartbeatIntervalMs,
+        );
+      }),
+  },
+  stale_entry: {
+    broken: 'waiting tasks forget their zones',
+    apply: () =>
+      patch(
+        ClaimTable.prototype,
+        'syncJob',
+        (original) =>
+          function (this: ClaimTable, id, now) {
+            const stopped = original.call(this, id, now);
+            for (const task of this.tasksByJob.get(id)?.values() ?? []) task.zone = null;
+            return stopped;
+          },
+      ),
+  },
+} satisfies Partial<Record<Invariant, Mutant>>;
--- a/packages/testkit/test/day-generator.ts
+++ b/packages/testkit/test/support/scenario-generator.ts
@@ -1,7 +1,7 @@
 // Draws days: troubles alone and together, sizes and deployments.
 import fc from 'fast-check';
 import type { MachineType } from '@gingerlock/wire';
-import type { Deployment, Fault } from '../src/index';
+import type { Deployment, Fault } from '../../src/index';
 
 const seconds = (min: number, max: number): fc.Arbitrary<number> =>
   fc.integer({ min: min * 10, max: max * 10 }).map((n) => n * 100);
--- /dev/null
+++ b/packages/testkit/test/support/user-mutants.ts
@@ -0,0 +1,93 @@
+// Code broken on purpose, once for each check of what users see: see mutants.test.ts.
+import { DependencyGraph, Job } from '@gingerlock/core';
+import { Controller } from '@gingerlock/daemon';
+import { decodeSubmission, encodeJobState } from '@gingerlock/wire';
+import type { Invariant } from '../../src/index';
+import { type Mutant, patch } from './mutant';
+
+/** The mutants that users must find. */
+export const USER_MUTANTS = {
+  forgotten: {
+    broken: 'jobs are accepted without being written',
+    apply: () =>
+      patch(Controller.prototype, 'submit', () => (body) => {
+        const { id } = decodeSubmission(body);
+        return Promise.resolve({ status: 201, body: encodeJobState({ id, status: 'queued' }) });
+      }),
+  },
+  invented: {
+    broken: 'unknown jobs are called queued',
+    apply: () =>
+      patch(
+        Controller.prototype,
+        'poll',
+        (original) =>
+          async function (this: Controller, id) {
+            const reply = await original.call(this, id);
+            return reply.status === 404 ? { status: 200, body: encodeJobState({ id, status: 'queued' }) } : reply;
+          },
+      ),
+  },
+  not_done: {
+    broken: 'a job counts as complete with one task missing',
+    apply: () => {
+      const descriptor = Object.getOwnPropertyDescriptor(Job.prototype, 'complete')!;
+      Object.defineProperty(Job.prototype, 'complete', {
+        configurable: true,
+        get(this: Job) {
+          return this.finishedCount >= this.spec.tasks - 1;
+        },
+      });
+      return () => Object.defineProperty(Job.prototype, 'complete', descriptor);
+    },
+  },
+  went_back: {
+    broken: 'one controller reads every final state as cancelled',
+    apply: (world) => {
+      const { finals } = world().nodes[1]!.controller!.clusterState.jobs;
+      const get = finals.get.bind(finals);
+      finals.get = (id) => (get(id) === undefined ? undefined : 'cancelled');
+      return () => undefined;
+    },
+  },
+  accepted_bad: {
+    broken: 'jobs that can never run are accepted',
+    faults: [{ kind: 'odd requests', forMs: 60_000 }],
+    apply: () =>
+      patch(
+        Controller.prototype,
+        'submit',
+        (original) =>
+          async function (this: Controller, body) {
+            const reply = await original.call(this, body);
+            if (reply.status !== 422) return reply;
+            return { status: 201, body: encodeJobState({ id: decodeSubmission(body).id, status: 'queued' }) };
+          },
+      ),
+  },
+  orphaned: {
+    broken: 'the cancellation of a job is not passed on to those that need it',
+    faults: [{ kind: 'pipelines', everyMs: 3000, forMs: 30_000, seed: 3 }],
+    apply: () => patch(DependencyGraph.prototype, 'cancelDependents', () => () => undefined),
+  },
+  unanswered: {
+    broken: 'questions are put off for ever',
+    apply: () => {
+      const later = { status: 503, body: null, retryAfterS: 1 };
+      const polls = patch(Controller.prototype, 'poll', () => () => Promise.resolve(later));
+      const repeats = patch(
+        Controller.prototype,
+        'submit',
+        (original) =>
+          async function (this: Controller, body) {
+            const reply = await original.call(this, body);
+            return reply.status === 200 ? later : reply;
+          },
+      );
+      return () => {
+        polls();
+        repeats();
+      };
+    },
+  },
+} satisfies Partial<Record<Invariant, Mutant>>;
--- a/packages/testkit/test/takeover.test.ts
+++ b/packages/testkit/test/takeover.test.ts
@@ -17,7 +17,7 @@
 
 // Controllers once left a whole report interval to each of those before them, dead or alive: with five of them a part
 // could wait for longer than its workers' leases last.
-test('the parts of controllers that die together have new owners within a state lease and two report intervals', async () => {
+test('the partitions of controllers that crash together have new owners within a state lease and two heartbeat intervals', async () => {
   for (const dead of [
     [0, 1, 2],
     [1, 2, 3],
@@ -44,7 +44,7 @@
 
 // A worker that was sent away from a part without an owner went on to the next controller, which could be dead or cut
 // off as well, and lost its lease, with all that ran there, after two of those.
-test('a report to a part whose owner has just died waits for the next owner and is sent there', async () => {
+test('a heartbeat to a partition whose owner has just crashed waits for the next owner and is redirected there', async () => {
   for (const seed of [1, 2, 3, 4]) {
     const world = new World({ seed, controllers: 5, machines: 30 });
     await world.sim.run(4000);
@@ -69,7 +69,7 @@
 });
 
 // Parts stayed with whoever took them over: after rolling restarts one controller owned most of the fleet.
-test('parts go back to their homes once those are well, and no worker loses its lease over it', async () => {
+test('partitions return to their home controllers once those are well, and no worker loses its lease over it', async () => {
   const world = new World({ seed: 3, controllers: 5, machines: 15, load: 1 });
   const day = runScenario(world, { seed: 3, forMs: 120_000, faults: [] });
   for (const name of ['node-1', 'node-3']) {
@@ -94,7 +94,7 @@
 
 // Its lease had ended and it had a new one, but it had not read since: it went on starting tasks of a part that another
 // controller could own by then, which answers the same workers.
-test('a controller with a new state lease starts nothing before it has read that its parts are still its own', async () => {
+test('a controller with a new state lease starts nothing before it has read that its partitions are still its own', async () => {
   const world = new World({ seed: 6, controllers: 3, machines: 6 });
   await world.sim.run(8000);
   const node = world.nodes[0]!.controller!;
