--- a/packages/testkit/fingerprint/main.ts
+++ b/packages/testkit/fingerprint/main.ts
@@ -1,24 +1,24 @@
-// Plays the fixed days and prints a fingerprint of each, to show that a refactoring changes no behaviour:
+// Runs the fixed scenarios and prints a fingerprint of each, to show that a refactoring changes no behaviour:
 //   npm run fingerprint -- [--day NAME] [--dump FILE]
 import { closeSync, openSync, writeSync } from 'node:fs';
 import { parseArgs } from 'node:util';
-import { DAYS } from './days';
-import { playRecorded } from './play';
+import { SCENARIOS } from './scenarios';
+import { runRecorded } from './run-recorded';
 import type { LineSink } from './recorder';
 
 async function main(): Promise<number> {
   const { values } = parseArgs({ options: { day: { type: 'string' }, dump: { type: 'string' } } });
-  const days = DAYS.filter(({ name }) => values.day === undefined || values.day === name);
-  if (days.length === 0) {
-    process.stderr.write(`no day ${values.day}; there are: ${DAYS.map(({ name }) => name).join(', ')}\n`);
+  const scenarios = SCENARIOS.filter(({ name }) => values.day === undefined || values.day === name);
+  if (scenarios.length === 0) {
+    process.stderr.write(`no day ${values.day}; there are: ${SCENARIOS.map(({ name }) => name).join(', ')}\n`);
     return 1;
   }
   const file = values.dump === undefined ? null : openSync(values.dump, 'w');
   const dump: LineSink = file === null ? () => undefined : (line) => writeSync(file, `${line}\n`);
-  for (const day of days) {
-    dump(`day\t${day.name}`);
-    const { traffic, records } = await playRecorded(day, dump);
-    process.stdout.write(`${day.name} traffic=${traffic} records=${records}\n`);
+  for (const scenario of scenarios) {
+    dump(`day\t${scenario.name}`);
+    const { traffic, records } = await runRecorded(scenario, dump);
+    process.stdout.write(`${scenario.name} traffic=${traffic} records=${records}\n`);
   }
   if (file !== null) closeSync(file);
   return 0;
--- a/packages/testkit/fingerprint/recorder.ts
+++ b/packages/testkit/fingerprint/recorder.ts
@@ -1,13 +1,13 @@
-// Turns one day into two hashes: of all bytes that left or reached a simulated process, and of the records that are
+// Turns one scenario into two hashes: of all bytes that left or reached a simulated process, and of the records that are
 // stored at its end.
 import { createHash } from 'node:crypto';
 import { encode } from '@gingerlock/wire';
 import type { SimStateService, TrafficEvent, World } from '../src/index';
 
-/** Takes the text lines of a day as they come, without their line ends. */
+/** Is called with the lines that are hashed, one by one and without their line ends. */
 export type LineSink = (line: string) => void;
 
-/** The two hashes of a day, in hexadecimal. */
+/** The two hashes of a scenario, in hexadecimal. */
 export interface Fingerprint {
   readonly traffic: string;
   readonly records: string;
@@ -48,7 +48,7 @@
     };
   }
 
-  /** Ends the record of the day. */
+  /** Ends the recording. */
   finish(): Fingerprint {
     const records = createHash('sha256');
     for (const line of recordLines(this.world.state)) {
--- a/packages/testkit/fingerprint/play.ts
+++ b/packages/testkit/fingerprint/run-recorded.ts
@@ -1,12 +1,12 @@
-// Plays one of the fixed days with a recorder on it.
+// Runs one of the fixed scenarios with a recorder on it.
 import { runScenario, World } from '../src/index';
-import type { FixedDay } from './days';
+import type { FixedScenario } from './scenarios';
 import { type Fingerprint, type LineSink, Recorder } from './recorder';
 
-/** Plays the day to its end; `dump` takes all that is hashed. */
-export async function playRecorded(day: FixedDay, dump: LineSink): Promise<Fingerprint> {
-  const { seed, forMs, faults, switched } = day;
-  const world = new World({ ...day.world, seed });
+/** Runs the scenario to its end; `dump` gets all that is hashed. */
+export async function runRecorded(scenario: FixedScenario, dump: LineSink): Promise<Fingerprint> {
+  const { seed, forMs, faults, switched } = scenario;
+  const world = new World({ ...scenario.world, seed });
   const recorder = new Recorder(world, dump);
   if (switched !== undefined) {
     world.sim.after(switched.at, () => {
--- a/packages/testkit/fingerprint/days.ts
+++ b/packages/testkit/fingerprint/scenarios.ts
@@ -1,8 +1,8 @@
-// The fixed days: their worlds, troubles and seeds. A change of any of them changes the fingerprints.
+// The fixed scenarios: their worlds, faults and seeds. A change of any of them changes the fingerprints.
 import { type Scenario, GROUP_CLASS, TWO_TYPES, type WorldOptions } from '../src/index';
 
-/** One day with a name; all controllers may start anew with other features at a moment of it. */
-export interface FixedDay extends Scenario {
+/** A scenario with a name; all controllers may be restarted with other features at a moment of it. */
+export interface FixedScenario extends Scenario {
   readonly name: string;
   readonly world: Omit<WorldOptions, 'seed'>;
   readonly switched?: { readonly at: number; readonly features: unknown };
@@ -16,8 +16,8 @@
 const SMALL = { machines: 6, capacity: 2, load: 0.2, gpusMax: 40, guaranteedGpus: 8 };
 const ROOMY = { machines: 6, capacity: 12, gpusMax: 80, load: 0.5 };
 
-/** Each kind of trouble is on one day at least. */
-export const DAYS: readonly FixedDay[] = [
+/** Each kind of fault is in one scenario at least. */
+export const SCENARIOS: readonly FixedScenario[] = [
   { name: 'quiet', seed: 8, forMs: 120_000, world: {}, faults: [] },
   {
     name: 'failovers',
--- a/packages/testkit/src/audits/invariants.ts
+++ b/packages/testkit/src/audits/invariants.ts
@@ -32,7 +32,7 @@
   /** A start command comes to a worker long after that answer. */
   | 'start_cancelled';
 
-/** What ends once all faults are over; see `Liveness`. */
+/** What ends once all faults are over; see `LivenessAudit`. */
 type LivenessInvariant =
   /** A task waits while a machine that fits has the free resources and its team is under its limit. */
   | 'left_waiting'
--- a/packages/testkit/src/audits/liveness.ts
+++ b/packages/testkit/src/audits/liveness-audit.ts
@@ -41,7 +41,7 @@
 const MOST_VAIN_RENTALS = 2;
 
 /** Audits that work makes progress. */
-export class Liveness {
+export class LivenessAudit {
   /** By job: since when a task of it could have started all the time, and none did. */
   readonly #waiting = new Map<string, { since: number; started: number }>();
   /** By job: how many of its tasks have started. */
--- a/packages/testkit/src/index.ts
+++ b/packages/testkit/src/index.ts
@@ -6,7 +6,7 @@
 export * from './audits/invariants';
 export * from './standins/users';
 export * from './standins/pipelines';
-export * from './audits/liveness';
+export * from './audits/liveness-audit';
 export * from './audits/ownership-audit';
 export * from './audits/borrowing-audit';
 export * from './faults/borrowing-faults';
--- a/packages/testkit/src/simulation/world.ts
+++ b/packages/testkit/src/simulation/world.ts
@@ -7,7 +7,7 @@
 import { BorrowingAudit, RECLAIM_PREFIX } from '../audits/borrowing-audit';
 import { GroupAudit } from '../audits/group-audit';
 import type { Invariant, Violation } from '../audits/invariants';
-import { Liveness } from '../audits/liveness';
+import { LivenessAudit } from '../audits/liveness-audit';
 import { OperationsAudit } from '../audits/operations-audit';
 import { OwnershipAudit } from '../audits/ownership-audit';
 import { PlacementAudit } from '../audits/placement-audit';
@@ -71,7 +71,7 @@
   readonly users = new SimUsers(this);
   readonly placement = new PlacementAudit(this);
   readonly operations = new OperationsAudit(this);
-  readonly liveness = new Liveness(this);
+  readonly liveness = new LivenessAudit(this);
   readonly ownership = new OwnershipAudit(this);
   readonly borrowing = new BorrowingAudit(this);
   readonly groups = new GroupAudit(this);
--- a/packages/testkit/test/borrowing-measure.test.ts
+++ b/packages/testkit/test/borrowing-measure.test.ts
@@ -36,7 +36,7 @@
   /** Seconds until batch work has its GPUs back, from the end of the surge. */
   readonly returnS: number;
   /**
-   * What batch work lacks of its guarantee, in GPU seconds. A part is the turn from one task to the next, with or
+   * What batch work lacks of its guarantee, in GPU seconds. Some of it is the change from one task to the next, with or
    * without others.
    */
   readonly missedGpuS: number;
--- a/packages/testkit/test/counts.test.ts
+++ b/packages/testkit/test/counts.test.ts
@@ -3,7 +3,7 @@
 import { FORMAT, KEYS, metaRecord } from '@gingerlock/wire';
 import { runScenario, World } from '../src/index';
 
-// The number of parts is fixed by the first start; the number of controllers may be another one later.
+// The number of partitions is fixed by the first start; the number of controllers may be another one later.
 test('no partition is lost when there are more or fewer controllers than at the first start', async () => {
   for (const { partitionCount, controllers } of [
     { partitionCount: 3, controllers: 5 },
--- a/packages/testkit/test/fault-combinations.test.ts
+++ b/packages/testkit/test/fault-combinations.test.ts
@@ -14,7 +14,7 @@
   readonly occurred?: (world: World) => boolean;
 }
 
-/** Settings of the stand-ins: reports every second, leases of 6 s, cancellations within 20 s. */
+/** Settings of the stand-ins: heartbeats every second, leases of 6 s, cancellations within 20 s. */
 const LEASE = 6000;
 const CANCEL = 20_000;
 const ALL = [0, 1, 2, 3, 4];
@@ -313,7 +313,7 @@
   },
 ];
 
-/** When the troubles begin: some jobs run by then. */
+/** When the faults begin: some jobs run by then. */
 const BEGIN_AT = 22_000;
 
 for (const { name, world: options, faults, occurred } of combinations) {
--- a/packages/testkit/test/growth.test.ts
+++ b/packages/testkit/test/growth.test.ts
@@ -5,7 +5,7 @@
 /** Work that grows in step with the fleet, give or take what chance does to some days. */
 const IN_STEP = 1.25;
 
-/** How many machines stay rented on a small day is chance: one day alone once measured that. */
+/** How many machines stay rented on a small day is chance: one day alone would measure that. */
 const SEEDS = [6, 7, 8, 9];
 
 /** A quiet day of a fleet so many times as large. */
--- a/packages/testkit/test/large-day.test.ts
+++ b/packages/testkit/test/large-day.test.ts
@@ -25,7 +25,7 @@
  */
 const LONGEST_RUN_MS = BUSY_S * 1500;
 
-/** Keeps three of the four GPUs of each machine busy for the troubles of the day: idle machines are returned. */
+/** Keeps three of the four GPUs of each machine busy for the faults of the day: idle machines are returned. */
 function occupy(world: World): void {
   for (let i = 0; i * TASKS_PER_JOB < MACHINES * 3; i++) {
     const spec = {
@@ -57,7 +57,7 @@
   });
 }
 
-/** The fewest machines that are rented during the troubles of the day. */
+/** The fewest machines that are rented during the faults of the day. */
 function watchFleet(world: World): { least: number } {
   const seen = { least: Infinity };
   const look = (): void => {
--- a/packages/testkit/test/membership.test.ts
+++ b/packages/testkit/test/membership.test.ts
@@ -6,8 +6,7 @@
 import { World } from '../src/index';
 
 // A machine that was silent for a lease leaves the membership; one that comes back while that change is under way is
-// in it still if the change fails. Its owner went by what it had wanted to write, and gave the machine nothing ever
-// after.
+// in it still if the change fails. An owner that went by what it wanted to write would never use the machine again.
 test('a machine that comes back while its removal from the membership fails gets work again', async () => {
   const world = new World({ seed: 3, controllers: 3, machines: 6, jobs: { kind: 'service', spot: false } });
   // Empty machines would be returned.
@@ -46,9 +45,8 @@
   assert.equal(machine()?.isMember, true);
 });
 
-// What the claim table knew of the membership ended with the clearing, while the membership itself went on: a machine
-// that was heard only after that was taken for one that had yet to be written down, and for one that was written down
-// already, and never given work.
+// The membership outlasts the fencing period: a machine whose first heartbeat comes after that must count as a member
+// that is stored already, not as one that has yet to be stored, or it would never get work.
 test('a machine of the membership whose first heartbeat comes only after its partition’s fencing period gets work again', async () => {
   const world = new World({ seed: 4, controllers: 1, machines: 4, jobs: { kind: 'service', spot: false } });
   for (let i = 0; i < 6; i++) void world.users.live(world.randomJob(), null);
--- a/packages/testkit/test/one-owner.test.ts
+++ b/packages/testkit/test/one-owner.test.ts
@@ -1,4 +1,4 @@
-// One owner at a time: faults that once let a former owner answer its workers while the next one started their tasks
+// One owner at a time: faults that could let a former owner answer its workers while the next one started their tasks
 // elsewhere.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -29,7 +29,7 @@
  */
 async function busyWorld(options: Partial<WorldOptions> & { readonly seed: number }): Promise<World> {
   const world = new World({ controllers: 3, machines: 9, gpusMax: 100, jobs: SERVICE, ...options });
-  // No machine is returned: neither those with free room, nor those that are not heard of, whose tasks would end with
+  // No machine is returned: neither those with free resources, nor those without heartbeats, whose tasks would end with
   // them.
   const cloud = world.network.hosts.get('cloud:1')!;
   world.network.hosts.set('cloud:1', (method, path, body, from) =>
--- a/packages/testkit/test/ownership-term.test.ts
+++ b/packages/testkit/test/ownership-term.test.ts
@@ -1,5 +1,5 @@
-// A partition that is lost and taken again by the same controller: nothing of the former tenure acts under the later
-// one.
+// A partition that is lost and acquired again by the same controller: nothing of the former ownership term acts under
+// the later one.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decode, KEYS, ownerRecord, parseStateRequest, txnRequestOf } from '@gingerlock/wire';
@@ -14,8 +14,8 @@
   return ownerRecord.read(world.state.data.get(KEYS.owner(RESOURCE))!.value);
 }
 
-// Term and version of a partition were read anew after each write: the former owner's table went on being written
-// from under the version of the next tenure, which knew nothing of it.
+// Were term and version of a partition read anew after each write, the former owner's table would go on being written
+// under the version of the next term, which knows nothing of it.
 test('a write of a former ownership term that is answered late is not followed by others under the next term', async () => {
   // More machines than fit into one transaction have to be written down.
   const world = new World({ seed: 9, controllers: 2, machines: 60 });
@@ -34,7 +34,7 @@
     if (written > 0 || changes.length < TXN_OPS) return world.state.handle(method, path, body, from);
     written = changes.length;
     const answer = await world.state.handle(method, path, body, from);
-    // No worker is heard in the next tenure, so that it has nothing to write itself.
+    // No heartbeat comes in the next term, so that it has nothing to write itself.
     for (const worker of world.workers.keys()) world.network.cut(worker, OWNER, 'lose');
     const { term } = ownerRecordOf(world);
     world.nodes[0]!.link!.onMessage('node-1', { kind: 'OwnershipQuery', id: 'q', partitionId: 0, term: term + 1 });
--- a/packages/testkit/test/rendezvous.test.ts
+++ b/packages/testkit/test/rendezvous.test.ts
@@ -1,4 +1,5 @@
-// Members of replica groups meet at the controllers: who is told what, and that no lease of a generation outlives it.
+// Members of replica groups meet at the controllers: who gets which answer, and that no lease of a generation outlives
+// it.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
--- a/packages/testkit/test/replica-groups-loopback.test.ts
+++ b/packages/testkit/test/replica-groups-loopback.test.ts
@@ -83,7 +83,7 @@
     await restored(world, generation);
     await world.startController(leader);
 
-    // No room anywhere to put it back together: it is withdrawn and holds nothing.
+    // No free resources to place it again: it is withdrawn and holds nothing.
     generation = world.answeredGeneration;
     world.cloud.capacity = 0;
     const machines = [...world.workers.keys()];
@@ -97,7 +97,7 @@
     assert.equal(world.members.length, 0);
     assert.equal(world.answers.length, answered, 'nobody answers for a group that is withdrawn');
 
-    // There is room again.
+    // There are free resources again.
     world.cloud.capacity = 3;
     await restored(world, generation);
     checkAnswers(world);
--- a/packages/testkit/test/replica-groups.test.ts
+++ b/packages/testkit/test/replica-groups.test.ts
@@ -1,5 +1,5 @@
 // Replica groups on days on which machines and several controllers fail: what must never happen is audited at every
-// step (`GroupAudit`), and once the troubles are over every group serves again within a bound that follows from the
+// step (`GroupAudit`), and once the faults are over every group serves again within a bound that follows from the
 // settings (docs/replica-groups-design.md).
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -110,7 +110,7 @@
         share: 1,
         forMs: 6000,
       });
-      // Groups come to the state for the first time, and again because of the first trouble.
+      // Groups come to the state for the first time, and again because of the first fault.
       const first: Fault = {
         kind: 'members trouble',
         state: 'serving',
@@ -223,7 +223,7 @@
   ]);
   assert.deepEqual(world.violations, []);
   assert.equal(world.peakGpus, 6);
-  // Each of the two teams has room for one group.
+  // Each of the two teams has the limit for one group.
   const perTeam = new Map<string, number>();
   for (const { spec } of world.users.open())
     if (world.groups.serves(spec.id)) perTeam.set(spec.team, (perTeam.get(spec.team) ?? 0) + 1);
--- a/packages/testkit/test/state-limits.test.ts
+++ b/packages/testkit/test/state-limits.test.ts
@@ -16,7 +16,7 @@
 const NEXT = { valueKb: 2, txnOps: 4, writesPerS: 70 };
 
 /**
- * A job of many small tasks, scattered over the partitions as earlier versions assigned them: a round for each task.
+ * A job of many small tasks, scattered over the partitions as earlier versions assigned them: a range for each task.
  */
 function storeScattered(world: World, over: Partial<JobSpec>): string {
   const spec: JobSpec = {
--- a/packages/testkit/test/support/group-scenario-generator.ts
+++ b/packages/testkit/test/support/group-scenario-generator.ts
@@ -1,4 +1,4 @@
-// Draws troubles for days of replica groups: those of groups themselves beside those of controllers, machines, zones
+// Draws faults for scenarios of replica groups: those of groups themselves beside those of controllers, machines, zones
 // and the state service.
 import fc from 'fast-check';
 import type { Fault } from '../../src/index';
@@ -17,9 +17,10 @@
 
 const afterMs = fc.integer({ min: 0, max: 1500 });
 
+/** The groups that are submitted in a scenario. */
 export const groupsOfDay: fc.Arbitrary<Fault> = fc.record({
   kind: fc.constant('groups' as const),
-  // Together they take no more than a zone, and a team, have room for beside ordinary jobs.
+  // Together they take no more than a zone, and a team, have capacity for beside ordinary jobs.
   count: fc.integer({ min: 1, max: 4 }),
   members: fc.integer({ min: 2, max: 4 }),
   gpus: fc.constantFrom(1, 2, 4),
@@ -53,7 +54,7 @@
   }),
 );
 
-/** A trouble of groups and one of the others, or two of either, within moments of each other. */
+/** A fault of groups and one of the others, or two of either, within moments of each other. */
 export const groupCombination = fc.oneof(
   combination,
   fc
--- a/packages/testkit/test/support/mutant.ts
+++ b/packages/testkit/test/support/mutant.ts
@@ -12,13 +12,14 @@
   return () => Object.defineProperty(target, name, descriptor);
 }
 
+/** A way to break the code, and the scenarios in which that shows. */
 export interface Mutant {
   readonly broken: string;
   readonly apply: (world: () => World) => () => void;
-  /** Troubles in which it shows, beside machines that can't be heard for a while. */
+  /** Faults in which it shows, beside machines that can't be heard for a while. */
   readonly faults?: readonly Fault[];
-  /** How long its days are, if not as long as most. */
+  /** How long its scenarios are, if not as long as most. */
   readonly forMs?: number;
-  /** What its days need otherwise. */
+  /** What its scenarios need otherwise. */
   readonly options?: Partial<WorldOptions>;
 }
--- a/packages/testkit/test/support/operations-mutants.ts
+++ b/packages/testkit/test/support/operations-mutants.ts
@@ -7,7 +7,7 @@
 
 const BROKEN_JOBS: Fault = { kind: 'broken jobs', count: 3, tasks: 40, everyMs: 3000, cancelAfterMs: 60_000 };
 
-/** The mutants that `Liveness`, `OperationsAudit`, links and the state service must find. */
+/** The mutants that `LivenessAudit`, `OperationsAudit`, links and the state service must find. */
 export const OPERATIONS_MUTANTS = {
   frame_too_large: {
     broken: 'a machine is published with an image whose name is longer than a frame',
--- a/packages/testkit/test/support/scenario-generator.ts
+++ b/packages/testkit/test/support/scenario-generator.ts
@@ -1,4 +1,4 @@
-// Draws days: troubles alone and together, sizes and deployments.
+// Draws scenarios: faults alone and together, sizes and deployments.
 import fc from 'fast-check';
 import type { MachineType } from '@gingerlock/wire';
 import type { Deployment, Fault } from '../../src/index';
@@ -216,7 +216,7 @@
   }),
 );
 
-/** Most rules that broke in operation broke when a second trouble came within moments of the first. */
+/** Most invariants that were violated in operation were so when a second fault came within moments of the first. */
 export const combination = fc
   .record({ at: seconds(3, 60), apartMs: fc.integer({ min: 0, max: 2500 }), first: fault, second: fc.option(fault) })
   .map(({ at, apartMs, first, second }) => [
--- a/packages/testkit/test/takeover.test.ts
+++ b/packages/testkit/test/takeover.test.ts
@@ -5,7 +5,7 @@
 import { parseStateRequest, STATE_PATHS } from '@gingerlock/wire';
 import { runScenario, World } from '../src/index';
 
-/** Which controllers own each part now. */
+/** Which controllers own each partition now. */
 function owners(world: World): Map<number, string[]> {
   const partitions = new Map<number, string[]>();
   for (const { name, controller } of world.nodes) {
@@ -15,8 +15,8 @@
   return partitions;
 }
 
-// Controllers once left a whole report interval to each of those before them, dead or alive: with five of them a part
-// could wait for longer than its workers' leases last.
+// Controllers must not leave a whole heartbeat interval to each of those before them, dead or alive: with five of them
+// a partition would wait for longer than its workers' leases last.
 test('the partitions of controllers that crash together have new owners within a state lease and two heartbeat intervals', async () => {
   for (const dead of [
     [0, 1, 2],
@@ -35,15 +35,15 @@
   }
 });
 
-/** The controller that owns the worker's part now. */
+/** The controller that owns the worker's partition now. */
 function ownerOf(world: World, { name }: { readonly name: string }): string {
   const has = (n: World['nodes'][number]): boolean =>
     n.controller?.owned().some((o) => o.claimTable.machines.has(name)) ?? false;
   return world.nodes.find(has)!.name;
 }
 
-// A worker that was sent away from a part without an owner went on to the next controller, which could be dead or cut
-// off as well, and lost its lease, with all that ran there, after two of those.
+// A worker that is sent away from a partition without an owner tries the next controller, which may be dead or cut off
+// as well: after two of those it would lose its lease, with all that runs there.
 test('a heartbeat to a partition whose owner has just crashed waits for the next owner and is redirected there', async () => {
   for (const seed of [1, 2, 3, 4]) {
     const world = new World({ seed, controllers: 5, machines: 30 });
@@ -51,7 +51,7 @@
     const worker = [...world.workers.values()][0]!;
     world.crash(ownerOf(world, worker));
     await world.sim.run(world.sim.now + 300);
-    // Its last report: one that it sent itself meanwhile would make this one an older copy.
+    // Its last heartbeat: one that it sent itself meanwhile would make this one an older copy.
     const { body } = worker.inspect();
     worker.die();
     const asked = world.nodes.filter((n) => n.controller !== null)[seed - 1]!;
@@ -92,8 +92,8 @@
   assert.deepEqual(world.violations, []);
 });
 
-// Its lease had ended and it had a new one, but it had not read since: it went on starting tasks of a part that another
-// controller could own by then, which answers the same workers.
+// With a new state lease after an expired one, but without a read since, it must not start tasks: another controller
+// may own the partition by then, and answer the same workers.
 test('a controller with a new state lease starts nothing before it has read that its partitions are still its own', async () => {
   const world = new World({ seed: 6, controllers: 3, machines: 6 });
   await world.sim.run(8000);
