--- a/packages/testkit/fingerprint/recorder.ts
+++ b/packages/testkit/fingerprint/recorder.ts
@@ -1,5 +1,5 @@
-// Turns one scenario into two hashes: of all bytes that left or reached a simulated process, and of the records that are
-// stored at its end.
+// Turns one scenario into two hashes: of all bytes that left or reached a simulated process, and of the records that
+// are stored at its end.
 import { createHash } from 'node:crypto';
 import { encode } from '@gingerlock/wire';
 import type { SimStateService, TrafficEvent, World } from '../src/index';
--- a/packages/testkit/src/index.ts
+++ b/packages/testkit/src/index.ts
@@ -1,3 +1,5 @@
+// Whole deployments for tests: in simulated time with faults and audits of invariants, and small ones in real time on
+// loopback.
 export * from './simulation/sim';
 export * from './simulation/network';
 export * from './simulation/traffic';
--- a/packages/testkit/src/simulation/world.ts
+++ b/packages/testkit/src/simulation/world.ts
@@ -182,6 +182,7 @@
     return hold === undefined ? null : holdRecord.read(hold.value).node;
   }
 
+  /** The parsed settings file of a controller. */
   settings(node: string): unknown {
     return controllerSettings(this, node);
   }
