--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -1,5 +1,5 @@
-// Type-checked rules over all sources. What does not pass yet is listed by file and rule in eslint-legacy.json, which can only
-// shrink: scripts/lint-legacy.mjs (`npm run lint:legacy`) writes it anew and refuses additions.
+// Type-checked rules over all sources. What does not pass yet is listed by file and rule in eslint-legacy.json, which
+// can only shrink: scripts/lint-legacy.mjs (`npm run lint:legacy`) writes it anew and refuses additions.
 import { readFileSync } from 'node:fs';
 import js from '@eslint/js';
 import comments from '@eslint-community/eslint-plugin-eslint-comments/configs';
@@ -21,7 +21,7 @@
   }));
 }
 
-/** Names in all sources: camelCase, types in PascalCase, constants of a module in UPPER_CASE where they are plain values. */
+/** Names in all sources: camelCase, types in PascalCase, constants of a module in UPPER_CASE. */
 const NAMING = [
   { selector: 'default', format: ['camelCase'], leadingUnderscore: 'forbid', trailingUnderscore: 'forbid' },
   { selector: 'variable', modifiers: ['const', 'global'], format: ['camelCase', 'UPPER_CASE'] },
@@ -34,7 +34,7 @@
   { selector: ['variable', 'parameter'], modifiers: ['destructured'], format: null },
 ];
 
-/** Where names of the wire, of settings files and of stored records are declared, beside schemas that are named like types. */
+/** Where names of the wire, settings and stored records are declared, beside schemas that are named like types. */
 const EDGE_NAMING = [
   { selector: 'variable', modifiers: ['const', 'global'], format: ['camelCase', 'UPPER_CASE', 'PascalCase'] },
   { selector: 'typeProperty', format: null },
@@ -69,16 +69,16 @@
       '@typescript-eslint/naming-convention': ['error', ...NAMING],
       'import-x/no-duplicates': 'error',
       'import-x/order': ['error', { groups: ['builtin', ['external', 'internal'], 'parent', ['sibling', 'index']] }],
-      // An index that the bounds just checked, or a key just set, is asserted: `noUncheckedIndexedAccess` asks for it on each
-      // access to an array, and a branch that can not be taken would stand in its place.
+      // An index that the bounds just checked, or a key just set, is asserted: `noUncheckedIndexedAccess` asks for it
+      // on each access to an array, and a branch that can not be taken would stand in its place.
       '@typescript-eslint/no-non-null-assertion': 'off',
-      // A callback in shorthand gives on the nothing that it is given, and so does an early `return` of a function without a result;
-      // the compiler knows both.
+      // A callback in shorthand passes on the nothing that it gets, and so does an early `return` of a function
+      // without a result; the compiler knows both.
       '@typescript-eslint/no-confusing-void-expression': [
         'error',
         { ignoreArrowShorthand: true, ignoreVoidReturningFunctions: true },
       ],
-      // Numbers are what messages are made of; a template formats them well. All else (objects, null, any) stays refused.
+      // Messages are made of numbers, which a template formats well. All else (objects, null, any) stays refused.
       '@typescript-eslint/restrict-template-expressions': ['error', { allowNumber: true }],
     },
   },
--- a/packages/testkit/test/stored-records.test.ts
+++ b/packages/testkit/test/stored-records.test.ts
@@ -1,9 +1,11 @@
-// Stored records stay readable: what version 6c8b998 had stored at four moments of one day, with borrowing and replica groups on, is what
-// controllers of these sources start on. A stored key or field that is renamed, dropped or read under another type breaks this test, and so
-// does a change that reads old records and takes them for something else: then accepted jobs are forgotten, start over or never end.
+// Stored records stay readable: what version 6c8b998 had stored at four moments of one day, with borrowing and replica
+// groups on, is what controllers of these sources start on. A stored key or field that is renamed, dropped or read as
+// another type breaks this test, and so does a change that reads old records and takes them for something else: then
+// accepted jobs are forgotten, start over or never end.
 //
-// The data are the records of the simulated state service (keys, versions, values, leases, revision), the machines that were up, and what
-// users had been told. No value in them is beyond what JSON can say. They are never made anew from later versions.
+// The data are the records of the simulated state service (keys, versions, values, leases, revision), the machines that
+// were up, and what users had been told. No value in them is beyond what JSON can say. They are never made anew from
+// later versions.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Log } from '@gingerlock/daemon';
@@ -107,7 +109,7 @@
   }
 }
 
-/** A world whose controllers all start at that moment, on what their predecessors have stored; all machines are as after a restart. */
+/** A world whose controllers all start at that moment, on what is stored; all machines are as after a restart. */
 async function startOn(moment: Moment, log: Log): Promise<World> {
   const world = new World({ ...OPTIONS, machines: 0, log });
   for (const name of world.controllers) world.crash(name);
