--- a/packages/testkit/test/stored-records.test.ts
+++ b/packages/testkit/test/stored-records.test.ts
@@ -92,7 +92,7 @@
   return world.cloud.rented.at(-1)!.name;
 }
 
-/** Lets the stand-ins know what became of the jobs before, as the former processes and machines would have shown them. */
+/** Lets the stand-ins know what became of the jobs before, as former processes and machines would have shown them. */
 function adoptJobs(world: World, moment: Moment): void {
   const { users, workers, groups, borrowing, sim } = world;
   for (const { submission, cancelAsked } of moment.jobs) {
--- a/scripts/lint-legacy.mjs
+++ b/scripts/lint-legacy.mjs
@@ -1,6 +1,6 @@
-// Writes eslint-legacy.json anew: by file, the rules that it does not pass yet. The list can only shrink: a file or rule
-// that is not on it yet makes this fail and leaves it as it is, unless --allow-new is given (for files that were renamed
-// or divided).
+// Writes eslint-legacy.json anew: by file, the rules that it does not pass yet. The list can only shrink: a file or
+// rule that is not on it yet makes this fail and leaves it as it is, unless --allow-new is given (for files that were
+// renamed or divided).
 import { readFileSync, writeFileSync } from 'node:fs';
 import { relative } from 'node:path';
 import { ESLint } from 'eslint';
