--- a/packages/borrowing/src/accounts.ts
+++ b/packages/borrowing/src/accounts.ts
@@ -21,11 +21,11 @@
 export interface TeamAccount {
   readonly team: Team;
   /** Lower bound of its use: what surely runs and no decided reclaim stops. */
-  readonly low: Resources;
+  readonly surelyUsed: Resources;
   /** Upper bound of its use: all tasks that are assigned and not finished. */
-  readonly high: Resources;
+  readonly possiblyUsed: Resources;
   /** What its unschedulable tasks would use besides, within its limit. */
-  readonly waiting: Resources;
+  readonly unschedulable: Resources;
 }
 
 /** The resources that teams are guaranteed. */
@@ -35,22 +35,25 @@
 export type GuaranteedResource = (typeof GUARANTEED_RESOURCES)[number];
 
 /** What the team surely uses beyond its guarantee. */
-export function borrowed({ team, low }: TeamAccount, resource: GuaranteedResource): number {
+export function borrowed({ team, surelyUsed: low }: TeamAccount, resource: GuaranteedResource): number {
   return team[resource] > 0 ? Math.max(0, low[resource] - team[resource]) : hasNoGuarantee(team) ? low[resource] : 0;
 }
 
 /** What of its guarantee the team surely leaves to others. */
-export function lent({ team, high }: TeamAccount, resource: GuaranteedResource): number {
+export function lent({ team, possiblyUsed: high }: TeamAccount, resource: GuaranteedResource): number {
   return Math.max(0, team[resource] - high[resource]);
 }
 
 /** What of its guarantee the team can claim: no more than it has work for. */
-function claimableGuarantee({ team, high, waiting }: TeamAccount, resource: GuaranteedResource): number {
+function claimableGuarantee(
+  { team, possiblyUsed: high, unschedulable: waiting }: TeamAccount,
+  resource: GuaranteedResource,
+): number {
   return Math.min(team[resource], high[resource] + waiting[resource]);
 }
 
 /** Whether the team's use stays within its guarantee with the task. */
-export function isWithinGuarantee({ team, high }: TeamAccount, need: Resources): boolean {
+export function isWithinGuarantee({ team, possiblyUsed: high }: TeamAccount, need: Resources): boolean {
   return countWithinGuarantee(team, high, need) > 0;
 }
 
@@ -59,7 +62,7 @@
   return GUARANTEED_RESOURCES.every(
     (resource) =>
       stopped[resource] <= 0 ||
-      account.low[resource] - stopped[resource] >= claimableGuarantee(account, resource) - TOLERANCE,
+      account.surelyUsed[resource] - stopped[resource] >= claimableGuarantee(account, resource) - TOLERANCE,
   );
 }
 
@@ -78,13 +81,13 @@
     for (const { task, stopping } of held) {
       const name = parseTaskName(task);
       const job = jobs.get(name?.job ?? '');
-      if (name === null || job === undefined || stopping || job.cancelled || job.isFinished(name.index)) continue;
+      if (name === null || job === undefined || stopping || job.isCancelled || job.isFinished(name.index)) continue;
       used.set(job.spec.team, (used.get(job.spec.team) ?? 0) + job.spec.gpus);
     }
   }
   const waiting = new Map<string, number>();
   for (const job of jobs.values()) {
-    if (!job.ready || job.cancelled || job.isCrashLooping) continue;
+    if (!job.isReady || job.isCancelled || job.isCrashLooping) continue;
     const tasks = job.unassigned().reduce((sum, [, count]) => sum + count, 0);
     waiting.set(job.spec.team, (waiting.get(job.spec.team) ?? 0) + tasks * job.spec.gpus);
   }
@@ -114,7 +117,12 @@
     for (const team of clusterConfig.teams.values()) {
       const { name } = team;
       const of = (use: ReadonlyMap<string, Resources>): Resources => use.get(name) ?? NO_RESOURCES;
-      this.#accountByTeam.set(name, { team, low: of(surelyRunning), high: of(high), waiting: of(waiting) });
+      this.#accountByTeam.set(name, {
+        team,
+        surelyUsed: of(surelyRunning),
+        possiblyUsed: of(high),
+        unschedulable: of(waiting),
+      });
     }
   }
 
@@ -130,15 +138,15 @@
 
   /** Accounts for a decided reclaim that stops these resources of the team. */
   recordStop(team: string, resources: Resources): void {
-    this.#change(team, (account) => ({ ...account, low: subtractResources(account.low, resources) }));
+    this.#change(team, (account) => ({ ...account, surelyUsed: subtractResources(account.surelyUsed, resources) }));
   }
 
   /** Accounts for unschedulable tasks of the team that a decided reclaim gets these resources. */
   recordAssignment(team: string, resources: Resources): void {
     this.#change(team, (account) => ({
       ...account,
-      high: addResources(account.high, resources),
-      waiting: subtractResources(account.waiting, resources),
+      possiblyUsed: addResources(account.possiblyUsed, resources),
+      unschedulable: subtractResources(account.unschedulable, resources),
     }));
   }
 
--- a/packages/borrowing/src/execution.ts
+++ b/packages/borrowing/src/execution.ts
@@ -39,7 +39,7 @@
 /** Receives the state changes of all reclaims of a partition. */
 export interface ReclaimListener {
   /** A reclaim has changed its state; `detail` belongs to the line of the log. */
-  moved(reclaim: Reclaim, detail: Record<string, unknown>): void;
+  stateChanged(reclaim: Reclaim, detail: Record<string, unknown>): void;
 }
 
 /** One reclaim on a machine of a partition, under one owner. */
@@ -73,7 +73,7 @@
     if (!RECLAIM_TRANSITIONS[this.#state].includes(next))
       throw new Error(`reclaim ${this.id}: no transition from ${this.#state} to ${next}`);
     this.#state = next;
-    this.listener.moved(this, detail);
+    this.listener.stateChanged(this, detail);
   }
 
   #withdraw(reason: WithdrawReason): void {
@@ -101,7 +101,7 @@
     }
     const machine = table.machines.get(this.record.machine);
     if (isUnconfirmed(table, this.record.machine)) return [];
-    if (machine === undefined || !table.takesWork(machine, now)) {
+    if (machine === undefined || !table.mayTakeWork(machine, now)) {
       this.#withdraw('its machine takes no work');
       return [];
     }
@@ -140,7 +140,7 @@
 /** The tasks that the reclaim is for and that no machine holds yet. */
 function waitingTasks(table: ClaimTable, record: ReclaimRecord): TaskEntry[] {
   const isWaiting = ({ state, job }: TaskEntry): boolean =>
-    !job.cancelled && (state === 'waiting' || state === 'uncertain' || state === 'returning');
+    !job.isCancelled && (state === 'waiting' || state === 'uncertain' || state === 'returning');
   return tasksOf(table, record).filter(isWaiting);
 }
 
--- a/packages/borrowing/src/planner.ts
+++ b/packages/borrowing/src/planner.ts
@@ -80,7 +80,7 @@
   /** Reclaims in progress. */
   readonly pending: readonly ReclaimRecord[];
   /** The most that may be decided now. */
-  readonly most: number;
+  readonly maxDecisions: number;
   /** The time until a machine that is rented now could run a task of the job, in milliseconds. */
   readonly scaleOutMs: (job: Job) => number;
   /** The time until a stopped task is known to be gone, in milliseconds, without the time that it takes to save. */
@@ -130,7 +130,7 @@
   /** How many reclaims may be decided now. */
   get #allowedDecisions(): number {
     const allowedInProgress = Math.max(1, Math.floor(this.#machineCount * this.#input.settings.maxShare));
-    return Math.min(this.#input.most, allowedInProgress - this.#input.pending.length);
+    return Math.min(this.#input.maxDecisions, allowedInProgress - this.#input.pending.length);
   }
 
   #planFor({ job, count }: UnschedulableDemand): void {
@@ -210,7 +210,7 @@
   }
 
   #mayPlace(job: Job, zone: string, zones: ZoneChoice): boolean {
-    const { team, high } = this.#accounts.of(job.spec.team)!;
+    const { team, possiblyUsed: high } = this.#accounts.of(job.spec.team)!;
     return zones.allows(zone) && countWithinLimit(team, high, job.spec) > 0;
   }
 
--- a/packages/borrowing/src/victims.ts
+++ b/packages/borrowing/src/victims.ts
@@ -123,7 +123,7 @@
 
 /** Whether the task may be preempted at all: it runs or fetches its image, and nothing stops it already. */
 export function isStoppable({ held, job }: Candidate): boolean {
-  return !held.stopping && !job.cancelled && (held.stage === 'running' || held.stage === 'fetching');
+  return !held.stopping && !job.isCancelled && (held.stage === 'running' || held.stage === 'fetching');
 }
 
 /**
--- a/packages/borrowing/test/execution.test.ts
+++ b/packages/borrowing/test/execution.test.ts
@@ -26,7 +26,7 @@
   readonly jobs = new JobTable(() => 64);
   readonly table: ClaimTable;
   readonly moves: string[] = [];
-  readonly reclaims = new PartitionReclaims({ moved: (reclaim) => this.moves.push(moveOf(reclaim)) });
+  readonly reclaims = new PartitionReclaims({ stateChanged: (reclaim) => this.moves.push(moveOf(reclaim)) });
   now = 1000;
   #sequenceNumber = 0;
   #tasks: ReportedTask[] = [];
@@ -151,7 +151,7 @@
   const record = scene.recordOf(2);
   scene.step(record);
   scene.report();
-  const successor = new PartitionReclaims({ moved: (reclaim) => scene.moves.push(reclaim.state) });
+  const successor = new PartitionReclaims({ stateChanged: (reclaim) => scene.moves.push(reclaim.state) });
   successor.table = scene.table;
   scene.table.reservations = successor;
   successor.sync(new Map([['1-1', record]]));
--- a/packages/borrowing/test/planner.test.ts
+++ b/packages/borrowing/test/planner.test.ts
@@ -63,7 +63,7 @@
     free,
     claims: [{ partitionId: 0, term: 3, revision: 1, machines: claims }],
     pending: [],
-    most: 100,
+    maxDecisions: 100,
     scaleOutMs: () => Infinity,
     stopMs: 1000,
     ...over,
@@ -112,7 +112,7 @@
   const plan = planReclaims(input);
   assert.deepEqual(plan.decisions, []);
   assert.deepEqual(
-    plan.refused.map(({ why, account }) => [why, account.low.gpus, account.high.gpus]),
+    plan.refused.map(({ why, account }) => [why, account.surelyUsed.gpus, account.possiblyUsed.gpus]),
     [['others would fall below their guarantees', 0, 4]],
   );
 });
@@ -148,7 +148,7 @@
   };
   assert.deepEqual(whyOf({ scaleOutMs: () => 20_000 }), ['renting is sooner']);
   assert.deepEqual(whyOf({ claims: [] }), ['what machines hold is not known']);
-  assert.deepEqual(whyOf({ most: 0 }), ['enough reclaims under way']);
+  assert.deepEqual(whyOf({ maxDecisions: 0 }), ['enough reclaims under way']);
   const pending = { machine: 'm-9', job: 'x', tasks: [0], victims: [], decidedAt: 0, reason: 'priority' as const };
   assert.deepEqual(whyOf({ pending: [pending], settings: { maxShare: 0.1 } }), ['enough reclaims under way']);
   assert.deepEqual(whyOf({ scaleOutMs: () => 40_000 }), ['j-000009/0']);
@@ -263,7 +263,7 @@
           .flatMap(({ victims }) => victims.map((v) => v.task));
         const left = useOf(autoscaler, new Set(foreign)).get(name) ?? 0;
         assert.ok(left >= Math.min(gpus, before.get(name) ?? 0) - 1e-6, `${name}: ${left} of ${before.get(name)}`);
-        assert.ok(account.high.gpus <= Math.max(account.team.gpusMax, before.get(name) ?? 0) + 1e-6);
+        assert.ok(account.possiblyUsed.gpus <= Math.max(account.team.gpusMax, before.get(name) ?? 0) + 1e-6);
       }
     }),
     { seed: 391, numRuns: 500 },
--- a/packages/clients/src/cloud.ts
+++ b/packages/clients/src/cloud.ts
@@ -12,7 +12,7 @@
   rentedNamesOf,
   rentRequestMap,
   type RentRequest,
-  RETURN_MOST,
+  MAX_MACHINES_PER_RETURN,
   returnRequestMap,
 } from '@gingerlock/wire';
 import type { Http } from './ports';
@@ -100,7 +100,7 @@
 
   /** Returns at most `RETURN_MOST` machines, the first ones. True: they are gone, with everything on them. */
   async scaleIn(names: readonly string[]): Promise<boolean> {
-    const body = encode(returnRequestMap(names.slice(0, RETURN_MOST)));
+    const body = encode(returnRequestMap(names.slice(0, MAX_MACHINES_PER_RETURN)));
     const response = await this.http(this.addr, 'POST', CLOUD_PATHS.return, body, this.timeoutMs);
     return response.status === 200;
   }
--- a/packages/clients/src/key-value-store.ts
+++ b/packages/clients/src/key-value-store.ts
@@ -13,7 +13,7 @@
   STATE_PATHS,
   type StateEvent,
   type StateItem,
-  txnMap,
+  transactionMap,
 } from '@gingerlock/wire';
 import { type RateLimiter, OverloadedError, type Urgency, URGENCY } from './rate-limiter';
 import { type Clock, type Http, type HttpResponse, ResponseTooLargeError } from './ports';
@@ -147,7 +147,7 @@
     this.pendingTransactions++;
     let result: CompareAndSwapResult;
     try {
-      const request = txnMap(conditions, changes);
+      const request = transactionMap(conditions, changes);
       const answer = await this.#send(urgency, changes.length, 'POST', STATE_PATHS.txn, request, patienceMs);
       result = this.#outcomeOf(answer, changes);
     } catch (error) {
--- a/packages/clients/src/ports.ts
+++ b/packages/clients/src/ports.ts
@@ -7,7 +7,7 @@
   /** Steady time, in milliseconds. */
   now(): number;
   /** Time of day, in milliseconds. */
-  wall(): number;
+  wallNow(): number;
   /** Calls back once after `ms` milliseconds; returns a function that cancels the call. */
   after(ms: number, callback: () => void): () => void;
   /** A random number from 0 up to but excluding 1. */
--- a/packages/core/src/autoscaling/autoscaler.ts
+++ b/packages/core/src/autoscaling/autoscaler.ts
@@ -68,11 +68,11 @@
   recordScaleOut(names: readonly string[], request: RentRequest, now: number): void {
     this.#backoff.clear(request);
     this.#inventory.recordScaleOut(names, request, now);
-    if (names.length < request.count) this.capacityRefused(request, now);
+    if (names.length < request.count) this.recordCapacityRefusal(request, now);
   }
 
   /** The cloud has rented none of what was asked for, or not all. */
-  capacityRefused(request: RentRequest, now: number): void {
+  recordCapacityRefusal(request: RentRequest, now: number): void {
     this.#backoff.recordRefusal(request, now);
   }
 
@@ -95,12 +95,12 @@
   }
 
   /** Whether the owners' statuses show every machine that is listed as up, of which there is one at least. */
-  hasHeardAll(statuses: readonly PartitionStatus[]): boolean {
-    return this.#inventory.hasHeardAll(statuses);
+  hasStatusOfAll(statuses: readonly PartitionStatus[]): boolean {
+    return this.#inventory.hasStatusOfAll(statuses);
   }
 
   /** Whether there is a machine of that type. */
-  has(type: string): boolean {
+  hasMachineOfType(type: string): boolean {
     return [...this.machines.values()].some((machine) => machine.type === type);
   }
 
--- a/packages/core/src/autoscaling/machine-inventory.ts
+++ b/packages/core/src/autoscaling/machine-inventory.ts
@@ -138,7 +138,7 @@
   }
 
   /** Whether the owners' statuses show every machine that is listed as up, of which there is one at least. */
-  hasHeardAll(statuses: readonly PartitionStatus[]): boolean {
+  hasStatusOfAll(statuses: readonly PartitionStatus[]): boolean {
     const shown = new Set(statuses.flatMap(({ machines }) => machines.map(({ name }) => name)));
     const running = [...this.machines.values()].filter(({ state }) => state === 'running');
     return running.length > 0 && running.every(({ name }) => shown.has(name));
--- a/packages/core/src/claims/claim-queries.ts
+++ b/packages/core/src/claims/claim-queries.ts
@@ -57,7 +57,7 @@
   const returnable = new TasksByJob();
   for (const tasksByIndex of table.tasksByJob.values()) {
     for (const task of tasksByIndex.values()) {
-      if (task.job.cancelled && (task.state === 'waiting' || task.state === 'finishing')) returnable.add(task);
+      if (task.job.isCancelled && (task.state === 'waiting' || task.state === 'finishing')) returnable.add(task);
       if (task.job.isGroup && task.state === 'waiting' && table.members.mustReturn(task)) returnable.add(task);
     }
   }
@@ -97,7 +97,7 @@
   const ready: { readonly job: Job; readonly tasks: TaskEntry[]; readonly isOverdue: boolean }[] = [];
   for (const tasksByIndex of tasksByJob.values()) {
     const all = [...tasksByIndex.values()];
-    const finished = all.filter(({ state, job }) => state === 'finishing' && !job.cancelled);
+    const finished = all.filter(({ state, job }) => state === 'finishing' && !job.isCancelled);
     if (finished.length === 0) continue;
     const oldestFinishedAt = finished.reduce((earliest, { since }) => Math.min(earliest, since), Infinity);
     const mayWait = finished.length < all.length && isUnlimited(finished[0]!.job, clusterConfig);
@@ -130,7 +130,7 @@
   let missing = NO_RESOURCES;
   for (const tasksByIndex of table.tasksByJob.values()) {
     for (const { state, job, since } of tasksByIndex.values()) {
-      if (state !== 'uncertain' || job.spec.kind !== 'service' || job.cancelled) continue;
+      if (state !== 'uncertain' || job.spec.kind !== 'service' || job.isCancelled) continue;
       if (now - since > clusterConfig.heartbeatIntervalMs * SUSPECT_INTERVALS) {
         missing = addResources(missing, job.spec);
       }
--- a/packages/core/src/claims/claim-table-options.ts
+++ b/packages/core/src/claims/claim-table-options.ts
@@ -3,7 +3,7 @@
 import type { ClusterConfig } from '../cluster/cluster-config';
 import type { JobTable } from '../jobs/job-table';
 import { ATTEMPTS_PER_TERM } from './attempt-numbers';
-import { type MemberPolicy, NO_MEMBERS } from './member-policy';
+import { type MemberPolicy, NO_MEMBER_POLICY } from './member-policy';
 import { NO_RESERVATIONS, type Reservations } from './reservations';
 
 /** What a claim table is built from. All moments are steady milliseconds. */
@@ -41,7 +41,7 @@
   return {
     ...options,
     reservations: options.reservations ?? NO_RESERVATIONS,
-    members: options.members ?? NO_MEMBERS,
+    members: options.members ?? NO_MEMBER_POLICY,
     preempts: options.preempts ?? true,
     attemptsPerTerm: options.attemptsPerTerm ?? ATTEMPTS_PER_TERM,
     images: options.images ?? new Map(),
--- a/packages/core/src/claims/claim-table.ts
+++ b/packages/core/src/claims/claim-table.ts
@@ -155,8 +155,8 @@
   }
 
   /** The recovery scan: from now on the jobs that have a waiting task have a wake, and no others. */
-  scan(): void {
-    this.#tasks.scan();
+  recoverWakes(): void {
+    this.#tasks.recoverWakes();
   }
 
   /** Brings the tasks of a job in line with its record. Returns the claims that are to be stopped from now on. */
@@ -182,7 +182,7 @@
   }
 
   /** The cloud reports that a machine and all that was on it are gone. */
-  gone(name: string, now: number): void {
+  removeMachine(name: string, now: number): void {
     this.#machineTable.markGone(name);
     this.#fencingPeriod.confirm(name);
     const machine = this.machines.get(name);
@@ -244,8 +244,8 @@
   }
 
   /** Whether new tasks may be granted to the machine at all. */
-  takesWork(machine: Machine, now: number): boolean {
-    return this.#machineTable.takesWork(machine, now);
+  mayTakeWork(machine: Machine, now: number): boolean {
+    return this.#machineTable.mayTakeWork(machine, now);
   }
 
   /** The fencing token of every message to this machine now; undefined: to one that has sent no heartbeat yet. */
--- a/packages/core/src/claims/claim-view.ts
+++ b/packages/core/src/claims/claim-view.ts
@@ -46,7 +46,7 @@
   /** What a machine has left after its claims and the orphaned tasks that it reports. */
   freeResources(machine: Machine): Resources;
   /** Whether new tasks may be granted to the machine at all. */
-  takesWork(machine: Machine, now: number): boolean;
+  mayTakeWork(machine: Machine, now: number): boolean;
   /** Whether the machine has missed so many heartbeats that it may have failed. */
   isSuspect(machine: Machine, now: number): boolean;
   /** Whether the job failed wherever it was started, by its record or by what was seen in this partition. */
--- a/packages/core/src/claims/granting.ts
+++ b/packages/core/src/claims/granting.ts
@@ -4,7 +4,7 @@
 import { allowsMachine } from '../cluster/placement-constraints';
 import type { GrantCapacity } from './grant-capacity';
 import type { Job } from '../jobs/jobs';
-import { betterElsewhere } from '../scheduling/placement';
+import { startsSoonerElsewhere } from '../scheduling/placement';
 import type { Machine } from './machine-entry';
 import type { TaskEntry } from './task-entry';
 
@@ -47,6 +47,6 @@
 function mayBind(view: ClaimView, task: TaskEntry, machine: Machine, now: number): boolean {
   if (task.notBefore > now || (task.zone !== null && task.zone !== machine.zone)) return false;
   if (task.job.isGroup) return view.members.mayStart(task, machine);
-  if (!view.mayStart(task) || betterElsewhere(view, task, machine, now)) return false;
+  if (!view.mayStart(task) || startsSoonerElsewhere(view, task, machine, now)) return false;
   return !waitsForCachedImage(task, now, view.clusterConfig) || machine.cache.has(task.job.spec.image);
 }
--- a/packages/core/src/claims/heartbeat-reconciler.ts
+++ b/packages/core/src/claims/heartbeat-reconciler.ts
@@ -107,7 +107,7 @@
       grantedAt: now,
       stage: state,
       runningSince: state === 'running' ? now : null,
-      stopGraceS: task.job.cancelled ? 0 : null,
+      stopGraceS: task.job.isCancelled ? 0 : null,
     });
     this.useImage(machine, task.job);
   }
--- a/packages/core/src/claims/machine-table.ts
+++ b/packages/core/src/claims/machine-table.ts
@@ -98,7 +98,7 @@
   }
 
   /** Whether new tasks may be granted to the machine at all. */
-  takesWork(machine: Machine, now: number): boolean {
+  mayTakeWork(machine: Machine, now: number): boolean {
     return (
       machine.hasCurrentToken &&
       !machine.draining &&
--- a/packages/core/src/claims/member-policy.ts
+++ b/packages/core/src/claims/member-policy.ts
@@ -16,7 +16,7 @@
 }
 
 /** For a table without replica groups: no member is started or returned. */
-export const NO_MEMBERS: MemberPolicy = {
+export const NO_MEMBER_POLICY: MemberPolicy = {
   generationOf: () => 0,
   mayStart: () => false,
   mustReturn: () => false,
--- a/packages/core/src/claims/task-entry.ts
+++ b/packages/core/src/claims/task-entry.ts
@@ -46,7 +46,7 @@
 export interface PlannedPlacement {
   readonly machine: Machine;
   /** How soon it would run there, about; milliseconds. */
-  readonly ms: number;
+  readonly startsInMs: number;
   /** What has to be preempted there first. */
   readonly victims: readonly TaskEntry[];
 }
@@ -82,5 +82,5 @@
   /** Of a member of a replica group: the generation in which it was started here; 0: it was not. */
   startedIn: number;
   /** Not assigned here any more by the newest record, and kept only until its claim ends. */
-  withdrawn: boolean;
+  isWithdrawn: boolean;
 }
--- a/packages/core/src/claims/task-granter.ts
+++ b/packages/core/src/claims/task-granter.ts
@@ -24,7 +24,7 @@
    */
   grant(machine: Machine, now: number): WorkerCommand[] {
     const starts: WorkerCommand[] = [];
-    if (!machine.isMember || !this.view.takesWork(machine, now)) return starts;
+    if (!machine.isMember || !this.view.mayTakeWork(machine, now)) return starts;
     const capacity = new GrantCapacity(this.view.freeResources(machine), this.view.reservations, machine.name);
     for (const task of bindable(this.view, machine, capacity, now)) {
       if (this.attemptNumbers.isExhausted) break;
--- a/packages/core/src/claims/task-table.ts
+++ b/packages/core/src/claims/task-table.ts
@@ -51,12 +51,12 @@
 
   /** The waiting tasks of the job; none of a cancelled one. */
   *waitingTasks(job: Job): Generator<TaskEntry> {
-    if (job.cancelled) return;
+    if (job.isCancelled) return;
     for (const task of this.tasksByJob.get(job.id)?.values() ?? []) if (task.state === 'waiting') yield task;
   }
 
   /** The recovery scan: from now on the jobs that have a waiting task have a wake, and no others. */
-  scan(): void {
+  recoverWakes(): void {
     this.#wakes.clear();
     for (const tasksByIndex of this.tasksByJob.values()) {
       for (const task of tasksByIndex.values()) {
@@ -97,7 +97,7 @@
     // Its urgency may have changed, with that of a job that needs it.
     this.#wakes.reorder();
     this.changes++;
-    if (job?.cancelled === true) stopped.push(...this.#cancel(job));
+    if (job?.isCancelled === true) stopped.push(...this.#cancel(job));
     return stopped;
   }
 
@@ -126,7 +126,7 @@
       isRelocating: false,
       returningVersion: 0,
       startedIn: 0,
-      withdrawn: false,
+      isWithdrawn: false,
     };
     tasksByIndex.set(index, task);
     // A task assigned under this owner's term can be held by nobody yet.
@@ -153,8 +153,8 @@
    * already.
    */
   #withdraw(task: TaskEntry): boolean {
-    if (!task.withdrawn) this.options.alarm('claimed task is not assigned here any more', { task: task.name });
-    task.withdrawn = true;
+    if (!task.isWithdrawn) this.options.alarm('claimed task is not assigned here any more', { task: task.name });
+    task.isWithdrawn = true;
     return this.#stop(task);
   }
 
@@ -163,7 +163,7 @@
    * returned and assigned anew, to another zone, without the record in between having been seen here.
    */
   #reassign(task: TaskEntry, { zone, term }: AssignedTask, now: number): boolean {
-    task.withdrawn = false;
+    task.isWithdrawn = false;
     task.term = term;
     task.zone = zone;
     // Only a newer record proves that the write under way can not be carried out any more.
@@ -185,7 +185,7 @@
     this.options.log('claim ended', { task: task.name, machine: task.claim?.machine.name, why });
     this.transition(task, 'waiting', now);
     const tasksByIndex = this.tasksByJob.get(task.job.id);
-    if (!task.withdrawn || tasksByIndex === undefined) return;
+    if (!task.isWithdrawn || tasksByIndex === undefined) return;
     this.#remove(task, tasksByIndex);
     if (tasksByIndex.size === 0) this.tasksByJob.delete(task.job.id);
   }
--- a/packages/core/src/jobs/dependencies.ts
+++ b/packages/core/src/jobs/dependencies.ts
@@ -46,10 +46,10 @@
       if (dependents === undefined) this.#dependents.set(dependency, new Set([job.id]));
       else dependents.add(job.id);
     }
-    job.ready = this.#isReady(job);
-    if (!job.cancelled && job.spec.awaits.some((id) => this.#isCancelled(id))) job.cancelled = true;
+    job.isReady = this.#isReady(job);
+    if (!job.isCancelled && job.spec.awaits.some((id) => this.#isCancelled(id))) job.isCancelled = true;
     this.#deriveUrgency(job);
-    if (job.cancelled) this.cancelDependents(job.id);
+    if (job.isCancelled) this.cancelDependents(job.id);
     this.#passUrgencyOn(job.spec.awaits);
   }
 
@@ -72,8 +72,8 @@
     }
     for (const dependentId of this.dependentsOf(id)) {
       const job = this.jobs.live.get(dependentId);
-      if (job === undefined || job.ready || !this.#isReady(job)) continue;
-      job.ready = true;
+      if (job === undefined || job.isReady || !this.#isReady(job)) continue;
+      job.isReady = true;
       this.onDerived(dependentId);
     }
   }
@@ -84,8 +84,8 @@
     for (let nextId = cancelledIds.pop(); nextId !== undefined; nextId = cancelledIds.pop()) {
       for (const dependentId of this.dependentsOf(nextId)) {
         const job = this.jobs.live.get(dependentId);
-        if (job === undefined || job.cancelled) continue;
-        job.cancelled = true;
+        if (job === undefined || job.isCancelled) continue;
+        job.isCancelled = true;
         cancelledIds.push(dependentId);
         this.#passUrgencyOn(job.spec.awaits);
         this.onDerived(dependentId);
@@ -103,7 +103,7 @@
 
   /** Whether the job is cancelled, be it over or not. */
   #isCancelled(id: string): boolean {
-    return this.jobs.finals.get(id) === 'cancelled' || this.jobs.live.get(id)?.cancelled === true;
+    return this.jobs.finals.get(id) === 'cancelled' || this.jobs.live.get(id)?.isCancelled === true;
   }
 
   /** Derives the urgency of the dependencies anew and, where it has changed, of what they depend on in turn. */
@@ -128,7 +128,7 @@
     let isInPipeline = spec.awaits.length > 0;
     for (const dependentId of this.dependentsOf(job.id)) {
       const dependent = this.jobs.live.get(dependentId);
-      if (dependent === undefined || dependent.cancelled) continue;
+      if (dependent === undefined || dependent.isCancelled) continue;
       isInPipeline = true;
       priority = Math.min(priority, dependent.effectivePriority);
       endBy = Math.min(endBy, dependent.startBy);
--- a/packages/core/src/jobs/job-table.ts
+++ b/packages/core/src/jobs/job-table.ts
@@ -66,7 +66,7 @@
     job.spec = record.spec;
     job.isGroup = this.isGroup(record.spec);
     job.acceptedAt = record.acceptedAt;
-    job.cancelled = record.cancelled || job.cancelledElsewhere;
+    job.isCancelled = record.cancelled || job.isCancelledElsewhere;
     job.isMarkedCrashLooping = record.isCrashLooping;
     job.assignedRanges = record.assignedRanges;
     job.version = version;
@@ -86,8 +86,8 @@
   markCancelled(id: string): void {
     const job = this.live.get(id);
     if (job === undefined) return;
-    job.cancelledElsewhere = true;
-    job.cancelled = true;
+    job.isCancelledElsewhere = true;
+    job.isCancelled = true;
     this.dependencies.update(job);
   }
 
--- a/packages/core/src/jobs/jobs.ts
+++ b/packages/core/src/jobs/jobs.ts
@@ -14,15 +14,15 @@
   /** Time of day (ms) at which the job was accepted. */
   acceptedAt = 0;
   /** Cancelled itself, or with a job that it needs. */
-  cancelled = false;
+  isCancelled = false;
   /** A peer has reported it as cancelled: true for ever, though the record in our watch cache may not say so yet. */
-  cancelledElsewhere = false;
+  isCancelledElsewhere = false;
   /** Marked in its record: it failed on several machines and was not seen to run. */
   isMarkedCrashLooping = false;
   /** Its tasks are the members of a replica group: they run all together or not at all. */
   isGroup = false;
   /** Whether all jobs that it needs are done; until then it waits and nothing of it is assigned. */
-  ready = true;
+  isReady = true;
   /** Which of its tasks are assigned to which partitions. */
   assignedRanges: readonly AssignedRange[] = [];
   /** Version of its record. */
@@ -57,7 +57,7 @@
   }
 
   /** Whether all of its tasks are finished. */
-  get complete(): boolean {
+  get isComplete(): boolean {
     return this.#finishedTasks.size >= this.spec.tasks;
   }
 
--- a/packages/core/src/ownership/ownership-term.ts
+++ b/packages/core/src/ownership/ownership-term.ts
@@ -132,7 +132,7 @@
    * earlier term: it answers no worker, and the leases that it granted expire within a worker lease from `now`. For
    * owners before it the time of its own failover counts. Brings `fencedUntil` forward, never back.
    */
-  previousOwnerEnded(node: string, now: number, wallNow: number): void {
+  confirmPreviousOwnerEnded(node: string, now: number, wallNow: number): void {
     if (this.#state !== 'held' || this.#previousOwner?.node !== node) return;
     const leasesExpiredAt = now + workerLeaseBoundMs(this.clusterConfig);
     const earlierOwnersEndedAt = this.#endOfEarlierOwners(this.#previousOwner.failoverAt, now, wallNow);
--- a/packages/core/src/scheduling/assignment.ts
+++ b/packages/core/src/scheduling/assignment.ts
@@ -41,7 +41,7 @@
 export function assignTasks(input: AssignmentInput): AssignmentResult {
   const jobs = [...input.jobs];
   const run = new AssignmentRun(input, jobs);
-  const ordered = jobs.filter((job) => job.ready && !job.cancelled).sort(jobOrder);
+  const ordered = jobs.filter((job) => job.isReady && !job.isCancelled).sort(jobOrder);
   if (input.heldBack !== null) for (const job of ordered) run.assignWithinGuarantee(job);
   for (const job of ordered) run.assign(job);
   return run.result();
--- a/packages/core/src/scheduling/group-assignment.ts
+++ b/packages/core/src/scheduling/group-assignment.ts
@@ -93,7 +93,7 @@
       machine: bin.machine.name,
       zone: bin.machine.zone,
       capacity: countFitting(job.spec, available),
-      cost: startCostMs(job, bin, this.input, undefined) + stopMs,
+      costMs: startCostMs(job, bin, this.input, undefined) + stopMs,
     };
   }
 }
--- a/packages/core/src/scheduling/group-planner.ts
+++ b/packages/core/src/scheduling/group-planner.ts
@@ -8,7 +8,7 @@
   /** How many members fit on it. */
   readonly capacity: number;
   /** About how soon a member would run there, in milliseconds. */
-  readonly cost: number;
+  readonly costMs: number;
 }
 
 /** Machines for the members of a replica group. */
--- a/packages/core/src/scheduling/placement-planner.ts
+++ b/packages/core/src/scheduling/placement-planner.ts
@@ -45,7 +45,7 @@
 function plannableResources(claimTable: ClaimView, now: number): Map<Machine, Resources> {
   const freeByMachine = new Map<Machine, Resources>();
   for (const machine of claimTable.machines.values()) {
-    if (!claimTable.takesWork(machine, now)) continue;
+    if (!claimTable.mayTakeWork(machine, now)) continue;
     let available = claimTable.freeResources(machine);
     // What is stopping is free soon: counted now, so that nothing more is preempted for the same task.
     for (const task of machine.claims.values())
@@ -99,7 +99,7 @@
 function reservedPlacement({ claimTable, freeByMachine }: PlanningRun, task: TaskEntry): PlannedPlacement | null {
   const name = claimTable.reservations.reservedMachineFor(task.name);
   const machine = name === null ? undefined : claimTable.machines.get(name);
-  return machine === undefined || !freeByMachine.has(machine) ? null : { machine, ms: 0, victims: [] };
+  return machine === undefined || !freeByMachine.has(machine) ? null : { machine, startsInMs: 0, victims: [] };
 }
 
 /**
@@ -112,7 +112,7 @@
     for (const task of claimTable.waitingTasks(job)) {
       const machine = machineToStartOn(claimTable, task, now);
       if (machine === null || !machine.isMember) continue;
-      if (claimTable.takesWork(machine, now) && claimTable.mayRequestHeartbeat(machine, now)) machines.add(machine);
+      if (claimTable.mayTakeWork(machine, now) && claimTable.mayRequestHeartbeat(machine, now)) machines.add(machine);
     }
   }
   return machines;
--- a/packages/core/src/scheduling/placement.ts
+++ b/packages/core/src/scheduling/placement.ts
@@ -49,7 +49,7 @@
     if (readyMs >= bestCostMs) continue;
     const placement = placementOn(context, task, machine, available, readyMs, mayPreempt);
     if (placement === null) continue;
-    const costMs = placement.ms + tightnessCostMs(heartbeatIntervalMs, available, type);
+    const costMs = placement.startsInMs + tightnessCostMs(heartbeatIntervalMs, available, type);
     if (costMs < bestCostMs) {
       best = placement;
       bestCostMs = costMs;
@@ -67,18 +67,18 @@
   readyMs: number,
   mayPreempt: boolean,
 ): PlannedPlacement | null {
-  if (fitsIn(task.job.spec, available)) return { machine, ms: readyMs, victims: [] };
+  if (fitsIn(task.job.spec, available)) return { machine, startsInMs: readyMs, victims: [] };
   const victims = mayPreempt ? leastVictims(machine, task, available, preempted) : null;
   if (victims === null) return null;
   // Until they have stopped, and their lost work. A preempted replica is missed at once, so that is for when the task
   // fits nowhere else.
   let ms = readyMs + (STOP_MS + claimTable.clusterConfig.heartbeatIntervalMs * (victims.length / 2));
   for (const victim of victims) if (victim.job.spec.kind === 'service') ms += SERVICE_VICTIM_MS;
-  return { machine, ms, victims };
+  return { machine, startsInMs: ms, victims };
 }
 
 /** Whether the machine whose heartbeat came passes on a task that would run sooner on the machine it is planned for. */
-export function betterElsewhere(claimTable: ClaimView, task: TaskEntry, machine: Machine, now: number): boolean {
+export function startsSoonerElsewhere(claimTable: ClaimView, task: TaskEntry, machine: Machine, now: number): boolean {
   const { spec } = task.job;
   const { heartbeatIntervalMs } = claimTable.clusterConfig;
   const imageMs = fetchMs(spec.imageGb, machine.cache.has(spec.image), claimTable.typeOf(machine));
@@ -86,8 +86,8 @@
   // Not planned yet: that comes with the next tick.
   if (task.plan === null) return now - task.since < heartbeatIntervalMs / 2;
   return (
-    task.plan.ms < imageMs &&
-    claimTable.takesWork(task.plan.machine, now) &&
+    task.plan.startsInMs < imageMs &&
+    claimTable.mayTakeWork(task.plan.machine, now) &&
     now - task.since < imageMs + heartbeatIntervalMs * PASS_ON_INTERVALS
   );
 }
--- a/packages/core/src/scheduling/probe-schedule.ts
+++ b/packages/core/src/scheduling/probe-schedule.ts
@@ -62,7 +62,7 @@
    * The job's record does not mark it as crash-looping any more. If it fails again, its next probe has to run for
    * longer.
    */
-  markRemoved(job: string): void {
+  recordMarkRemoved(job: string): void {
     const probe = this.#probesByJob.get(job);
     if (probe === undefined) return;
     probe.provenAfterMs = Math.min(
--- a/packages/core/test/autoscaler.test.ts
+++ b/packages/core/test/autoscaler.test.ts
@@ -336,7 +336,7 @@
   const plan = (team: string, spot: boolean): AutoscalerPlan => {
     const autoscaler = new Autoscaler({ ...clusterConfig, teams }, 1, { ...limits, headroom: 0.1 });
     for (const zone of type.zones)
-      autoscaler.capacityRefused({ request: 'r', type: 'box', zone, spot: true, count: 1 }, 0);
+      autoscaler.recordCapacityRefusal({ request: 'r', type: 'box', zone, spot: true, count: 1 }, 0);
     const job = new Job('j-1');
     job.spec = specOf('j-1', { team, spot, gpus: 4 });
     const unschedulable = [{ job, count: 2, zones: null }];
--- a/packages/core/test/dependencies.test.ts
+++ b/packages/core/test/dependencies.test.ts
@@ -75,9 +75,9 @@
     const job = table.live.get(id);
     assert.equal(job !== undefined, state === 'live');
     if (job === undefined) continue;
-    assert.equal(job.cancelled, model.isCancelled(id), `${id} cancelled`);
-    assert.equal(job.ready, model.isReady(id), `${id} ready`);
-    if (job.cancelled) continue;
+    assert.equal(job.isCancelled, model.isCancelled(id), `${id} cancelled`);
+    assert.equal(job.isReady, model.isReady(id), `${id} ready`);
+    if (job.isCancelled) continue;
     assert.equal(job.effectivePriority, model.effectivePriority(id), `${id} priority`);
     assert.equal(job.startBy, model.startBy(id), `${id} latest start`);
   }
@@ -86,7 +86,9 @@
 /** Every job that looks different afterwards; the job itself whose record is applied is reported by the caller. */
 function derivedBy(table: JobTable, apply: () => void): { notified: Set<string>; changed: Set<string> } {
   const look = (): Map<string, string> =>
-    new Map([...table.live.values()].map((j) => [j.id, [j.ready, j.cancelled, j.effectivePriority, j.startBy].join()]));
+    new Map(
+      [...table.live.values()].map((j) => [j.id, [j.isReady, j.isCancelled, j.effectivePriority, j.startBy].join()]),
+    );
   const before = look();
   const notified = new Set<string>();
   table.onDerived = (id) => notified.add(id);
@@ -175,7 +177,7 @@
   accept('j-3', ['j-2']);
   table.markCancelled('j-1');
   accept('j-4', ['j-3']);
-  for (const job of table.live.values()) assert.ok(job.cancelled, job.id);
+  for (const job of table.live.values()) assert.ok(job.isCancelled, job.id);
 });
 
 test('a long chain of jobs is cancelled without exhausting the stack', () => {
@@ -194,7 +196,7 @@
     table.applyJob(spec.id, jobRecord.write(record), i + 1);
   }
   table.applyJob('j-0', jobRecord.write({ final: 'cancelled' }), length + 1);
-  assert.equal([...table.live.values()].filter((job) => job.cancelled).length, length - 1);
+  assert.equal([...table.live.values()].filter((job) => job.isCancelled).length, length - 1);
 });
 
 test('in one urgency the pipeline with the least time left goes first, and other jobs as they came', () => {
--- a/packages/core/test/ownership.test.ts
+++ b/packages/core/test/ownership.test.ts
@@ -349,10 +349,10 @@
       const acquiredAt = firstTakenAt + ttl + reign;
       const third = take(ownershipOf('c'), clusterState, 3, acquiredAt);
       const waiting = third.fencedUntil;
-      third.previousOwnerEnded('a', acquiredAt + asked, WALL + acquiredAt + asked);
+      third.confirmPreviousOwnerEnded('a', acquiredAt + asked, WALL + acquiredAt + asked);
       assert.equal(third.fencedUntil, waiting, 'it was not the owner before');
       const saidAt = acquiredAt + asked;
-      third.previousOwnerEnded('b', saidAt, WALL + saidAt);
+      third.confirmPreviousOwnerEnded('b', saidAt, WALL + saidAt);
       const gone = Math.max(
         saidAt + clusterConfig.workerLeaseMs,
         firstTakenAt + maxAnswerContactAgeMs(clusterConfig) + clusterConfig.workerLeaseMs,
@@ -387,7 +387,7 @@
     // The first owner may have read for the last time just before another acquired the resource.
     const gone = carriedOut + maxAnswerContactAgeMs(clusterConfig) + clusterConfig.workerLeaseMs;
     assert.ok(after.fencedUntil >= gone, `${node}: may run until ${gone}, fenced until ${after.fencedUntil}`);
-    after.previousOwnerEnded('b', now + 100, WALL + now + 100);
+    after.confirmPreviousOwnerEnded('b', now + 100, WALL + now + 100);
     assert.ok(after.fencedUntil >= gone, `${node}, asked: may run until ${gone}, fenced until ${after.fencedUntil}`);
   }
 });
--- a/packages/core/test/probe-schedule.test.ts
+++ b/packages/core/test/probe-schedule.test.ts
@@ -96,12 +96,12 @@
   const first = provenAfter(1000);
   const { assignments } = assign(9000);
   assert.ok(assignments.flatMap((a) => a.added).reduce((n, range) => n + range.count, 0) > 1);
-  probes.markRemoved(spec.id);
+  probes.recordMarkRemoved(spec.id);
   running(10_000, 0);
   assert.equal(probes.isProven(spec.id), false);
   assert.ok(provenAfter(11_000) >= first * 2);
   // One that is interrupted begins anew.
-  probes.markRemoved(spec.id);
+  probes.recordMarkRemoved(spec.id);
   running(60_000, 1);
   running(61_000, 0);
   running(62_000, 1);
--- a/packages/daemon/src/api/job-api.ts
+++ b/packages/daemon/src/api/job-api.ts
@@ -9,7 +9,7 @@
   jobRecord,
   type JobSpec,
   KEYS,
-  mostMembers,
+  maxGroupMembers,
 } from '@gingerlock/wire';
 import type { ControllerContext } from '../controller/controller-context';
 import { cancelledJobValue, jobStateOf, newJobRecord, unfitDependency } from './job-records';
@@ -74,7 +74,7 @@
     if (refused !== null) return refused;
     const waitMs = keyValueStore.options.rateLimiter.waitMs(URGENCY.accept);
     if (waitMs > PATIENCE_MS) return refusal(429, 'too many requests', Math.ceil(waitMs / 1000));
-    const value = jobRecord.write(newJobRecord(spec, this.#jobs, clock.wall()));
+    const value = jobRecord.write(newJobRecord(spec, this.#jobs, clock.wallNow()));
     if (Buffer.byteLength(JSON.stringify(value)) > settings.valueBytes * (1 - RANGES_SHARE))
       return refusedUnlessKnown(await this.poll(id), 'the description is too long, or too many jobs to wait for');
     const key = KEYS.job(id);
@@ -100,7 +100,7 @@
   /** Why the job can never run; null: it can. */
   #impossibleReason(spec: JobSpec): string | null {
     const { clusterConfig, features, valueBytes } = this.context.settings;
-    const maxMembers = mostMembers(valueBytes);
+    const maxMembers = maxGroupMembers(valueBytes);
     if (isGroupSpec(features.replicaGroups, spec) && spec.tasks > maxMembers)
       return `a replica group has ${maxMembers} members at the most`;
     return unschedulableReason(spec, clusterConfig, [...this.context.clusterState.types.values()]);
@@ -143,7 +143,7 @@
         const reply = await this.poll(id);
         if (reply.status !== 200) return reply;
         job = this.#jobs.live.get(id);
-        if (job === undefined || job.cancelled) break;
+        if (job === undefined || job.isCancelled) break;
       }
       const key = KEYS.job(id);
       const changes = [{ put: key, value: cancelledJobValue(job, isTooLarge) }];
@@ -166,7 +166,7 @@
         return this.#unavailable();
       }
     }
-    if (this.#jobs.live.get(id)?.cancelled === true) context.announcements.jobCancelled(id);
+    if (this.#jobs.live.get(id)?.isCancelled === true) context.announcements.jobCancelled(id);
     return this.#reply(id, 200);
   }
 
@@ -176,7 +176,7 @@
 
   /** Whether what the watch cache says of the job can't change any more. */
   #isFinal(id: string): boolean {
-    return this.#jobs.finals.has(id) || this.#jobs.live.get(id)?.cancelled === true;
+    return this.#jobs.finals.has(id) || this.#jobs.live.get(id)?.isCancelled === true;
   }
 
   /** Replies with the job's state in the watch cache and the given status, or 404. */
--- a/packages/daemon/src/api/job-records.ts
+++ b/packages/daemon/src/api/job-records.ts
@@ -47,7 +47,7 @@
   if (final !== undefined) return { id, status: final };
   const job = jobs.live.get(id);
   if (job === undefined) return null;
-  if (job.cancelled) return { id, status: 'cancelled' };
+  if (job.isCancelled) return { id, status: 'cancelled' };
   const running = runningTasks(id);
   return { id, status: running > 0 ? 'running' : 'queued', done: job.finishedCount, running };
 }
--- a/packages/daemon/src/api/rendezvous.ts
+++ b/packages/daemon/src/api/rendezvous.ts
@@ -50,7 +50,7 @@
     const job = clusterState.jobs.live.get(id);
     const record = job?.isGroup === true ? clusterState.groups.get(id)?.record : undefined;
     const isServing = record?.state === 'serving' && record.members[rank]?.attempt === attempt;
-    if (record === undefined || !isServing || job!.cancelled) return this.#notServing(record);
+    if (record === undefined || !isServing || job!.isCancelled) return this.#notServing(record);
     const hosts = record.members.map(({ partitionId, machine }) =>
       hostOf(clusterState.addressOf(partitionId, machine) ?? ''),
     );
--- a/packages/daemon/src/controller/composition.ts
+++ b/packages/daemon/src/controller/composition.ts
@@ -78,7 +78,7 @@
   const workerConnectivity = new WorkerConnectivity(clusterConfig, clock.now());
   const handover = new OwnershipHandover({ context, owned, statuses, claimLists, groupReports, http });
   const liveness: PeerLiveness = {
-    isAlive: (node) => link.alive(node),
+    isAlive: (node) => link.isAlive(node),
     wasSeen: (node) => peerFailureDetector.wasSeen(node),
     isHealthy: (node, forMs) => peerFailureDetector.isHealthy(node, forMs),
   };
@@ -148,7 +148,7 @@
   const { clusterConfig } = settings;
   const { heartbeatIntervalMs } = clusterConfig;
   const share = STORE_RATE_SHARE / clusterConfig.controllerCount;
-  const rateLimiter = new RateLimiter(clock, settings.stateRps * share, settings.stateWriteRps * share);
+  const rateLimiter = new RateLimiter(clock, settings.storeRequestsPerS * share, settings.storeWritesPerS * share);
   const keyValueStore = new KeyValueStore({
     http,
     addr: settings.state,
@@ -162,7 +162,7 @@
     prefix: PREFIX,
     minIntervalMs: Math.max(
       heartbeatIntervalMs / MAX_READS_PER_HEARTBEAT_INTERVAL,
-      (REQUESTS_PER_READ * 1000) / (settings.stateRps * share),
+      (REQUESTS_PER_READ * 1000) / (settings.storeRequestsPerS * share),
     ),
     idleIntervalMs: heartbeatIntervalMs / IDLE_READS_PER_HEARTBEAT_INTERVAL,
     onChange: (key, value, version) => {
--- a/packages/daemon/src/controller/controller-context.ts
+++ b/packages/daemon/src/controller/controller-context.ts
@@ -117,7 +117,7 @@
 
   /** An empty count of a transaction's entries against what the key-value store accepts at once. */
   transactionSizeLimit(): TransactionSizeLimit {
-    return new TransactionSizeLimit(this.settings.txnOps);
+    return new TransactionSizeLimit(this.settings.maxTransactionOps);
   }
 
   /** Whether the watch cache is complete and was read lately. */
--- a/packages/daemon/src/controller/peer-handlers.ts
+++ b/packages/daemon/src/controller/peer-handlers.ts
@@ -93,7 +93,7 @@
       const owns = ownership.ownsAfterQuery(partitionId, term);
       peers.send(from, { kind: 'OwnershipAnswer', id, owns });
     },
-    OwnershipAnswer: (from, message, now) => previousOwners.onAnswer(from, message, now, context.clock.wall()),
+    OwnershipAnswer: (from, message, now) => previousOwners.onAnswer(from, message, now, context.clock.wallNow()),
     Relay: (from, message) => relay.onRelay(from, message),
     RelayAnswer: (_from, message) => relay.onAnswer(message),
   };
--- a/packages/daemon/src/leader/autoscaling-loop.ts
+++ b/packages/daemon/src/leader/autoscaling-loop.ts
@@ -8,7 +8,7 @@
   type MachineType,
   machineTypesMap,
   type RentRequest,
-  RETURN_MOST,
+  MAX_MACHINES_PER_RETURN,
 } from '@gingerlock/wire';
 import { MachineTypeCatalog } from './machine-type-catalog';
 import type { ControllerContext } from '../controller/controller-context';
@@ -168,7 +168,7 @@
     const list = await this.#cloud.types();
     this.#typesReadAt = clock.now();
     // Before the machines have been listed it is not known which types are used.
-    const isUsed = (type: string): boolean => !this.#hasListed || this.#autoscaler.has(type);
+    const isUsed = (type: string): boolean => !this.#hasListed || this.#autoscaler.hasMachineOfType(type);
     await this.#storeTypes(this.#machineTypes.read(list, clusterState.types.values(), isUsed));
   }
 
@@ -206,7 +206,7 @@
     });
     this.#drain = plan.drain;
     this.#logFigures(statuses, now);
-    if (plan.scaleIn.length > 0) await this.#scaleIn(plan.scaleIn.slice(0, RETURN_MOST));
+    if (plan.scaleIn.length > 0) await this.#scaleIn(plan.scaleIn.slice(0, MAX_MACHINES_PER_RETURN));
     for (const request of plan.scaleOut) {
       // While the cloud was asked, the leadership may have been lost or this process have stalled: the next leader
       // scales out too.
@@ -222,7 +222,7 @@
     const { clusterConfig, clusterState } = this.context;
     const isEveryPartitionKnown = statuses.length === (clusterState.meta?.partitionCount ?? Infinity);
     const hadTimeToHear = now - this.#listeningSince >= clusterConfig.heartbeatIntervalMs * FLEET_KNOWN_INTERVALS;
-    const isFleetKnown = hadTimeToHear || this.#autoscaler.hasHeardAll(statuses);
+    const isFleetKnown = hadTimeToHear || this.#autoscaler.hasStatusOfAll(statuses);
     return this.#hasListed && isEveryPartitionKnown && isFleetKnown && this.#machineTypes.current.size > 0;
   }
 
@@ -252,13 +252,13 @@
         return;
       }
       if (result.kind === 'no capacity') {
-        this.#autoscaler.capacityRefused(request, clock.now());
+        this.#autoscaler.recordCapacityRefusal(request, clock.now());
         log.info({ ...request }, 'scale-out refused: no capacity');
         return;
       }
       log.info({ ...request, why: result.why }, 'scale-out unanswered');
       await sleep(clock, clusterConfig.heartbeatIntervalMs / 2);
     }
-    this.#autoscaler.capacityRefused(request, clock.now());
+    this.#autoscaler.recordCapacityRefusal(request, clock.now());
   }
 }
--- a/packages/daemon/src/leader/borrowing-feature.ts
+++ b/packages/daemon/src/leader/borrowing-feature.ts
@@ -49,7 +49,7 @@
 
   /** The ranges that get the reclaimed resources and the record of the reclaim go into one transaction. */
   addPlacements(batch: JobBatch, { result, statuses }: AssignmentOutcome): AddedPlacements {
-    const freeChanges = this.context.settings.txnOps - batch.changes.length;
+    const freeChanges = this.context.settings.maxTransactionOps - batch.changes.length;
     const decisions = this.borrowing.plan({
       result: { ...result, unschedulable: result.unschedulable.filter(({ job }) => !job.isGroup) },
       statuses,
--- a/packages/daemon/src/leader/borrowing-log.ts
+++ b/packages/daemon/src/leader/borrowing-log.ts
@@ -63,7 +63,7 @@
 
 /** How a team stands, as fields of a log line; all but its name in GPUs. */
 function accountFigures(account: TeamAccount): Record<string, number | string> {
-  const { team, low, high, waiting } = account;
+  const { team, surelyUsed: low, possiblyUsed: high, unschedulable: waiting } = account;
   const gpusOf = (resources: Resources): number => Math.round(resources.gpus * 1000) / 1000;
   return {
     team: team.name,
--- a/packages/daemon/src/leader/crash-loop-probes.ts
+++ b/packages/daemon/src/leader/crash-loop-probes.ts
@@ -15,7 +15,9 @@
   /** Updates the schedule from the jobs that are marked and the tasks that run now. */
   review(statuses: readonly PartitionStatus[], now: number): void {
     const { live } = this.context.clusterState.jobs;
-    const crashLooping = [...live.values()].filter((job) => job.isCrashLooping && !job.cancelled).map((job) => job.id);
+    const crashLooping = [...live.values()]
+      .filter((job) => job.isCrashLooping && !job.isCancelled)
+      .map((job) => job.id);
     const runningByJob = new Map<string, number>();
     for (const { running } of statuses)
       for (const [job, tasks] of running) runningByJob.set(job, (runningByJob.get(job) ?? 0) + tasks);
@@ -39,8 +41,8 @@
   removeMarks(batch: JobBatch): void {
     const { clusterState, settings } = this.context;
     for (const job of clusterState.jobs.live.values()) {
-      if (batch.changes.length >= settings.txnOps) return;
-      if (!job.isCrashLooping || job.cancelled || batch.jobs.has(job.id) || this.mustBeProbed(job)) continue;
+      if (batch.changes.length >= settings.maxTransactionOps) return;
+      if (!job.isCrashLooping || job.isCancelled || batch.jobs.has(job.id) || this.mustBeProbed(job)) continue;
       if (!batch.put(job, recordWith(job, false, []))) return;
     }
   }
@@ -51,6 +53,6 @@
       if (!batch.jobs.has(job.id) || !job.isMarkedCrashLooping) continue;
       if (this.mustBeProbed(job)) this.schedule.probeStarted(job.id, added[0]!.partitionId, now);
     }
-    for (const id of batch.jobs) if (this.schedule.isProven(id)) this.schedule.markRemoved(id);
+    for (const id of batch.jobs) if (this.schedule.isProven(id)) this.schedule.recordMarkRemoved(id);
   }
 }
--- a/packages/daemon/src/leader/job-closing.ts
+++ b/packages/daemon/src/leader/job-closing.ts
@@ -8,8 +8,8 @@
  * null: open.
  */
 function finalStateOf(job: Job): 'done' | 'cancelled' | null {
-  if (job.cancelled) return assignedUnfinished(job) === 0 ? 'cancelled' : null;
-  return job.spec.kind === 'array' && job.complete ? 'done' : null;
+  if (job.isCancelled) return assignedUnfinished(job) === 0 ? 'cancelled' : null;
+  return job.spec.kind === 'array' && job.isComplete ? 'done' : null;
 }
 
 /** Closes as many of the jobs that are over as the transaction has space for. */
--- a/packages/daemon/src/leader/leader-borrowing.ts
+++ b/packages/daemon/src/leader/leader-borrowing.ts
@@ -12,9 +12,9 @@
 } from '@gingerlock/borrowing';
 import { type AssignmentResult, type Job, type PartitionStatus, STOP_MS, type OwnershipTerm } from '@gingerlock/core';
 import { KEYS, type ReclaimRecord, parseTaskName } from '@gingerlock/wire';
-import { BorrowingLog } from './borrowing-log';
 import type { ClaimLists } from '../peers/claim-lists';
 import type { ControllerContext } from '../controller/controller-context';
+import { BorrowingLog } from './borrowing-log';
 
 /** For how many heartbeat intervals a list of claims counts as current. */
 const CLAIMS_INTERVALS = 2;
@@ -82,7 +82,7 @@
       free: view.result.free,
       claims: this.#claims(view.statuses),
       pending: this.#pending(),
-      most: view.maxReclaims,
+      maxDecisions: view.maxReclaims,
       scaleOutMs: view.scaleOutMs,
       stopMs: STOP_MS + clusterConfig.heartbeatIntervalMs / 2,
     });
@@ -112,7 +112,7 @@
   /** The record of a decision, under a name that is never used again: it carries the leader's term. */
   recordOf({ job, tasks, machine, victims, reason, placements }: Decision): StoredReclaim {
     const id = `${this.ownershipTerm.term}-${++this.#counter}`;
-    const decidedAt = Math.round(this.context.clock.wall());
+    const decidedAt = Math.round(this.context.clock.wallNow());
     return {
       key: KEYS.reclaim(placements[0]!.partitionId, id),
       record: { machine, job: job.id, tasks, victims, decidedAt, reason },
@@ -133,7 +133,7 @@
   /** Reclaims that have been stored for far longer than carrying them out may take: their owners do not. */
   abandoned(): AbandonedReclaim[] {
     const { clusterState, clock } = this.context;
-    const wall = clock.wall();
+    const wall = clock.wallNow();
     const found: AbandonedReclaim[] = [];
     for (const [partitionId, ofPartition] of clusterState.reclaims) {
       for (const [id, { record, version }] of ofPartition) {
--- a/packages/daemon/src/leader/leader-groups.ts
+++ b/packages/daemon/src/leader/leader-groups.ts
@@ -103,7 +103,7 @@
       settings: this.settings,
       clusterConfig,
       types: clusterState.types,
-      wall: clock.wall(),
+      wallNow: clock.wallNow(),
       storedForMs: stored === null ? 0 : clock.now() - this.#knownSince(job.id, stored.version),
       longestSaveS: this.#longestSaveS,
       reportOf: (partitionId) => {
@@ -144,7 +144,7 @@
     const demand: UnschedulableDemand[] = [];
     for (const [id, { record }] of clusterState.groups) {
       const job = clusterState.jobs.live.get(id);
-      if (record.state !== 'ending' || job === undefined || job.cancelled || !job.isGroup) continue;
+      if (record.state !== 'ending' || job === undefined || job.isCancelled || !job.isGroup) continue;
       const count = record.members.filter(({ machine }) => machine === record.avoid).length;
       if (count > 0) demand.push({ job, count, zones: job.spec.zone === null ? null : [job.spec.zone] });
     }
@@ -210,10 +210,10 @@
   /** False: it fits neither the transaction nor the records. */
   #addReservation(batch: JobBatch, { job, members }: GroupPlacement): boolean {
     const { clusterState, clock, log, settings } = this.context;
-    if (batch.changes.length + CHANGES_PER_RESERVATION > settings.txnOps) return false;
+    if (batch.changes.length + CHANGES_PER_RESERVATION > settings.maxTransactionOps) return false;
     const stored = this.#stored(job);
     const reserved = members.map(({ partitionId, machine }) => ({ partitionId, machine, attempt: null }));
-    const next = reserve(stored?.record ?? null, reserved, Math.round(clock.wall()));
+    const next = reserve(stored?.record ?? null, reserved, Math.round(clock.wallNow()));
     const value = groupRecord.write(next);
     const ranks = members.map((_, rank) => rank);
     const record = recordWith(job, false, assignedRangesOf(ranks, members));
--- a/packages/daemon/src/leader/leader.ts
+++ b/packages/daemon/src/leader/leader.ts
@@ -179,7 +179,7 @@
       pendingAssignments: this.#pendingAssignments.all,
       clusterConfig,
       types: clusterState.types,
-      maxAssignments: settings.txnOps - batch.changes.length,
+      maxAssignments: settings.maxTransactionOps - batch.changes.length,
       ...rules,
     });
   }
--- a/packages/daemon/src/leader/waiting-groups.ts
+++ b/packages/daemon/src/leader/waiting-groups.ts
@@ -31,11 +31,11 @@
       this.#waitingByJob.set(demand.job.id, waiting);
       if (now - waiting.loggedAt < this.context.clusterConfig.workerLeaseMs) continue;
       waiting.loggedAt = now;
-      this.#log(demand, now - waiting.since);
+      this.#logUnschedulable(demand, now - waiting.since);
     }
   }
 
-  #log({ job, count, zones }: UnschedulableDemand, waitedMs: number): void {
+  #logUnschedulable({ job, count, zones }: UnschedulableDemand, waitedMs: number): void {
     const { team, tasks, cpus, gpus, memoryGb } = job.spec;
     const detail = { job: job.id, team, members: tasks, missing: count, each: { cpus, gpus, memoryGb }, zones };
     this.context.log.info({ ...detail, waitedMs: Math.round(waitedMs) }, 'group unschedulable');
--- a/packages/daemon/src/owner/owner-reclaims.ts
+++ b/packages/daemon/src/owner/owner-reclaims.ts
@@ -17,7 +17,9 @@
     readonly context: ControllerContext,
     readonly partitionId: number,
   ) {
-    this.reservations = new PartitionReclaims({ moved: (reclaim, detail) => this.#logTransition(reclaim, detail) });
+    this.reservations = new PartitionReclaims({
+      stateChanged: (reclaim, detail) => this.#logTransition(reclaim, detail),
+    });
   }
 
   attach(table: ClaimTable): void {
@@ -33,7 +35,7 @@
     const { clusterState, clock } = this.context;
     const records = new Map([...clusterState.reclaimsOf(this.partitionId)].map(([id, { record }]) => [id, record]));
     this.reservations.sync(records);
-    const stopped = this.reservations.step(table, clock.wall(), now);
+    const stopped = this.reservations.step(table, clock.wallNow(), now);
     if (stopped.length > 0) table.noteChange();
     return stopped;
   }
--- a/packages/daemon/src/owner/partition-owner.ts
+++ b/packages/daemon/src/owner/partition-owner.ts
@@ -112,7 +112,7 @@
     this.#announcements.tick(now);
     if (now - this.#scannedAt > this.context.scanMs) {
       this.#scannedAt = now;
-      this.claimTable.scan();
+      this.claimTable.recoverWakes();
     }
     for (const feature of this.#features) if (this.isOwner()) this.#sendStops(feature.step(this.claimTable, now));
     if (this.#isPlacementDue(now)) this.#placeTasks(now);
@@ -175,7 +175,7 @@
 
   /** The cloud says that the machine is gone. */
   gone(name: string): void {
-    this.claimTable.gone(name, this.context.clock.now());
+    this.claimTable.removeMachine(name, this.context.clock.now());
     this.#writes.membership.removals.add(name);
   }
 
--- a/packages/daemon/src/owner/partition-status.ts
+++ b/packages/daemon/src/owner/partition-status.ts
@@ -15,7 +15,7 @@
 /**
  * Reported as the silence of a machine that has no lease with its owner: longer than any time that it is compared with.
  */
-const NEVER_HEARD_MS = 1e9;
+const NO_HEARTBEAT_MS = 1e9;
 
 /** The status of a partition; `freeByMachine`: what the last placement has left of each machine that takes work. */
 export function partitionStatusOf(
@@ -60,13 +60,13 @@
     free: free ?? NO_RESOURCES,
     byPriority: usedByPriority(machine, planned),
     images: machine.cache.images(),
-    takesWork: claimTable.takesWork(machine, now) && free !== undefined,
+    takesWork: claimTable.mayTakeWork(machine, now) && free !== undefined,
     draining,
     evictionNotice,
     isQuarantined: claimTable.isQuarantined(machine),
     empty: isKnownEmpty(machine),
     emptyMs: now - machine.emptySince,
-    silentMs: Math.min(claimTable.silentMs(machine, now), NEVER_HEARD_MS),
+    silentMs: Math.min(claimTable.silentMs(machine, now), NO_HEARTBEAT_MS),
   };
 }
 
--- a/packages/daemon/src/owner/task-writes.ts
+++ b/packages/daemon/src/owner/task-writes.ts
@@ -94,7 +94,7 @@
   }
 
   #recordWithout(job: Job, tasks: readonly TaskEntry[]): unknown {
-    const { spec, acceptedAt, cancelled } = job;
+    const { spec, acceptedAt, isCancelled: cancelled } = job;
     const returnedIndexes = new Set(tasks.map(({ index }) => index));
     const left = withoutTasks(job.assignedRanges, this.partitionId, returnedIndexes);
     // Finished tasks are off their machines: a cancelled job of which only they remain has nothing left to wait for.
--- a/packages/daemon/src/ownership/ownership-manager.ts
+++ b/packages/daemon/src/ownership/ownership-manager.ts
@@ -74,7 +74,7 @@
     const { context } = this;
     const lease = context.leaseValid() ? context.leaseId : null;
     const view = context.clusterState.view(ownership.resource);
-    const decision = ownership.decide(view, lease, this.#clock.now(), this.#clock.wall());
+    const decision = ownership.decide(view, lease, this.#clock.now(), this.#clock.wallNow());
     switch (decision.kind) {
       case 'none':
         return;
@@ -100,7 +100,7 @@
       ownership.failed(attempt);
       return;
     }
-    const ownershipTerm = ownership.acquired(attempt, revision, doneAt, this.#clock.now(), this.#clock.wall());
+    const ownershipTerm = ownership.acquired(attempt, revision, doneAt, this.#clock.now(), this.#clock.wallNow());
     if (ownershipTerm === null) return;
     const { resource, term, fencedUntil } = ownershipTerm;
     context.log.info(
--- a/packages/daemon/src/ownership/previous-owners.ts
+++ b/packages/daemon/src/ownership/previous-owners.ts
@@ -55,7 +55,7 @@
     const query = this.#openById.get(id);
     const owner = query === undefined ? undefined : this.ownersById.get(query.partitionId);
     if (query === undefined || owns || owner?.ownershipTerm.term !== query.term) return;
-    owner.ownershipTerm.previousOwnerEnded(from, now, wallNow);
+    owner.ownershipTerm.confirmPreviousOwnerEnded(from, now, wallNow);
     owner.claimTable.fencedUntil = owner.ownershipTerm.fencedUntil;
   }
 }
--- a/packages/daemon/src/peers/heartbeat-relay.ts
+++ b/packages/daemon/src/peers/heartbeat-relay.ts
@@ -125,7 +125,7 @@
   #isCutOff(owner: string, partitionId: number, machine: string, last: Redirection | undefined, now: number): boolean {
     if (last?.owner === owner && now - last.at < this.settings.clusterConfig.workerLeaseMs) return true;
     const { peers } = this;
-    const seemsDead = !peers.alive(owner) && peers.nodes.some((node) => peers.alive(node));
+    const seemsDead = !peers.isAlive(owner) && peers.nodes.some((node) => peers.isAlive(node));
     return seemsDead || this.routing.missedByOwner(partitionId, machine);
   }
 
@@ -134,7 +134,7 @@
     const { peers } = this;
     const id = peers.nextRequestId();
     const message: PeerMessage = { kind: 'Relay', id, from: this.settings.node, to: owner, body };
-    const via = peers.alive(owner) ? owner : peers.nodes.find((node) => node !== owner && peers.alive(node));
+    const via = peers.isAlive(owner) ? owner : peers.nodes.find((node) => node !== owner && peers.isAlive(node));
     if (via === undefined || !peers.send(via, message)) {
       return Promise.resolve(refusal(503, 'owner is out of reach'));
     }
@@ -162,7 +162,7 @@
     if (message.to === this.settings.node) {
       this.#answer(from, message, this.#replyAsOwner(message.body));
     } else if (from === message.from && peers.nodes.includes(message.to)) {
-      if (peers.alive(message.to) && peers.send(message.to, { kind: 'Relay', ...message })) return;
+      if (peers.isAlive(message.to) && peers.send(message.to, { kind: 'Relay', ...message })) return;
       this.#answer(from, message, refusal(503, 'owner is out of reach'));
     }
   }
--- a/packages/daemon/src/peers/peer-channel.ts
+++ b/packages/daemon/src/peers/peer-channel.ts
@@ -17,8 +17,8 @@
   }
 
   /** Whether the connection to the controller is alive. */
-  alive(node: string): boolean {
-    return this.link.alive(node);
+  isAlive(node: string): boolean {
+    return this.link.isAlive(node);
   }
 
   /** Sends one message; false: there is no connection. */
--- a/packages/daemon/src/peers/peer-failure-detector.ts
+++ b/packages/daemon/src/peers/peer-failure-detector.ts
@@ -38,7 +38,7 @@
 
   /** Records which controllers have fallen silent. */
   tick(): void {
-    for (const node of this.#aliveSince.keys()) if (!this.link.alive(node)) this.#aliveSince.set(node, null);
+    for (const node of this.#aliveSince.keys()) if (!this.link.isAlive(node)) this.#aliveSince.set(node, null);
   }
 
   /** This process has stalled: the gap counts for every controller. */
@@ -70,7 +70,7 @@
   anyHasContact(now: number): boolean {
     return [...this.#contactByNode].some(
       ([node, { receivedAt, ageMs }]) =>
-        this.link.alive(node) &&
+        this.link.isAlive(node) &&
         now - receivedAt < this.heartbeatIntervalMs * CONTACT_INTERVALS &&
         ageMs < this.heartbeatIntervalMs,
     );
--- a/packages/daemon/src/serve.ts
+++ b/packages/daemon/src/serve.ts
@@ -8,7 +8,7 @@
 
 const realClock: Clock = {
   now: () => performance.now(),
-  wall: () => Date.now(),
+  wallNow: () => Date.now(),
   after: (ms, callback) => {
     const timer = setTimeout(callback, ms);
     return () => clearTimeout(timer);
--- a/packages/daemon/src/settings/platform-settings.ts
+++ b/packages/daemon/src/settings/platform-settings.ts
@@ -64,13 +64,13 @@
    * Limits of the key-value store for all controllers together, each the smaller one of the limit that holds now and
    * the one announced under `next`, whose start is not announced. This one: requests per second.
    */
-  readonly stateRps: number;
+  readonly storeRequestsPerS: number;
   /** Changes of keys per second; as above. */
-  readonly stateWriteRps: number;
+  readonly storeWritesPerS: number;
   /** Largest value, in bytes of its JSON form; as above. */
   readonly valueBytes: number;
   /** Most conditions and changes of one transaction; as above. */
-  readonly txnOps: number;
+  readonly maxTransactionOps: number;
   /** Requests to the cloud per second. */
   readonly cloudRps: number;
   /** How many sockets this controller may have open. */
@@ -103,10 +103,10 @@
     peers: file.peers.map(({ node, area, address }) => ({ node, zone: area, address })),
     cloud: file.services.cloud,
     state: file.services.state,
-    stateRps: smallerLimit(facts.state, 'rps'),
-    stateWriteRps: smallerLimit(facts.state, 'write_rps'),
+    storeRequestsPerS: smallerLimit(facts.state, 'rps'),
+    storeWritesPerS: smallerLimit(facts.state, 'write_rps'),
     valueBytes: smallerLimit(facts.state, 'value_kb') * 1024,
-    txnOps: smallerLimit(facts.state, 'txn_ops'),
+    maxTransactionOps: smallerLimit(facts.state, 'txn_ops'),
     cloudRps: facts.cloud.rps,
     sockets: facts.machine_limits.sockets,
     clusterConfig,
--- a/packages/daemon/test/commit-with-retry.test.ts
+++ b/packages/daemon/test/commit-with-retry.test.ts
@@ -36,7 +36,7 @@
   const link = {
     nodes: ['n1'],
     frameBytes: MAX_FRAME_BYTES,
-    alive: () => true,
+    isAlive: () => true,
     send: () => true,
     sendGroup: () => true,
     onMessage: () => undefined,
--- a/packages/daemon/test/peer-request-ids.test.ts
+++ b/packages/daemon/test/peer-request-ids.test.ts
@@ -14,7 +14,7 @@
   const link: PeerLink = {
     nodes: ['n1'],
     frameBytes: MAX_FRAME_BYTES,
-    alive: () => true,
+    isAlive: () => true,
     send: (_node, message) => received.push(message) > 0,
     sendGroup: (_node, messages) => received.push(...messages) > 0,
     onMessage: () => undefined,
--- a/packages/daemon/test/term-announcements.test.ts
+++ b/packages/daemon/test/term-announcements.test.ts
@@ -26,14 +26,14 @@
     {
       clusterConfig: { heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS, workerLeaseMs: WORKER_LEASE_MS },
       tickMs: TICK_MS,
-    } as ControllerContext,
+    } as unknown as ControllerContext,
     { unconfirmedMachines: unconfirmed } as unknown as ClaimTable,
     {
       announceTerm: (name: string, _addr: string, knownAgentEpoch: number | undefined) => {
         sent.push({ name, knownAgentEpoch });
         return Promise.resolve();
       },
-    } as WorkerCommandSender,
+    } as unknown as WorkerCommandSender,
     new Map(names.map((name) => [name, { agentEpoch: 7 } as MachineStatus])),
   );
   const tick = (now: number): Announcement[] => {
--- a/packages/daemon/test/transaction-size-limit.test.ts
+++ b/packages/daemon/test/transaction-size-limit.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { encode, MAX_BODY_BYTES, txnMap } from '@gingerlock/wire';
+import { encode, MAX_BODY_BYTES, transactionMap } from '@gingerlock/wire';
 import { TransactionSizeLimit } from '../src/state/transaction-size-limit';
 
 test('a transaction within its size limit fits a request, however large its values are', () => {
@@ -16,7 +16,7 @@
         }))
         .filter(({ condition, change }) => sizeLimit.add([condition], [change]));
       assert.ok(accepted.length <= maxChanges);
-      const request = txnMap(
+      const request = transactionMap(
         accepted.map((entry) => entry.condition),
         accepted.map((entry) => entry.change),
       );
--- a/packages/peer/src/link.ts
+++ b/packages/peer/src/link.ts
@@ -17,7 +17,7 @@
   /** The names of all peers. */
   readonly nodes: readonly string[];
   /** Whether a message of that controller has arrived lately. */
-  alive(node: string): boolean;
+  isAlive(node: string): boolean;
   /** The largest message that is accepted, in bytes. */
   readonly frameBytes: number;
   /** Sends a message; false: it was dropped, as the controller can't be reached now. Nothing is sent again. */
@@ -104,7 +104,7 @@
     for (const { socket } of this.#connections.values()) socket.destroy();
   }
 
-  alive(node: string): boolean {
+  isAlive(node: string): boolean {
     const connection = this.#connections.get(node);
     return connection !== undefined && performance.now() - connection.receivedAt < this.options.silenceMs;
   }
--- a/packages/peer/test/link.test.ts
+++ b/packages/peer/test/link.test.ts
@@ -220,7 +220,7 @@
   await receiver.start();
   await sender.start();
   try {
-    while (!sender.alive('b') || !receiver.alive('a')) await new Promise((resolve) => setTimeout(resolve, 10));
+    while (!sender.isAlive('b') || !receiver.isAlive('a')) await new Promise((resolve) => setTimeout(resolve, 10));
     receiver.onMessage = (_from, message) => got.push(message);
     const body = Buffer.alloc(MAX_FRAME_BYTES / 2);
     // Four times what may wait in a connection otherwise.
--- a/packages/replica-groups/src/next-record.ts
+++ b/packages/replica-groups/src/next-record.ts
@@ -13,7 +13,7 @@
 } from './settings';
 
 /** The states that may follow each state of a group. */
-export const GROUP_MOVES: Record<GroupState, readonly GroupState[]> = {
+export const GROUP_TRANSITIONS: Record<GroupState, readonly GroupState[]> = {
   waiting: ['reserved', 'ending'],
   reserved: ['admitted', 'ending'],
   admitted: ['serving', 'ending'],
@@ -28,7 +28,7 @@
   /** The cloud's machine types, by name. */
   readonly types: ReadonlyMap<string, MachineType>;
   /** Time of day, in milliseconds. */
-  readonly wall: number;
+  readonly wallNow: number;
   /** How long this process has known the stored record, in milliseconds of steady time. */
   readonly storedForMs: number;
   /** The longest that a task preempted for members may take to save, in seconds. */
@@ -51,7 +51,7 @@
 
 /** The only function that changes the state. */
 function transitionTo(record: GroupRecord, state: GroupState, change: Partial<GroupRecord>): GroupRecord {
-  if (!GROUP_MOVES[record.state].includes(state))
+  if (!GROUP_TRANSITIONS[record.state].includes(state))
     throw new Error(`replica group: no transition from ${record.state} to ${state}`);
   return { ...record, ...change, state };
 }
@@ -60,9 +60,9 @@
 export function mayPlace(
   job: Job,
   stored: GroupRecord | null,
-  { settings, clusterConfig, wall }: GroupContext,
+  { settings, clusterConfig, wallNow: wall }: GroupContext,
 ): boolean {
-  if (job.cancelled || assignedUnfinished(job) > 0) return false;
+  if (job.isCancelled || assignedUnfinished(job) > 0) return false;
   if (stored === null) return true;
   if (stored.state !== 'waiting') return false;
   return wall >= stored.since + backoffMs(settings, clusterConfig, job.id, stored.generation, stored.failures);
@@ -86,7 +86,7 @@
 
 /** The record that is to replace the stored one; null: it stays for now. */
 export function nextRecord(job: Job, stored: GroupRecord | null, context: GroupContext): GroupRecord | null {
-  if (job.cancelled) return null;
+  if (job.isCancelled) return null;
   const record = stored ?? NEVER_PLACED;
   switch (record.state) {
     case 'waiting':
@@ -104,7 +104,7 @@
  * until this process knew the record, so the lease of that answer has to run out first.
  */
 function afterEnding(job: Job, record: GroupRecord, context: GroupContext): GroupRecord | null {
-  const { settings, clusterConfig, wall, storedForMs } = context;
+  const { settings, clusterConfig, wallNow: wall, storedForMs } = context;
   if (assignedUnfinished(job) > 0) return null;
   if (record.hasServed && storedForMs < serveLeaseBoundMs(settings, clusterConfig)) return null;
   return transitionTo(record, 'waiting', { since: wall, hasServed: false, members: [] });
@@ -141,7 +141,7 @@
   members: readonly ReportedMember[],
   context: GroupContext,
 ): GroupRecord | null {
-  const { settings, clusterConfig, wall, longestSaveS } = context;
+  const { settings, clusterConfig, wallNow: wall, longestSaveS } = context;
   const unheld = members.find(({ report }) => report?.phase !== 'held');
   if (unheld === undefined) return transitionTo(record, 'admitted', { since: wall, reason: 'all room is kept' });
   if (wall - record.since <= holdBoundMs(settings, clusterConfig, longestSaveS)) return null;
@@ -154,7 +154,7 @@
   members: readonly ReportedMember[],
   context: GroupContext,
 ): GroupRecord | null {
-  const { settings, clusterConfig, types, wall } = context;
+  const { settings, clusterConfig, types, wallNow: wall } = context;
   const unstarted = members.find(({ report }) => report?.phase !== 'running');
   if (unstarted === undefined) {
     const serving = members.map(({ partitionId, machine, report }) => ({
@@ -172,7 +172,7 @@
  * The record that ends the generation. `machine`: the one at fault, which the next generation avoids; null: none is.
  */
 function end(record: GroupRecord, reason: GroupReason, machine: string | null, context: GroupContext): GroupRecord {
-  const { clusterConfig, wall } = context;
+  const { clusterConfig, wallNow: wall } = context;
   const hasServed = record.state === 'serving';
   const isStable = hasServed && wall - record.since >= stableMs(clusterConfig);
   return transitionTo(record, 'ending', {
--- a/packages/replica-groups/src/partition-groups.ts
+++ b/packages/replica-groups/src/partition-groups.ts
@@ -154,7 +154,7 @@
     const machine = name === undefined ? undefined : this.table!.machines.get(name);
     if (task.state !== 'waiting' || machine === undefined || !machine.isMember) return false;
     return (
-      this.table!.takesWork(machine, now) && fitsIn(this.reservedOn(machine.name), this.table!.freeResources(machine))
+      this.table!.mayTakeWork(machine, now) && fitsIn(this.reservedOn(machine.name), this.table!.freeResources(machine))
     );
   }
 
--- a/packages/replica-groups/src/placement.ts
+++ b/packages/replica-groups/src/placement.ts
@@ -46,7 +46,7 @@
   const maxPerZone = spread ? Math.ceil(tasks / 2) : tasks;
   const membersByZone = new Map<string, number>(zones.map((zone) => [zone, 0]));
   const chosen: GroupCandidate[] = [];
-  const byCost = [...candidates].sort((a, b) => a.cost - b.cost || (a.machine < b.machine ? -1 : 1));
+  const byCost = [...candidates].sort((a, b) => a.costMs - b.costMs || (a.machine < b.machine ? -1 : 1));
   for (const candidate of byCost) {
     const inZone = membersByZone.get(candidate.zone);
     if (inZone === undefined) continue;
@@ -58,6 +58,6 @@
     chosen,
     missing: tasks - chosen.length,
     zones: zones.filter((zone) => membersByZone.get(zone)! < maxPerZone),
-    cost: chosen.reduce((most, { cost }) => Math.max(most, cost), 0),
+    cost: chosen.reduce((most, { costMs: cost }) => Math.max(most, cost), 0),
   };
 }
--- a/packages/replica-groups/test/next-record.test.ts
+++ b/packages/replica-groups/test/next-record.test.ts
@@ -5,7 +5,7 @@
 import fc from 'fast-check';
 import {
   backoffMs,
-  GROUP_MOVES,
+  GROUP_TRANSITIONS,
   type GroupContext,
   type GroupReport,
   holdBoundMs,
@@ -47,7 +47,7 @@
     settings: SETTINGS,
     clusterConfig: CLUSTER_CONFIG,
     types: TYPES,
-    wall,
+    wallNow: wall,
     storedForMs,
     longestSaveS: 0,
     reportOf,
@@ -192,9 +192,9 @@
         if (canPlace) assert.ok(!assigned && (before === null || before.state === 'waiting'));
         const after: GroupRecord | null = canPlace ? reserve(before, MEMBERS, wall) : nextRecord(job, before, context);
         if (after === null) continue;
-        assert.ok(GROUP_MOVES[before?.state ?? 'waiting'].includes(after.state));
+        assert.ok(GROUP_TRANSITIONS[before?.state ?? 'waiting'].includes(after.state));
         assert.equal(after.generation, (before?.generation ?? 0) + (after.state === 'reserved' ? 1 : 0));
-        job.cancelled = true;
+        job.isCancelled = true;
         assert.equal(nextRecord(job, before, context), null);
         record = after;
       }
--- a/packages/replica-groups/test/placement.test.ts
+++ b/packages/replica-groups/test/placement.test.ts
@@ -13,7 +13,7 @@
     fc.record({
       zone: fc.constantFrom(...ZONES),
       capacity: fc.integer({ min: 0, max: 3 }),
-      cost: fc.integer({ min: 0, max: 20 }),
+      costMs: fc.integer({ min: 0, max: 20 }),
     }),
     { maxLength: 6 },
   )
@@ -79,7 +79,12 @@
 });
 
 test('the machine for which the last generation ended is chosen only if there is no whole placement without it', () => {
-  const machine = (name: string, capacity: number): GroupCandidate => ({ machine: name, zone: 'a', capacity, cost: 0 });
+  const machine = (name: string, capacity: number): GroupCandidate => ({
+    machine: name,
+    zone: 'a',
+    capacity,
+    costMs: 0,
+  });
   const job = jobOf({ tasks: 2 });
   const chosen = (machines: readonly GroupCandidate[]): string[] =>
     chooseMachines(job, machines, ZONES, 'm-1').chosen.map((candidate) => candidate.machine);
--- a/packages/testkit/src/audits/audited-world.ts
+++ b/packages/testkit/src/audits/audited-world.ts
@@ -1,10 +1,10 @@
 // What audits see of a deployment, whether it is simulated or on loopback. Each audit adds what it alone needs.
 import type { Controller } from '@gingerlock/daemon';
 import type { JobSpec } from '@gingerlock/wire';
-import type { Invariant } from './invariants';
 import type { Scheduler } from '../simulation/sim';
 import type { SimStateService } from '../standins/state-service';
 import type { SimWorker } from '../standins/worker';
+import type { Invariant } from './invariants';
 
 /** A deployment that is audited. */
 export interface AuditedWorld {
--- a/packages/testkit/src/audits/group-audit.ts
+++ b/packages/testkit/src/audits/group-audit.ts
@@ -1,10 +1,10 @@
 // Checks replica groups against what really runs: their records as they are stored, every start, and what owners keep
 // room for.
 import type { PartitionOwner } from '@gingerlock/daemon';
-import { GROUP_MOVES } from '@gingerlock/replica-groups';
+import { GROUP_TRANSITIONS } from '@gingerlock/replica-groups';
 import { type GroupRecord, groupRecord, KEYS, ownerRecord, parseKey, parseTaskName, taskName } from '@gingerlock/wire';
-import type { InspectableWorld } from './audited-world';
 import type { ObservedStatus } from '../standins/users';
+import type { InspectableWorld } from './audited-world';
 
 /** What is audited of a deployment. */
 export interface GroupAuditedWorld extends InspectableWorld {
@@ -71,7 +71,7 @@
   #checkMove(job: string, before: GroupRecord | undefined, { state, generation }: GroupRecord): void {
     const from = before?.state ?? 'waiting';
     const expected = (before?.generation ?? 0) + (state === 'reserved' ? 1 : 0);
-    if (GROUP_MOVES[from].includes(state) && generation === expected) return;
+    if (GROUP_TRANSITIONS[from].includes(state) && generation === expected) return;
     this.world.reportViolation(
       'group_moved',
       `${job}: ${from} of ${before?.generation ?? 0} to ${state} of ${generation}`,
@@ -83,7 +83,7 @@
     for (const [rank, { partitionId, machine }] of members.entries()) {
       const owner = this.#ownerOf(partitionId);
       const task = owner?.claimTable.tasksByJob.get(job)?.get(rank);
-      if (owner === undefined || task === undefined || task.job.cancelled) continue;
+      if (owner === undefined || task === undefined || task.job.isCancelled) continue;
       const isHeld =
         owner.claimTable.reservations.reservedMachineFor(task.name) === machine && task.startedIn !== generation;
       if (!isHeld) this.world.reportViolation('member_unheld', `${task.name} is admitted and not kept on ${machine}`);
@@ -176,7 +176,7 @@
       const isKept = stored?.record.state === 'reserved' || stored?.record.state === 'admitted';
       if (isKept && stored.record.members[index]?.machine === machine) continue;
       if (now - (stored?.at ?? 0) < this.world.heartbeatIntervalMs * READ_INTERVALS) continue;
-      if (claimTable.tasksByJob.get(job)?.get(index)?.job.cancelled === true) continue;
+      if (claimTable.tasksByJob.get(job)?.get(index)?.job.isCancelled === true) continue;
       this.world.reportViolation('kept_in_vain', `partition ${partitionId} keeps ${machine} for ${taskName}`);
     }
   }
--- a/packages/testkit/src/audits/operations-audit.ts
+++ b/packages/testkit/src/audits/operations-audit.ts
@@ -1,8 +1,8 @@
 // What must hold in the faults that operators met beside the protocol: only machines at fault are quarantined, what
 // fails is not retried without bound, and no rented machine is forgotten.
 import type { MachineType } from '@gingerlock/wire';
-import type { InspectableWorld } from './audited-world';
 import type { RentedMachine } from '../standins/cloud-records';
+import type { InspectableWorld } from './audited-world';
 
 /** What is audited of a deployment. */
 export interface OperationsAuditedWorld extends InspectableWorld {
--- a/packages/testkit/src/audits/placement-audit.ts
+++ b/packages/testkit/src/audits/placement-audit.ts
@@ -2,10 +2,10 @@
 // after what it awaits, and not after its cancellation.
 import type { Resources } from '@gingerlock/core';
 import { type JobSpec, parseTaskName } from '@gingerlock/wire';
-import type { AuditedWorld } from './audited-world';
 import type { TaskTracker } from '../simulation/task-tracker';
 import type { ObservedStatus } from '../standins/users';
 import type { SimWorker } from '../standins/worker';
+import type { AuditedWorld } from './audited-world';
 
 /** What is audited of a deployment. */
 export interface PlacementAuditedWorld extends AuditedWorld {
--- a/packages/testkit/src/faults/borrowing-faults.ts
+++ b/packages/testkit/src/faults/borrowing-faults.ts
@@ -1,10 +1,10 @@
 // What borrowing has to live through: surges that come, grow and end, lenders that want their GPUs back, and
 // controllers that end between two steps of a reclaim.
 import type { JobSpec } from '@gingerlock/wire';
+import type { World } from '../simulation/world';
 import { type FaultTargets, pollFor } from './fault-targets';
 import { type FaultOfKind, type FaultTable, noDurationMs, statedDurationMs } from './fault-table';
 import { type MachineIncident, strikeMachine } from './machine-faults';
-import type { World } from '../simulation/world';
 
 /** A fault that strikes while GPUs are lent and reclaimed. `team` is the number of a team. */
 export type BorrowingFault =
--- a/packages/testkit/src/faults/controller-faults.ts
+++ b/packages/testkit/src/faults/controller-faults.ts
@@ -1,9 +1,9 @@
 // Faults of controllers: they crash and come back, stand still, have wrong clocks, or lose the lease that others rely
 // on.
+import type { World } from '../simulation/world';
 import type { FaultTargets } from './fault-targets';
 import { type FaultOfKind, type FaultTable, statedDurationMs } from './fault-table';
 import { cutNode, isBetweenZoneAndOthers } from './network-faults';
-import type { World } from '../simulation/world';
 
 /** A fault of controllers. `node` is the number of one; -1 is whoever leads. */
 export type ControllerFault =
--- a/packages/testkit/src/faults/fault-table.ts
+++ b/packages/testkit/src/faults/fault-table.ts
@@ -1,7 +1,7 @@
 // How a kind of fault is described: what it does to a simulated deployment and how long that lasts. The faults of a
 // concern form a table by kind, whose type demands a row for each kind.
-import type { FaultTargets } from './fault-targets';
 import type { World } from '../simulation/world';
+import type { FaultTargets } from './fault-targets';
 
 /** What all faults have: the kind that recorded scenarios name. */
 export interface FaultBase {
--- a/packages/testkit/src/faults/faults.ts
+++ b/packages/testkit/src/faults/faults.ts
@@ -41,7 +41,7 @@
 
 /** The compiler can't tell that the row of a fault's own kind takes that very fault; the type of the table says so. */
 function handlerOf({ kind }: Fault): FaultHandler<Fault> {
-  return FAULTS[kind] as FaultHandler<Fault>;
+  return FAULTS[kind];
 }
 
 /** Lets the fault begin now. */
--- a/packages/testkit/src/faults/group-faults.ts
+++ b/packages/testkit/src/faults/group-faults.ts
@@ -1,10 +1,10 @@
 // What replica groups have to live through: machines and controllers that end as a group comes to a state, and users
 // who cancel it then.
 import type { JobSpec, GroupState } from '@gingerlock/wire';
+import type { World } from '../simulation/world';
 import { type FaultTargets, pollFor } from './fault-targets';
 import { type FaultOfKind, type FaultTable, statedDurationMs } from './fault-table';
 import { type MachineIncident, strikeMachine } from './machine-faults';
-import type { World } from '../simulation/world';
 
 /** A fault that strikes replica groups. */
 export type GroupFault =
--- a/packages/testkit/src/faults/heartbeat-faults.ts
+++ b/packages/testkit/src/faults/heartbeat-faults.ts
@@ -1,9 +1,9 @@
 // Faults of heartbeats: old ones that come to controllers which have just begun a term.
 import { KEYS } from '@gingerlock/wire';
-import { pollFor } from './fault-targets';
-import { type FaultTable, statedDurationMs } from './fault-table';
 import { observeDirect } from '../simulation/traffic';
 import type { World } from '../simulation/world';
+import { pollFor } from './fault-targets';
+import { type FaultTable, statedDurationMs } from './fault-table';
 
 /** Copies of heartbeats are kept until a new leader or owner begins, and then come to every controller. */
 export interface HeartbeatFault {
--- a/packages/testkit/src/faults/machine-faults.ts
+++ b/packages/testkit/src/faults/machine-faults.ts
@@ -1,7 +1,7 @@
 // Faults of machines: they hang, are not heard or hear nothing, are slow, at fault, taken back or dead.
+import type { World } from '../simulation/world';
 import type { FaultTargets } from './fault-targets';
 import { type FaultOfKind, type FaultTable, noDurationMs, statedDurationMs } from './fault-table';
-import type { World } from '../simulation/world';
 
 /** A fault of machines. `machine` is the number of the first one that is struck. */
 export type MachineFault =
--- a/packages/testkit/src/faults/network-faults.ts
+++ b/packages/testkit/src/faults/network-faults.ts
@@ -1,8 +1,8 @@
 // Faults of the network: routes that lose, hold back, refuse, slow down or repeat what goes over them.
-import type { FaultTargets } from './fault-targets';
-import { type FaultOfKind, type FaultTable, statedDurationMs } from './fault-table';
 import type { Cut, RoutePredicate } from '../simulation/network';
 import type { World } from '../simulation/world';
+import type { FaultTargets } from './fault-targets';
+import { type FaultOfKind, type FaultTable, statedDurationMs } from './fault-table';
 
 /** A fault of the network. `node` is the number of a controller, `zone` that of a zone. */
 export type NetworkFault =
--- a/packages/testkit/src/faults/scenario.ts
+++ b/packages/testkit/src/faults/scenario.ts
@@ -1,6 +1,6 @@
 // A scenario is some minutes of a simulated deployment: users who come and go, and faults at given times.
-import { type Fault, faultDurationMs, injectFault } from './faults';
 import type { World } from '../simulation/world';
+import { type Fault, faultDurationMs, injectFault } from './faults';
 
 /** What happens in a scenario; the same seed and faults give the same scenario. */
 export interface Scenario {
--- a/packages/testkit/src/faults/submission-faults.ts
+++ b/packages/testkit/src/faults/submission-faults.ts
@@ -1,10 +1,10 @@
 // Load beyond the usual: pipelines, floods of small jobs, jobs with a mistake, and guests who submit more than there
 // is capacity for.
 import type { JobSpec } from '@gingerlock/wire';
-import { repeatFor } from './fault-targets';
-import { type FaultOfKind, type FaultTable, statedDurationMs } from './fault-table';
 import { PipelineUser } from '../standins/pipelines';
 import type { World } from '../simulation/world';
+import { repeatFor } from './fault-targets';
+import { type FaultOfKind, type FaultTable, statedDurationMs } from './fault-table';
 
 /** Jobs that come beside those that arrive in any scenario. */
 export type SubmissionFault =
--- a/packages/testkit/src/loopback/real-time.ts
+++ b/packages/testkit/src/loopback/real-time.ts
@@ -38,7 +38,7 @@
 /** The clock of a controller, as the daemon has it. */
 export const realClock: Clock = {
   now: () => performance.now(),
-  wall: () => Date.now(),
+  wallNow: () => Date.now(),
   after: (ms, callback) => {
     const timer = setTimeout(callback, ms);
     return () => clearTimeout(timer);
--- a/packages/testkit/src/simulation/controller-settings.ts
+++ b/packages/testkit/src/simulation/controller-settings.ts
@@ -1,6 +1,6 @@
 // The platform's settings file of a simulated controller.
-import { GUEST_TEAM, TEAMS } from './world-options';
 import type { StateLimits } from '../standins/state-service';
+import { GUEST_TEAM, TEAMS } from './world-options';
 
 /** What a settings file is made from. */
 export interface SettingsSource {
--- a/packages/testkit/src/simulation/group-bounds.ts
+++ b/packages/testkit/src/simulation/group-bounds.ts
@@ -5,7 +5,7 @@
 
 /** The settings of replica groups in a parsed features file; null: replica groups are off. */
 export function groupSettingsOf(features: unknown): ReplicaGroupSettings | null {
-  return featuresOf((features ?? {}) as Parameters<typeof featuresOf>[0]).replicaGroups;
+  return featuresOf(features ?? {}).replicaGroups;
 }
 
 /** What a group's times depend on. */
--- a/packages/testkit/src/simulation/sim-controllers.ts
+++ b/packages/testkit/src/simulation/sim-controllers.ts
@@ -7,8 +7,8 @@
   type Reply,
   settingsOf,
   SILENT,
+  type PartitionOwner,
 } from '@gingerlock/daemon';
-import type { PartitionOwner } from '@gingerlock/daemon';
 import { decodeHeartbeat } from '@gingerlock/wire';
 import { type LinkedWorld, SimLink } from './sim-link';
 import type { Sim } from './sim';
--- a/packages/testkit/src/simulation/sim-link.ts
+++ b/packages/testkit/src/simulation/sim-link.ts
@@ -37,7 +37,7 @@
     this.frameBytes = world.options.frameBytes ?? MAX_FRAME_BYTES;
   }
 
-  alive(node: string): boolean {
+  isAlive(node: string): boolean {
     const lastContact = this.#lastContacts.get(node);
     // The end of a process ends its connections.
     if (lastContact === undefined || this.world.nodes.find(({ name }) => name === node)!.link !== lastContact.link)
@@ -45,9 +45,9 @@
     return this.world.sim.now - lastContact.at < this.world.heartbeatIntervalMs * 2;
   }
 
-  send(node: string, told: PeerMessage): boolean {
+  send(node: string, sent: PeerMessage): boolean {
     const { falsify } = this.world.options;
-    const message = falsify === undefined ? told : falsify(told);
+    const message = falsify === undefined ? sent : falsify(sent);
     if (message === null) return true;
     const bytes = encodePeer(message);
     if (bytes.length > this.frameBytes)
--- a/packages/testkit/src/simulation/sim.ts
+++ b/packages/testkit/src/simulation/sim.ts
@@ -95,7 +95,7 @@
     const start = this.now;
     return {
       now: () => (this.now - start) * (1 + drift),
-      wall: () => 1_700_000_000_000 + this.now + wallOffMs(),
+      wallNow: () => 1_700_000_000_000 + this.now + wallOffMs(),
       after: (ms, callback) => {
         let isCancelled = false;
         const cancel = this.after(ms / (1 + drift), () =>
--- a/packages/testkit/src/simulation/world-options.ts
+++ b/packages/testkit/src/simulation/world-options.ts
@@ -2,8 +2,8 @@
 import type { ControllerLimits, Log } from '@gingerlock/daemon';
 import type { PeerMessage } from '@gingerlock/peer';
 import type { JobSpec } from '@gingerlock/wire';
-import type { Deployment } from './deployment';
 import type { StateLimits } from '../standins/state-service';
+import type { Deployment } from './deployment';
 
 /** Options of a `World`; all but the seed have defaults. */
 export interface WorldOptions {
--- a/packages/testkit/test/state-limits.test.ts
+++ b/packages/testkit/test/state-limits.test.ts
@@ -9,7 +9,7 @@
   ownerRecord,
   type AssignedRange,
   STATE_PATHS,
-  txnMap,
+  transactionMap,
 } from '@gingerlock/wire';
 import { runScenario, World } from '../src/index';
 
@@ -49,7 +49,12 @@
   });
   assert.ok(JSON.stringify(value).length > NEXT.valueKb * 1024);
   world.users.adopt(spec);
-  void world.state.handle('POST', STATE_PATHS.txn, encode(txnMap([], [{ put: KEYS.job(spec.id), value }])), 'test');
+  void world.state.handle(
+    'POST',
+    STATE_PATHS.txn,
+    encode(transactionMap([], [{ put: KEYS.job(spec.id), value }])),
+    'test',
+  );
   return spec.id;
 }
 
--- a/packages/testkit/test/support/group-mutants.ts
+++ b/packages/testkit/test/support/group-mutants.ts
@@ -46,7 +46,7 @@
       function (this: OwnerGroups) {
         const { table } = this.members;
         const machines = new Set(original.call(this).map((task) => task.claim!.machine.name));
-        for (const machine of machines) table!.gone(machine, this.context.clock.now());
+        for (const machine of machines) table!.removeMachine(machine, this.context.clock.now());
         return [];
       },
   );
--- a/packages/testkit/test/support/placement-mutants.ts
+++ b/packages/testkit/test/support/placement-mutants.ts
@@ -76,7 +76,7 @@
     faults: [{ kind: 'pipelines', everyMs: 4000, forMs: 30_000, seed: 3 }],
     apply: () =>
       readJobsAs((job) => {
-        job.ready = true;
+        job.isReady = true;
       }),
   },
   deposed_owner: {
--- a/packages/testkit/test/support/user-mutants.ts
+++ b/packages/testkit/test/support/user-mutants.ts
@@ -31,14 +31,14 @@
   not_done: {
     broken: 'a job counts as complete with one task missing',
     apply: () => {
-      const descriptor = Object.getOwnPropertyDescriptor(Job.prototype, 'complete')!;
-      Object.defineProperty(Job.prototype, 'complete', {
+      const descriptor = Object.getOwnPropertyDescriptor(Job.prototype, 'isComplete')!;
+      Object.defineProperty(Job.prototype, 'isComplete', {
         configurable: true,
         get(this: Job) {
           return this.finishedCount >= this.spec.tasks - 1;
         },
       });
-      return () => Object.defineProperty(Job.prototype, 'complete', descriptor);
+      return () => Object.defineProperty(Job.prototype, 'isComplete', descriptor);
     },
   },
   went_back: {
--- a/packages/wire/src/cloud.ts
+++ b/packages/wire/src/cloud.ts
@@ -20,7 +20,7 @@
 const MAX_MACHINES_PER_RENTAL = 50;
 
 /** Most machines that one request returns (PROTOCOL). */
-export const RETURN_MOST = 100;
+export const MAX_MACHINES_PER_RETURN = 100;
 
 /** Most machines on one page of the list (PROTOCOL). */
 const MAX_MACHINES_PER_PAGE = 500;
--- a/packages/wire/src/group-record.ts
+++ b/packages/wire/src/group-record.ts
@@ -118,6 +118,6 @@
 const MAX_HEAD_BYTES = 256;
 
 /** How many members a group may have so that its record surely fits into a value of `valueBytes`. */
-export function mostMembers(valueBytes: number): number {
+export function maxGroupMembers(valueBytes: number): number {
   return Math.max(0, Math.floor((valueBytes - MAX_HEAD_BYTES) / MAX_MEMBER_BYTES));
 }
--- a/packages/wire/src/state.ts
+++ b/packages/wire/src/state.ts
@@ -33,7 +33,7 @@
 const Revision = Type.Integer({ minimum: 0 });
 
 /** The body of a transaction, before its encoding. */
-export function txnMap(conditions: readonly Condition[], changes: readonly Change[]): unknown {
+export function transactionMap(conditions: readonly Condition[], changes: readonly Change[]): unknown {
   return {
     if: conditions.map(({ key, version }) => ({ k: key, stamp: integer(version) })),
     apply: changes.map((change) =>
--- a/packages/wire/test/formats.test.ts
+++ b/packages/wire/test/formats.test.ts
@@ -238,7 +238,7 @@
         const changes = items.map((i, n) =>
           n % 2 === 0 ? { put: i.key, value: i.value, lease: i.version } : { remove: i.key },
         );
-        assert.deepEqual(wire.txnRequestOf(trip(wire.txnMap(conditions, changes))), { conditions, changes });
+        assert.deepEqual(wire.txnRequestOf(trip(wire.transactionMap(conditions, changes))), { conditions, changes });
       },
     ),
     params,
@@ -294,7 +294,7 @@
 
 test('as many members as are allowed fit into a value', () => {
   for (const kb of [2, 8, 16]) {
-    const most = wire.mostMembers(kb * 1024);
+    const most = wire.maxGroupMembers(kb * 1024);
     const member = { partitionId: 999, machine: 'm'.repeat(64), attempt: 2 ** 48 };
     const record: wire.GroupRecord = {
       generation: 2 ** 31,
