--- a/packages/clients/src/key-value-store.ts
+++ b/packages/clients/src/key-value-store.ts
@@ -6,6 +6,7 @@
   decode,
   encode,
   eventsOf,
+  GingerlockError,
   leaseMap,
   leaseOf,
   listOf,
@@ -40,14 +41,19 @@
   | { readonly kind: 'unknown'; readonly why: string };
 
 /** The store rejected a request other than a transaction. */
-export class StoreRejectedError extends Error {
+export class StoreRejectedError extends GingerlockError {
+  override readonly name = 'StoreRejectedError';
+  override readonly code = 'STORE_REJECTED';
+
+  /**
+   * @param status the HTTP status of the answer
+   * @param operation what was asked of the store
+   */
   constructor(
-    /** The HTTP status of the answer. */
     readonly status: number,
     operation: string,
   ) {
     super(`${operation}: status ${status}`);
-    this.name = 'StoreRejectedError';
   }
 }
 
--- a/packages/core/src/claims/task-entry.ts
+++ b/packages/core/src/claims/task-entry.ts
@@ -2,17 +2,13 @@
 import type { Job } from '../jobs/jobs';
 import type { Machine } from './machine-entry';
 
-// The planner in `scheduling` imports these from here.
-export type { Machine } from './machine-entry';
-export type { SpareCapacity } from './spare-capacity';
-
 /**
  * uncertain: assigned before this owner acquired the partition and reported by no machine yet, so an unconfirmed one
  * may hold it.
  * waiting:   no machine holds it; its job has a wake.
  * claimed:   a machine holds it, or may.
- * finishing: completed; that is yet to be written to the key-value store. returning: the write that returns it to the
- * leader is under way.
+ * finishing: completed; that is yet to be written to the key-value store.
+ * returning: the write that returns it to the leader is under way.
  */
 export type TaskEntryState = 'uncertain' | 'waiting' | 'claimed' | 'finishing' | 'returning';
 
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -45,5 +45,7 @@
 export * from './scheduling/placement-planner';
 export { relocateReplicas } from './scheduling/replica-relocation';
 export * from './claims/reservations';
+export type { Machine } from './claims/machine-entry';
+export type { SpareCapacity } from './claims/spare-capacity';
 export * from './claims/task-entry';
 export { findImmovableDemand } from './scheduling/immovable-demand';
--- a/packages/core/src/scheduling/placement-planner.ts
+++ b/packages/core/src/scheduling/placement-planner.ts
@@ -1,7 +1,8 @@
 // What the owner of a partition plans for the coming heartbeats: which machine would take which waiting task, what is
 // preempted for it, and which machines are asked for a heartbeat at once.
 import type { ClaimView } from '../claims/claim-view';
-import type { Machine, PlannedPlacement, TaskEntry } from '../claims/task-entry';
+import type { Machine } from '../claims/machine-entry';
+import type { PlannedPlacement, TaskEntry } from '../claims/task-entry';
 import { addResources, fitsIn, NO_RESOURCES, type Resources, subtractResources } from '../cluster/resources';
 import { bestPlacement, type PlacementContext } from './placement';
 import { leastVictims, preempt } from './preemption';
--- a/packages/core/src/scheduling/placement.ts
+++ b/packages/core/src/scheduling/placement.ts
@@ -3,7 +3,8 @@
 // that sends a heartbeat gets the tasks that it has free resources for, and passes on one only if another machine of
 // the partition would run it sooner. See docs/design.md.
 import type { ClaimView } from '../claims/claim-view';
-import type { Machine, PlannedPlacement, TaskEntry } from '../claims/task-entry';
+import type { Machine } from '../claims/machine-entry';
+import type { PlannedPlacement, TaskEntry } from '../claims/task-entry';
 import { allowsMachine } from '../cluster/placement-constraints';
 import { fitsIn, type Resources } from '../cluster/resources';
 import { leastVictims } from './preemption';
--- a/packages/core/src/scheduling/preemption.ts
+++ b/packages/core/src/scheduling/preemption.ts
@@ -1,6 +1,7 @@
 // Which tasks an owner preempts on a machine for a more urgent one, and how they are stopped.
 import type { ClaimView } from '../claims/claim-view';
-import type { Machine, TaskEntry } from '../claims/task-entry';
+import type { Machine } from '../claims/machine-entry';
+import type { TaskEntry } from '../claims/task-entry';
 import { addResources, fitsIn, type Resources } from '../cluster/resources';
 
 /** A preempted task gets a little more time than it says it needs to save its checkpoint. */
--- a/packages/core/src/scheduling/replica-relocation.ts
+++ b/packages/core/src/scheduling/replica-relocation.ts
@@ -1,6 +1,8 @@
 // Which service replicas leave draining machines for others, where they are up again within a moment.
 import type { ClaimView } from '../claims/claim-view';
-import type { Machine, SpareCapacity, TaskEntry } from '../claims/task-entry';
+import type { Machine } from '../claims/machine-entry';
+import type { SpareCapacity } from '../claims/spare-capacity';
+import type { TaskEntry } from '../claims/task-entry';
 import { allowsMachine } from '../cluster/placement-constraints';
 import { fitsIn, type Resources, subtractResources } from '../cluster/resources';
 
--- a/packages/daemon/src/leader/pending-assignments.ts
+++ b/packages/daemon/src/leader/pending-assignments.ts
@@ -1,18 +1,9 @@
 // Assignments that are committed and that the owners' statuses do not show yet: the free resources that a status gives
 // do not account for them.
-import type { PartitionStatus, Resources } from '@gingerlock/core';
+import type { PartitionStatus, PendingAssignment } from '@gingerlock/core';
 
 /** The resources that one assigned task is going to use of a machine. */
-export interface PlannedUse {
-  readonly partitionId: number;
-  readonly machine: string;
-  readonly need: Resources;
-}
-
-/** A planned use with the revision at which the assignment was committed. */
-export interface PendingAssignment extends PlannedUse {
-  readonly revision: number;
-}
+export type PlannedUse = Omit<PendingAssignment, 'revision'>;
 
 /** The pending assignments of one leader. */
 export class PendingAssignments {
