--- a/packages/daemon/src/owner/worker-command-sender.ts
+++ b/packages/daemon/src/owner/worker-command-sender.ts
@@ -25,7 +25,9 @@
       graceS: claim!.stopGraceS ?? 0,
     }));
     const body = encodeDirectCommands(this.claimTable.fencingToken(machine), machine.agentEpoch, commands);
-    this.#post(machine, body, STOP_TIMEOUT_INTERVALS, 'direct stop unanswered');
+    this.#post(machine, body, STOP_TIMEOUT_INTERVALS, (detail) => {
+      this.context.log.debug(detail, 'direct stop unanswered');
+    });
   }
 
   /**
@@ -34,7 +36,9 @@
    */
   requestHeartbeat(machine: Machine, now: number): void {
     const body = encodeDirectCommands(this.claimTable.requestHeartbeat(machine, now), machine.agentEpoch, []);
-    this.#post(machine, body, 1, 'heartbeat request unanswered');
+    this.#post(machine, body, 1, (detail) => {
+      this.context.log.debug(detail, 'heartbeat request unanswered');
+    });
   }
 
   /**
@@ -55,12 +59,17 @@
     }
   }
 
-  /** Logs `unanswered` if the worker does not answer. */
-  #post({ name, addr }: Machine, body: Buffer, timeoutIntervals: number, unanswered: string): void {
-    const { http, clusterConfig, log } = this.context;
+  /** Sends commands; `onUnanswered` is given the fields of a log line if the worker does not answer. */
+  #post(
+    { name, addr }: Machine,
+    body: Buffer,
+    timeoutIntervals: number,
+    onUnanswered: (detail: { readonly machine: string; readonly error: string }) => void,
+  ): void {
+    const { http, clusterConfig } = this.context;
     const timeoutMs = clusterConfig.heartbeatIntervalMs * timeoutIntervals;
     http(addr, 'POST', '/commands', body, timeoutMs).catch((error: unknown) => {
-      log.debug({ machine: name, error: String(error) }, unanswered);
+      onUnanswered({ machine: name, error: String(error) });
     });
   }
 }
