--- a/packages/testkit/test/support/operations-mutants.ts
+++ b/packages/testkit/test/support/operations-mutants.ts
@@ -58,7 +58,7 @@
       { kind: 'state outage', forMs: 8000 },
     ],
     apply: (world) => {
-      for (const { controller } of world().nodes) Object.assign(controller!.settings, { txnOps: 12 });
+      for (const { controller } of world().nodes) Object.assign(controller!.settings, { maxTransactionOps: 12 });
       return () => undefined;
     },
   },
