--- a/packages/core/src/claims/attempt-numbers.ts
+++ b/packages/core/src/claims/attempt-numbers.ts
@@ -1,9 +1,9 @@
-/** Numbers of the attempts to run tasks: unique over all terms of a partition, rising, and never used twice. */
+/** Attempt numbers: they increase, and are unique across all ownership terms of a partition. */
 
-/** Attempts of one term are numbered below this; a term times this is far below 2^53. */
+/** Size of the range of attempt numbers of one term; a term times this stays far below 2^53. */
 export const ATTEMPTS_PER_TERM = 2 ** 20;
 
-/** Once this share of a term's numbers is used, the partition is to be acquired anew, under another term. */
+/** Once this share of a term's numbers is used, the partition should be acquired again under a new term. */
 const NEW_TERM_SHARE = 0.75;
 
 /** Hands out the attempt numbers of one term. */
@@ -12,21 +12,21 @@
 
   constructor(
     readonly term: number,
-    /** How many numbers the term has; below `ATTEMPTS_PER_TERM` in tests alone. */
-    readonly perTerm: number,
+    /** How many attempt numbers the term has; only tests use fewer than `ATTEMPTS_PER_TERM`. */
+    readonly attemptsPerTerm: number,
   ) {}
 
-  /** Whether so many numbers are used that the next term should begin before they run out. */
+  /** Whether so many numbers are used that a new term should begin before they run out. */
   get needsNewTerm(): boolean {
-    return this.#used > this.perTerm * NEW_TERM_SHARE;
+    return this.#used > this.attemptsPerTerm * NEW_TERM_SHARE;
   }
 
-  /** Whether no number is left: one used again would be taken for an attempt of the next term. */
+  /** Whether no number is left: a further one would lie in the range of the next term. */
   get isExhausted(): boolean {
-    return this.#used >= this.perTerm - 1;
+    return this.#used >= this.attemptsPerTerm - 1;
   }
 
-  /** The next number; the caller has made sure that one is left. */
+  /** Returns the next number; the caller has checked `isExhausted`. */
   next(): number {
     return this.term * ATTEMPTS_PER_TERM + ++this.#used;
   }
--- a/packages/core/src/claims/claim-queries.ts
+++ b/packages/core/src/claims/claim-queries.ts
@@ -1,6 +1,6 @@
 /**
- * What follows from a claim table for others, without changing it: which tasks can be returned to the leader, which are
- * to be written as finished, what is missing and what runs.
+ * Read-only queries on a claim table: which tasks can be returned to the leader, which completions are to be written,
+ * which resources are missing, and which tasks run.
  */
 import type { ClaimView } from './claim-view';
 import { type Resources, NO_RESOURCES, addResources } from '../cluster/resources';
@@ -13,12 +13,12 @@
 import type { TaskEntry } from './task-entry';
 
 /**
- * A partition counts as cut off if most of its machines have been silent for so many heartbeat intervals since its
+ * A partition counts as cut off if most of its machines are still unconfirmed this many heartbeat intervals after its
  * acquisition.
  */
 const CUT_OFF_INTERVALS = 4;
 
-/** A relocated replica waits for a machine of this partition that has its image for so many heartbeat intervals. */
+/** How many heartbeat intervals a relocated replica waits for a machine of this partition that has its image. */
 const CACHED_IMAGE_WAIT_INTERVALS = 2;
 
 /** Whether a relocated replica still waits for a machine of this partition that has its image. */
@@ -26,7 +26,7 @@
   return task.isRelocating && now - task.since < clusterConfig.heartbeatIntervalMs * CACHED_IMAGE_WAIT_INTERVALS;
 }
 
-/** Tasks by their jobs, each once. */
+/** Groups tasks by job, each task once. */
 class TasksByJob {
   /** By job id. */
   readonly #tasksByJob = new Map<string, Set<TaskEntry>>();
@@ -37,16 +37,16 @@
     else tasks.add(task);
   }
 
-  lists(): Map<string, TaskEntry[]> {
+  toMap(): Map<string, TaskEntry[]> {
     return new Map([...this.#tasksByJob].map(([jobId, tasks]) => [jobId, [...tasks]]));
   }
 }
 
 /**
- * Tasks that can be returned to the leader, by job: those of cancelled jobs that surely run nowhere, those of
- * crash-looping jobs that are no probe, members of a replica group whose generation ends, and those that have waited a
- * while for resources that this partition does not have. `unschedulable`: the waiting tasks that the last planning
- * found no machine for.
+ * Returns the tasks that can be returned to the leader, by job id: tasks of cancelled jobs that certainly run nowhere,
+ * tasks of crash-looping jobs except a probe, members of a replica group whose generation ends, relocated replicas that
+ * are planned on a machine without their image, and tasks that have waited a while for resources that this partition
+ * does not have. `unschedulable`: the waiting tasks for which the last planning found no machine.
  */
 export function returnableTasks(
   table: ClaimView,
@@ -73,26 +73,27 @@
       if (!isCached && waitsForCachedImage(task, now, table.clusterConfig)) returnable.add(task);
     }
   }
-  return returnable.lists();
+  return returnable.toMap();
 }
 
-/** Whether the job's team has no limit on anything that its tasks use. */
+/** Whether the job's team has no limit on any resource that its tasks use. */
 function isUnlimited({ spec }: Job, clusterConfig: ClusterConfig): boolean {
   const team = clusterConfig.teams.get(spec.team);
   return team !== undefined && countWithinLimit(team, NO_RESOURCES, spec) === Infinity;
 }
 
 /**
- * Completed tasks that are to be written now, by job. Those of a job are written together: at once when no other task
- * of the job is here, for then a user may wait for its end, or if its team has a limit, against which a completed task
- * counts until it is written; otherwise after `patienceMs`. Writing each as it comes would let large arrays use up the
- * store's write rate, on which users' submissions depend. What has waited for a worker lease goes first; then the most
- * urgent jobs, lest hundreds of one-task jobs of one team hold up all others.
+ * Returns the completed tasks whose completion is to be written now, by job id. The completions of a job are collected
+ * for up to `maxDelayMs` and written together, because writing each separately would let large arrays use up the
+ * store's write rate, on which users' submissions depend. They are written at once if the partition has no other task
+ * of the job, because a user may be waiting for the job to end, or if the team has a limit, because a completed task
+ * counts against the limit until it is written. Jobs with a completion older than a worker lease come first, then the
+ * most urgent jobs, so that hundreds of one-task jobs of one team do not delay all others.
  */
 export function tasksToFinish(
   { tasksByJob, clusterConfig }: ClaimView,
   now: number,
-  patienceMs: number,
+  maxDelayMs: number,
 ): Map<string, TaskEntry[]> {
   const ready: { readonly job: Job; readonly tasks: TaskEntry[]; readonly isOverdue: boolean }[] = [];
   for (const tasksByIndex of tasksByJob.values()) {
@@ -101,7 +102,7 @@
     if (finished.length === 0) continue;
     const oldestFinishedAt = finished.reduce((earliest, { since }) => Math.min(earliest, since), Infinity);
     const mayWait = finished.length < all.length && isUnlimited(finished[0]!.job, clusterConfig);
-    if (mayWait && now - oldestFinishedAt < patienceMs) continue;
+    if (mayWait && now - oldestFinishedAt < maxDelayMs) continue;
     ready.push({
       job: finished[0]!.job,
       tasks: finished,
@@ -113,10 +114,10 @@
 }
 
 /**
- * The resources of services' tasks that no machine has reported though it should have. While most machines of the
- * partition have yet to find their new owner, a missing report says nothing of any of them, and asking for machines
- * would ask for far too many. If that lasts, their zone is cut off: resources are asked for early enough that machines
- * have booted when the fencing period ends, and not sooner, for a short cut may be over before.
+ * The resources of service tasks that no machine has reported though it should have. While most machines of the
+ * partition are unconfirmed, a missing report says nothing about a task, and counting these tasks would request far too
+ * many machines. If this lasts, the partition is cut off: its tasks count as missing early enough that new machines
+ * have booted when the fencing period ends, and no earlier, because a short outage may end before.
  */
 export function missingServices(table: ClaimView, now: number): Resources {
   const { clusterConfig, machines, unconfirmedMachines, openedAt, fencedUntil } = table;
@@ -153,17 +154,17 @@
 }
 
 /**
- * The priority class under which the leader receives a job's tasks: members of replica groups are preempted for
- * nothing, whatever their own.
+ * The priority class under which the job's tasks are reported to the leader: for members of replica groups the highest
+ * one, because they are never preempted.
  */
 export function advertisedPriority(job: Job): number {
   return job.isGroup ? 0 : job.effectivePriority;
 }
 
 /**
- * What waiting tasks are expected to use of each machine, by priority class: they hold nothing yet and give way to more
- * urgent ones. Reported neither as free nor under their own class, these resources would look taken, and waiting batch
- * work would have machines rented for services to come.
+ * The resources that waiting tasks are expected to use on each machine, by priority class. These tasks hold nothing
+ * yet and give way to more urgent ones. If their resources were reported neither as free nor under their class, they
+ * would look taken, and waiting batch tasks would cause machines to be rented for future services.
  */
 export function plannedByPriority(claimTable: ClaimView): Map<Machine, Resources[]> {
   const planned = new Map<Machine, Resources[]>();
--- a/packages/core/src/claims/claim-table-options.ts
+++ b/packages/core/src/claims/claim-table-options.ts
@@ -1,4 +1,4 @@
-/** What a claim table is built from, and what stands in for the options that were left out. */
+/** The options of a claim table and their defaults. */
 import type { MachineType } from '@gingerlock/wire';
 import type { ClusterConfig } from '../cluster/cluster-config';
 import type { JobTable } from '../jobs/job-table';
@@ -6,37 +6,37 @@
 import { type MemberPolicy, NO_MEMBER_POLICY } from './member-policy';
 import { NO_RESERVATIONS, type Reservations } from './reservations';
 
-/** What a claim table is built from. All moments are steady milliseconds. */
+/** The options of a claim table. All times are steady milliseconds. */
 export interface ClaimTableOptions {
   readonly clusterConfig: ClusterConfig;
   readonly partitionId: number;
-  /** Number of the owner's term. */
+  /** Number of the ownership term. */
   readonly term: number;
-  /** When the fencing period ends at the latest, save for machines that this owner has answered itself. */
+  /** When the fencing period ends at the latest; machines that this owner has answered itself can prolong it. */
   readonly fencedUntil: number;
   /** When this owner acquired the partition. */
   readonly openedAt: number;
   readonly jobs: JobTable;
   /** The machine types that are known now, by name. */
   readonly types: () => ReadonlyMap<string, MachineType>;
-  /** Names and addresses of the machines that an earlier owner has stored. */
+  /** Names and addresses of the machines in the membership that an earlier owner stored. */
   readonly membership: Iterable<readonly [string, string]>;
   /** Resources that are kept free for certain tasks; by default none. */
   readonly reservations?: Reservations;
-  /** Decides on the members of replica groups; by default none may start. */
+  /** Decides when members of replica groups are started and returned; by default none is started. */
   readonly members?: MemberPolicy;
   /** Whether waiting tasks may preempt work of lower priority; by default they may. */
   readonly preempts?: boolean;
   /** How many tasks may be granted under this term; by default `ATTEMPTS_PER_TERM`. */
   readonly attemptsPerTerm?: number;
-  /** By machine: the images that an earlier owner believed to be cached there. */
+  /** The images that an earlier owner believed to be cached on a machine, by machine name. */
   readonly images?: ReadonlyMap<string, readonly string[]>;
   readonly log?: (message: string, detail: Record<string, unknown>) => void;
-  /** Is given what contradicts the safety argument, and so is never expected. */
+  /** Called on an event that contradicts the safety argument, and so is never expected. */
   readonly alarm?: (message: string, detail: Record<string, unknown>) => void;
 }
 
-/** The options with a default for each that was left out. */
+/** Returns the options with a default for each one that is left out. */
 export function withDefaults(options: ClaimTableOptions): Required<ClaimTableOptions> {
   return {
     ...options,
--- a/packages/core/src/claims/claim-table.ts
+++ b/packages/core/src/claims/claim-table.ts
@@ -1,9 +1,9 @@
 /**
  * The claim table of one partition: which machines send it heartbeats, which tasks are assigned to it, and which
- * machine holds which task. Pure and without a clock: every call is given the time (steady milliseconds).
+ * machine holds which task. The table is pure and has no clock: callers pass the time, in steady milliseconds.
  *
- * Nothing here is ever guessed. A claim ends only on proof that the task is off the machine: a later heartbeat of its
- * worker, a later agent epoch, the expiry of a lease under this very owner, or the cloud's word.
+ * A claim ends only on proof that the task does not run on the machine any more: a later heartbeat of its worker, a
+ * later agent epoch, the expiry of a lease under this owner, or the cloud's report that the machine is gone.
  */
 import type { MachineType, Heartbeat } from '@gingerlock/wire';
 import type { Resources } from '../cluster/resources';
@@ -37,19 +37,19 @@
   termOfToken,
 } from './fencing-tokens';
 
-/** A worker that may hold earlier tasks and does not take the owner's token is answered so many times. */
+/** How many heartbeats with a stale token are answered in a row if the machine may hold tasks of an earlier owner. */
 const MAX_STALE_TOKEN_ANSWERS = 4;
 
-/** The claim table of one partition under one term of its owner. */
+/** The claim table of one partition under one ownership term. */
 export class ClaimTable implements ClaimView {
   readonly clusterConfig: ClusterConfig;
   readonly partitionId: number;
-  /** Number of the owner's term. */
+  /** Number of the ownership term. */
   readonly term: number;
   /** When this owner acquired the partition. */
   readonly openedAt: number;
   readonly log: (message: string, detail: Record<string, unknown>) => void;
-  /** Is given what contradicts the safety argument, and so is never expected. */
+  /** Called on an event that contradicts the safety argument, and so is never expected. */
   readonly alarm: (message: string, detail: Record<string, unknown>) => void;
   readonly failures: FailureAttribution;
   /** Resources that are kept free for certain tasks. */
@@ -63,28 +63,28 @@
   readonly #granter: TaskGranter;
   readonly #fencingPeriod: FencingPeriod;
   readonly #attemptNumbers: AttemptNumbers;
-  /** By machine: the images that an earlier owner believed to be cached there. */
+  /** The images that an earlier owner believed to be cached on a machine, by machine name. */
   readonly #inheritedImages: ReadonlyMap<string, readonly string[]>;
   readonly #jobs: JobTable;
   readonly #types: () => ReadonlyMap<string, MachineType>;
 
   constructor(options: ClaimTableOptions) {
-    const given = withDefaults(options);
-    const { clusterConfig, partitionId, term, jobs, log, alarm } = given;
+    const resolvedOptions = withDefaults(options);
+    const { clusterConfig, partitionId, term, jobs, log, alarm } = resolvedOptions;
     this.clusterConfig = clusterConfig;
     this.partitionId = partitionId;
     this.term = term;
-    this.openedAt = given.openedAt;
+    this.openedAt = resolvedOptions.openedAt;
     this.log = log;
     this.alarm = alarm;
-    this.reservations = given.reservations;
-    this.members = given.members;
-    this.preempts = given.preempts;
+    this.reservations = resolvedOptions.reservations;
+    this.members = resolvedOptions.members;
+    this.preempts = resolvedOptions.preempts;
     this.#jobs = jobs;
-    this.#types = given.types;
-    this.#inheritedImages = given.images;
-    this.#attemptNumbers = new AttemptNumbers(term, given.attemptsPerTerm);
-    this.#fencingPeriod = new FencingPeriod(clusterConfig, given.membership, given.fencedUntil);
+    this.#types = resolvedOptions.types;
+    this.#inheritedImages = resolvedOptions.images;
+    this.#attemptNumbers = new AttemptNumbers(term, resolvedOptions.attemptsPerTerm);
+    this.#fencingPeriod = new FencingPeriod(clusterConfig, resolvedOptions.membership, resolvedOptions.fencedUntil);
     this.failures = new FailureAttribution(clusterConfig);
     this.#machineTable = new MachineTable(clusterConfig, this.failures, alarm);
     this.#tasks = new TaskTable({ partitionId, term, jobs, isFencingOver: () => this.isFencingOver, log, alarm });
@@ -93,17 +93,17 @@
     this.#granter = new TaskGranter(this, this.#tasks, this.#reconciler, this.#attemptNumbers);
   }
 
-  /** Whether no machine can hold a task of an earlier owner any more. */
+  /** Whether the fencing period is over: no machine can hold an unreported task of an earlier owner any more. */
   get isFencingOver(): boolean {
     return this.#fencingPeriod.isOver;
   }
 
-  /** Machines of the membership that may run tasks of an earlier owner. */
+  /** Addresses of the machines in the membership that may run tasks of an earlier owner, by name. */
   get unconfirmedMachines(): ReadonlyMap<string, string> {
     return this.#fencingPeriod.unconfirmedMachines;
   }
 
-  /** When the fencing period ends at the latest, save for machines that this owner has answered itself. */
+  /** When the fencing period ends at the latest; machines that this owner has answered itself can prolong it. */
   get fencedUntil(): number {
     return this.#fencingPeriod.until;
   }
@@ -112,7 +112,7 @@
     this.#fencingPeriod.until = until;
   }
 
-  /** Whether the next term should begin, before this one's attempt numbers run out. */
+  /** Whether a new term should begin before the attempt numbers of this one run out. */
   get needsNewTerm(): boolean {
     return this.#attemptNumbers.needsNewTerm;
   }
@@ -122,66 +122,66 @@
     return this.#types();
   }
 
-  /** The machine's type; undefined: the cloud has not listed it yet. */
+  /** The machine's type; undefined if the cloud has not listed it yet. */
   typeOf(machine: Machine): MachineType | undefined {
     return this.#types().get(machine.type);
   }
 
   // --- tasks -------------------------------------------------------------------------------------------------------
 
-  /** By job and task index. */
+  /** The tasks of the partition, by job id and task index. */
   get tasksByJob(): ReadonlyMap<string, ReadonlyMap<number, TaskEntry>> {
     return this.#tasks.tasksByJob;
   }
 
-  /** Goes up with every change that alters free resources or waiting tasks. */
+  /** Counts the changes of free resources or waiting tasks. */
   get changes(): number {
     return this.#tasks.changes;
   }
 
-  /** Counts a change that was made to an entry from outside. */
+  /** Counts a change that the caller made to an entry of this table. */
   noteChange(): void {
     this.#tasks.changes++;
   }
 
-  /** The jobs that may have waiting tasks, in order. */
+  /** The jobs that may have waiting tasks, in the order of `jobOrder`. */
   wakes(): readonly Job[] {
     return this.#tasks.wakes();
   }
 
-  /** The waiting tasks of the job; none of a cancelled one. */
+  /** The waiting tasks of the job; none if the job is cancelled. */
   waitingTasks(job: Job): Generator<TaskEntry> {
     return this.#tasks.waitingTasks(job);
   }
 
-  /** The recovery scan: from now on the jobs that have a waiting task have a wake, and no others. */
+  /** The recovery scan: afterwards exactly the jobs with a waiting task have a wake. */
   recoverWakes(): void {
     this.#tasks.recoverWakes();
   }
 
-  /** Brings the tasks of a job in line with its record. Returns the claims that are to be stopped from now on. */
+  /** Updates the tasks of a job to match its record. Returns the tasks that are to be stopped from now on. */
   syncJob(id: string, now: number): readonly TaskEntry[] {
     return this.#tasks.sync(id, now);
   }
 
-  /** The task of this name; undefined: the name is malformed, or the task is not assigned here. */
+  /** The task of this name; undefined if the name is malformed or the table has no such task. */
   findTask(taskName: string): TaskEntry | undefined {
     return this.#tasks.findTask(taskName);
   }
 
   // --- machines ----------------------------------------------------------------------------------------------------
 
-  /** By name: the machines that have sent a heartbeat to this owner. */
+  /** The machines that have sent a heartbeat to this owner, by name. */
   get machines(): ReadonlyMap<string, Machine> {
     return this.#machineTable.byName;
   }
 
-  /** Notes that the stored membership names the machine, or no longer does. */
+  /** Records whether the stored membership contains the machine. */
   setMember(name: string, isMember: boolean): void {
     this.#machineTable.setMember(name, isMember);
   }
 
-  /** The cloud reports that a machine and all that was on it are gone. */
+  /** Removes a machine that the cloud reports gone, and ends its claims. */
   removeMachine(name: string, now: number): void {
     this.#machineTable.markGone(name);
     this.#fencingPeriod.confirm(name);
@@ -203,42 +203,42 @@
     return this.#machineTable.isSuspect(machine, now);
   }
 
-  /** For how long the machine has been silent while this controller was receiving; see `MachineTable.silentMs`. */
+  /** How long the machine has been silent while this controller was receiving; see `MachineTable.silentMs`. */
   silentMs(machine: Machine, now: number): number {
     return this.#machineTable.silentMs(machine, now);
   }
 
-  /** This controller's event loop stalled and goes on at `now`: heartbeats sent meanwhile are yet to be read. */
+  /** A stall of this controller's event loop ended at `now`: heartbeats sent during the stall are not read yet. */
   resumedAfterStall(now: number): void {
     this.#machineTable.resumedAfterStall(now);
   }
 
-  /** Whether the machine itself is at fault: several jobs failed on it that run elsewhere. */
+  /** Whether the machine itself is at fault: several jobs that run elsewhere failed on it. */
   isQuarantined(machine: Machine): boolean {
     return this.failures.isQuarantined(machine.name);
   }
 
-  /** Whether the job failed wherever it was started, by its record or by what was seen in this partition. */
+  /** Whether the job failed wherever it was started, according to its record or to its failures in this partition. */
   isCrashLooping(job: Job): boolean {
     return job.isCrashLooping || this.failures.verdictOn(job.id) === 'crash-looping';
   }
 
-  /** Whether a waiting task may be started: of a crash-looping job only a single probe, and once. */
+  /** Whether a waiting task may be started; see `mayStartTask`. */
   mayStart(task: TaskEntry): boolean {
     return mayStartTask(task, (job) => this.isCrashLooping(job));
   }
 
-  /** Whether the record of a job of which these tasks are returned to the leader is to mark it as crash-looping. */
+  /** Whether the write that returns these tasks to the leader is to mark their job as crash-looping. */
   marksCrashLoopOnReturn(job: Job, returned: readonly TaskEntry[], now: number): boolean {
-    const { runningOn } = this.#evidenceOn(job.id, now);
-    return marksCrashLoop(job, returned, (other) => this.isCrashLooping(other), runningOn);
+    const { runningMachineCount } = this.#evidenceOn(job.id, now);
+    return marksCrashLoop(job, returned, (other) => this.isCrashLooping(other), runningMachineCount);
   }
 
   #evidenceOn(id: string, now: number): JobEvidence {
     return evidenceOn(this.#jobs, this.tasksByJob, id, now);
   }
 
-  /** What a machine has left after its claims and the orphaned tasks that it reports. */
+  /** The resources left on a machine after its claims and the orphaned tasks that it reports. */
   freeResources(machine: Machine): Resources {
     return freeResourcesOn(machine, this.typeOf(machine), this.#jobs);
   }
@@ -248,12 +248,12 @@
     return this.#machineTable.mayTakeWork(machine, now);
   }
 
-  /** The fencing token of every message to this machine now; undefined: to one that has sent no heartbeat yet. */
+  /** The current fencing token for messages to the machine; undefined stands for one without a heartbeat so far. */
   fencingToken(machine: Machine | undefined): number {
     return fencingTokenOf(this.term, machine);
   }
 
-  /** How long until the machine's next heartbeat, about, or 0 if one can be requested. */
+  /** Approximate time until the machine's next heartbeat, in milliseconds; 0 if one can be requested. */
   nextHeartbeatInMs(machine: Machine, now: number): number {
     return nextHeartbeatInMs(machine, this.clusterConfig, now);
   }
@@ -263,7 +263,9 @@
     return mayRequestHeartbeat(machine, this.clusterConfig, now);
   }
 
-  /** Raises the machine's fencing token and returns it; the caller sends it there, and the worker answers it. */
+  /**
+   * Raises and returns the machine's fencing token. The caller sends it to the worker, which answers by a heartbeat.
+   */
   requestHeartbeat(machine: Machine, now: number): number {
     raiseFencingToken(machine, now);
     return this.fencingToken(machine);
@@ -272,8 +274,8 @@
   // --- heartbeats --------------------------------------------------------------------------------------------------
 
   /**
-   * Accepts or refuses a heartbeat that was received at `now`. `mayGrant` says whether this owner is surely entitled to
-   * start tasks now; the caller has made sure that it may answer at all.
+   * Accepts or refuses a heartbeat that was received at `now`. `mayGrant`: whether this owner is certainly entitled to
+   * start tasks now. The caller has checked that this owner may answer at all.
    */
   handleHeartbeat(heartbeat: Heartbeat, now: number, mayGrant: boolean): HeartbeatOutcome {
     const term = termOfToken(heartbeat.fencingToken);
@@ -281,11 +283,11 @@
     const refusal = this.#machineTable.refusalOf(heartbeat);
     if (refusal !== null) return refusal;
     const machine = this.machines.get(heartbeat.machine) ?? this.#addMachine(heartbeat, now);
-    // The worker's lease expired in between: it has killed and forgotten all that ran before.
+    // The worker's lease expired in between: it has killed and forgotten all its earlier tasks.
     if (heartbeat.agentEpoch > machine.agentEpoch) this.#tasks.endClaims(machine, now, 'new session');
     this.#machineTable.update(machine, heartbeat);
     this.noteChange();
-    // A token of this very term is our own: each process acquires a term of its own, also after a restart.
+    // A token of this term comes from this process: after a restart a process acquires a new term.
     if (term < this.term) return this.#answerStaleToken(machine, now);
     return this.#answerWithCommands(machine, heartbeat, now, mayGrant);
   }
@@ -297,10 +299,10 @@
   }
 
   /**
-   * Answers a worker that has not seen our term. One that goes on without it does not receive our answers, and
-   * answering it for ever would keep its lease in doubt for ever, and with it every uncertain task of this partition. A
-   * machine that can hold none of those is answered however often: it may have come up unreachable while the partition
-   * changed owners.
+   * Answers a worker that has not seen this owner's term. A worker that keeps sending an older term does not receive
+   * the answers. Each answer may still renew its lease, so answering without end would keep the uncertain tasks of
+   * this partition waiting forever. A machine that can hold no uncertain task is always answered: it may have started
+   * while answers could not reach it and the partition changed owners.
    */
   #answerStaleToken(machine: Machine, now: number): HeartbeatOutcome {
     machine.hasCurrentToken = false;
@@ -333,17 +335,18 @@
   }
 
   /**
-   * Ends what time alone ends. Returns the machines that hold nothing any more and may leave the membership: their
-   * lease has expired, or the fencing period has passed without a heartbeat of theirs.
+   * Ends expired leases and the fencing period, and updates the verdicts on failed jobs. Returns the names of machines
+   * that hold no task any more and may leave the membership: their lease has expired, or they sent no heartbeat before
+   * the fencing period ended.
    */
   tick(now: number): string[] {
     const expired = this.#expireLeases(now);
     this.#endFencing(now);
-    this.failures.review((job) => this.#evidenceOn(job, now));
+    this.failures.updateVerdicts((job) => this.#evidenceOn(job, now));
     return [...expired, ...this.#fencingPeriod.takeExpiredMachines()];
   }
 
-  /** Ends the claims of machines whose lease has surely expired; returns those that had this owner's token. */
+  /** Ends the claims of machines that had this owner's token and whose lease has expired; returns their names. */
   #expireLeases(now: number): string[] {
     const expired: string[] = [];
     for (const machine of this.#machineTable.expireLeases(now)) {
@@ -355,29 +358,29 @@
     return expired;
   }
 
-  // --- what the owner reads and writes ----------------------------------------------------------------------------
+  // --- queries and writes of the owner -----------------------------------------------------------------------------
 
   /** The tasks that can be returned to the leader, by job; see `returnableTasks`. */
   returnable(unschedulable: readonly TaskEntry[], now: number): Map<string, TaskEntry[]> {
     return returnableTasks(this, unschedulable, now);
   }
 
-  /** The write that returns these tasks to the leader is under way: until its outcome is known none is granted. */
+  /** Marks tasks whose return to the leader is being written: until the outcome is known, none is granted. */
   beginReturn(tasks: readonly TaskEntry[], now: number): void {
     this.#tasks.beginReturn(tasks, now);
   }
 
-  /** The write that would have returned these tasks did not happen and never will. */
+  /** Makes tasks wait again after a write that was to return them did not happen and never will. */
   cancelReturn(tasks: readonly TaskEntry[], now: number): void {
     this.#tasks.cancelReturn(tasks, now);
   }
 
-  /** The completed tasks that are to be written now, by job; see `tasksToFinish`. */
-  tasksToFinish(now: number, patienceMs: number): Map<string, TaskEntry[]> {
-    return tasksToFinish(this, now, patienceMs);
+  /** The completed tasks whose completion is to be written now, by job; see `tasksToFinish`. */
+  tasksToFinish(now: number, maxDelayMs: number): Map<string, TaskEntry[]> {
+    return tasksToFinish(this, now, maxDelayMs);
   }
 
-  /** What the services' tasks that no machine has reported add up to; see `missingServices`. */
+  /** The total resources of service tasks that no machine has reported; see `missingServices`. */
   missingServices(now: number): Resources {
     return missingServices(this, now);
   }
--- a/packages/core/src/claims/claim-view.ts
+++ b/packages/core/src/claims/claim-view.ts
@@ -1,6 +1,6 @@
 /**
- * What placement, planning and the queries read of a claim table. They know this interface alone, and the table calls
- * them.
+ * The read-only view of a claim table for placement, planning and queries. They depend on this interface and not on the
+ * table, because the table calls them.
  */
 import type { MachineType } from '@gingerlock/wire';
 import type { Resources } from '../cluster/resources';
@@ -11,49 +11,49 @@
 import type { Machine } from './machine-entry';
 import type { TaskEntry } from './task-entry';
 
-/** A claim table as seen by those that do not change it. Moments are steady milliseconds. */
+/** A read-only view of a claim table. Times are steady milliseconds. */
 export interface ClaimView {
   readonly clusterConfig: ClusterConfig;
   /** Whether waiting tasks may preempt work of lower priority. */
   readonly preempts: boolean;
   /** Resources that are kept free for certain tasks. */
   readonly reservations: Reservations;
-  /** Decides on the members of replica groups. */
+  /** Decides when members of replica groups are started and returned. */
   readonly members: MemberPolicy;
-  /** Where a job is not to be started for a while, because it failed there. */
+  /** Tells on which machines a job may not start for a while because it failed there. */
   readonly failures: { isExcluded(job: string, machine: string, now: number): boolean };
-  /** By name: the machines that have sent a heartbeat to this owner. */
+  /** The machines that have sent a heartbeat to this owner, by name. */
   readonly machines: ReadonlyMap<string, Machine>;
-  /** Machines of the membership that may run tasks of an earlier owner. */
+  /** Addresses of the machines in the membership that may run tasks of an earlier owner, by name. */
   readonly unconfirmedMachines: ReadonlyMap<string, string>;
-  /** By job and task index. */
+  /** The tasks of the partition, by job id and task index. */
   readonly tasksByJob: ReadonlyMap<string, ReadonlyMap<number, TaskEntry>>;
   /** The machine types that are known now, by name. */
   readonly types: ReadonlyMap<string, MachineType>;
-  /** Whether no machine can hold a task of an earlier owner any more. */
+  /** Whether the fencing period is over: no machine can hold an unreported task of an earlier owner any more. */
   readonly isFencingOver: boolean;
   /** When this owner acquired the partition. */
   readonly openedAt: number;
-  /** When the fencing period ends at the latest, save for machines that this owner has answered itself. */
+  /** When the fencing period ends at the latest; machines that this owner has answered itself can prolong it. */
   readonly fencedUntil: number;
   readonly log: (message: string, detail: Record<string, unknown>) => void;
-  /** The jobs that may have waiting tasks, in order. */
+  /** The jobs that may have waiting tasks, in the order of `jobOrder`. */
   wakes(): readonly Job[];
-  /** The waiting tasks of the job; none of a cancelled one. */
+  /** The waiting tasks of the job; none if the job is cancelled. */
   waitingTasks(job: Job): Iterable<TaskEntry> & Iterator<TaskEntry>;
-  /** The machine's type; undefined: the cloud has not listed it yet. */
+  /** The machine's type; undefined if the cloud has not listed it yet. */
   typeOf(machine: Machine): MachineType | undefined;
-  /** What a machine has left after its claims and the orphaned tasks that it reports. */
+  /** The resources left on a machine after its claims and the orphaned tasks that it reports. */
   freeResources(machine: Machine): Resources;
   /** Whether new tasks may be granted to the machine at all. */
   mayTakeWork(machine: Machine, now: number): boolean;
   /** Whether the machine has missed so many heartbeats that it may have failed. */
   isSuspect(machine: Machine, now: number): boolean;
-  /** Whether the job failed wherever it was started, by its record or by what was seen in this partition. */
+  /** Whether the job failed wherever it was started, according to its record or to its failures in this partition. */
   isCrashLooping(job: Job): boolean;
-  /** Whether a waiting task may be started: of a crash-looping job only a single probe, and once. */
+  /** Whether a waiting task may be started; a crash-looping job may start only a single probe, once. */
   mayStart(task: TaskEntry): boolean;
-  /** How long until the machine's next heartbeat, about, or 0 if one can be requested. */
+  /** Approximate time until the machine's next heartbeat, in milliseconds; 0 if one can be requested. */
   nextHeartbeatInMs(machine: Machine, now: number): number;
   /** Whether to request a heartbeat from the machine now. */
   mayRequestHeartbeat(machine: Machine, now: number): boolean;
--- a/packages/core/src/claims/crash-loops.ts
+++ b/packages/core/src/claims/crash-loops.ts
@@ -1,6 +1,6 @@
 /**
- * What follows for the tasks of a job that failed wherever it was started: at most one at a time is started, as a
- * probe.
+ * Rules for the tasks of a crash-looping job, which failed wherever it was started: at most one at a time is started,
+ * as a probe.
  */
 import { assignedUnfinished } from '../jobs/assigned-usage';
 import type { Job } from '../jobs/jobs';
@@ -10,25 +10,25 @@
 type CrashLoopCheck = (job: Job) => boolean;
 
 /**
- * Whether a waiting task may be started: of a crash-looping job only a single probe that the leader has assigned, and
- * once.
+ * Whether a waiting task may be started. A crash-looping job may start only a single probe that the leader has
+ * assigned, and only once.
  */
 export function mayStartTask({ job, failures }: TaskEntry, isCrashLooping: CrashLoopCheck): boolean {
   return !isCrashLooping(job) || (job.isCrashLooping && failures === 0 && assignedUnfinished(job) <= 1);
 }
 
 /**
- * Whether the record of a job of which these tasks are returned to the leader is to mark it as crash-looping.
- * `runningOn`: on how many machines of the partition the job runs now.
+ * Whether the write that returns these tasks to the leader is to mark their job as crash-looping.
+ * `runningMachineCount`: on how many machines of the partition the job runs now.
  */
 export function marksCrashLoop(
   job: Job,
   returned: readonly TaskEntry[],
   isCrashLooping: CrashLoopCheck,
-  runningOn: number,
+  runningMachineCount: number,
 ): boolean {
   if (job.finishedCount > 0) return false;
-  // No machine here is left to start it on: elsewhere it is probed, for it may fail there as well.
-  const hasFailedHere = returned.some((task) => task.failures > 0) && runningOn === 0;
+  // The job cannot be started in this partition any more. It is probed in others, because it may fail there as well.
+  const hasFailedHere = returned.some((task) => task.failures > 0) && runningMachineCount === 0;
   return hasFailedHere || isCrashLooping(job);
 }
--- a/packages/core/src/claims/fencing-tokens.ts
+++ b/packages/core/src/claims/fencing-tokens.ts
@@ -1,39 +1,42 @@
-/** The fencing tokens that workers are sent, and when raising one makes a worker send a heartbeat at once. */
+/** The fencing tokens in messages to workers. Raising a token can make a worker send a heartbeat at once. */
 import type { ClusterConfig } from '../cluster/cluster-config';
 import type { Machine } from './machine-entry';
 
-/** A token is its owner's term times this, plus how often the owner has requested a heartbeat from the machine. */
+/** A token is the owner's term times this, plus how often the owner has requested a heartbeat from the machine. */
 export const TOKENS_PER_TERM = 2 ** 20;
 
-/** The term of the owner that gave out the token. */
+/** The term of the owner that issued the token. */
 export function termOfToken(fencingToken: number): number {
   return Math.floor(fencingToken / TOKENS_PER_TERM);
 }
 
-/** The token of every message to the machine now; undefined: to one that has sent no heartbeat under this term yet. */
+/** The current token for messages to the machine; undefined stands for one without a heartbeat under this term. */
 export function fencingTokenOf(term: number, machine: Machine | undefined): number {
   return term * TOKENS_PER_TERM + (machine?.heartbeatRequests ?? 0);
 }
 
-/** Has every message to the machine carry a higher token from now on. */
+/** Raises the token of all further messages to the machine. */
 export function raiseFencingToken(machine: Machine, now: number): void {
   machine.heartbeatRequests++;
   machine.heartbeatRequestedAt = now;
 }
 
-/** A worker answers a higher token with a heartbeat once in half of its lease; a little more, for clock drift. */
+/**
+ * Minimum time between requests, in worker leases. A worker heeds one per half lease; the excess allows for clock
+ * drift.
+ */
 const HEARTBEAT_REQUEST_LEASES = 0.52;
 
 /**
- * No heartbeat is requested until the interval divided by this has passed since the last one: its answer may be under
- * way.
+ * After a heartbeat, none is requested for the heartbeat interval divided by this, because its answer may still be
+ * under way.
  */
 const ANSWER_UNDER_WAY_DIVISOR = 10;
 
-/** No heartbeat is requested once this share of the interval has passed: the next one is about to come by itself. */
+/** No heartbeat is requested once this share of the interval has passed, because the next one is due soon anyway. */
 const NEXT_HEARTBEAT_DUE_SHARE = 0.9;
 
-/** Whether the worker would accept a request by now, and the term has a number left for it. */
+/** Whether the worker would accept a request now, and the term has a token left for it. */
 function acceptsHeartbeatRequest(
   { heartbeatRequestedAt, heartbeatRequests }: Machine,
   { workerLeaseMs }: ClusterConfig,
@@ -45,8 +48,8 @@
 }
 
 /**
- * How long until the machine's next heartbeat, about, or 0 if one can be requested: a worker that sees a higher token
- * sends one at once, though only once in half of its lease, and drops any answer under way that carries a lower token.
+ * Approximate time until the machine's next heartbeat, in milliseconds; 0 if one can be requested. A worker that sees a
+ * higher token sends a heartbeat at once, but only once per half lease, and drops answers under way with a lower token.
  */
 export function nextHeartbeatInMs(machine: Machine, clusterConfig: ClusterConfig, now: number): number {
   if (machine.answeredAt === null) return clusterConfig.heartbeatIntervalMs;
@@ -56,8 +59,8 @@
 }
 
 /**
- * Whether to request a heartbeat from the machine now. Not while the answer to its last one, and starts in it, may be
- * under way, nor when the next one is about to come by itself.
+ * Whether to request a heartbeat from the machine now. None is requested while the answer to the last one, which may
+ * contain starts, may be under way, or when the next one is due soon anyway.
  */
 export function mayRequestHeartbeat(machine: Machine, clusterConfig: ClusterConfig, now: number): boolean {
   if (machine.answeredAt === null || nextHeartbeatInMs(machine, clusterConfig, now) > 0) return false;
--- a/packages/core/src/claims/grant-capacity.ts
+++ b/packages/core/src/claims/grant-capacity.ts
@@ -3,13 +3,13 @@
 import type { Reservations } from './reservations';
 import type { TaskEntry } from './task-entry';
 
-/** What one machine can still take: most tasks get what is not reserved, a task with a reservation there gets all. */
+/** The resources that one machine can still grant; only a task with a reservation there may use reserved ones. */
 export class GrantCapacity {
-  /** Whether resources are reserved here for any task. */
+  /** Whether resources of the machine are reserved for any task. */
   readonly hasReservations: boolean;
-  /** What is free, reserved or not. */
+  /** All free resources, including reserved ones. */
   #free: Resources;
-  /** What is free and not reserved. */
+  /** The free resources that are not reserved. */
   #unreserved: Resources;
 
   constructor(
@@ -24,12 +24,12 @@
     this.#unreserved = this.hasReservations ? subtractResources(free, reserved) : free;
   }
 
-  /** Whether the task fits into what it may use. */
+  /** Whether the task fits into the free resources that it may use. */
   fits(task: TaskEntry): boolean {
     return fitsIn(task.job.spec, this.#isReservedFor(task) ? this.#free : this.#unreserved);
   }
 
-  /** Takes out a task that is claimed here now; what was reserved for it is reserved no longer. */
+  /** Subtracts a task that the machine now holds; a task with a reservation uses up its reserved resources. */
   take(task: TaskEntry): void {
     this.#free = subtractResources(this.#free, task.job.spec);
     if (!this.#isReservedFor(task)) this.#unreserved = subtractResources(this.#unreserved, task.job.spec);
--- a/packages/core/src/claims/granting.ts
+++ b/packages/core/src/claims/granting.ts
@@ -1,4 +1,4 @@
-/** Which waiting tasks are granted to the machine whose heartbeat is being answered, in the order of their jobs. */
+/** Selects the waiting tasks to grant to the machine whose heartbeat is being answered, in the order of their jobs. */
 import type { ClaimView } from './claim-view';
 import { waitsForCachedImage } from './claim-queries';
 import { allowsMachine } from '../cluster/placement-constraints';
@@ -9,10 +9,10 @@
 import type { TaskEntry } from './task-entry';
 
 /**
- * The tasks to be bound to the machine, one by one. The caller takes each out of `capacity` before it asks for the
- * next, which is checked against what is left.
+ * Yields the tasks to grant to the machine. The caller takes each one from `capacity` before it asks for the next,
+ * which is checked against the rest.
  */
-export function* bindable(
+export function* grantableTasks(
   view: ClaimView,
   machine: Machine,
   capacity: GrantCapacity,
@@ -21,12 +21,12 @@
   for (const job of view.wakes()) {
     if (!allowsMachine(job.spec, machine.type, machine.zone, machine.spot)) continue;
     if (view.failures.isExcluded(job.id, machine.name, now)) continue;
-    yield* bindableOf(view, job, machine, capacity, now);
+    yield* grantableTasksOf(view, job, machine, capacity, now);
   }
 }
 
-/** The tasks of one job that are to be bound to the machine. */
-function* bindableOf(
+/** Yields the tasks of one job to grant to the machine. */
+function* grantableTasksOf(
   view: ClaimView,
   job: Job,
   machine: Machine,
@@ -35,16 +35,16 @@
 ): Generator<TaskEntry> {
   for (const task of view.waitingTasks(job)) {
     if (!capacity.fits(task)) {
-      // The tasks of a job are all alike: where nothing is reserved for any task, no other of them fits either.
+      // All tasks of a job are of equal size: without reservations on the machine, no other one of them fits either.
       if (capacity.hasReservations) continue;
       return;
     }
-    if (mayBind(view, task, machine, now)) yield task;
+    if (mayGrantTask(view, task, machine, now)) yield task;
   }
 }
 
 /** Whether a task that fits may be started on the machine now. */
-function mayBind(view: ClaimView, task: TaskEntry, machine: Machine, now: number): boolean {
+function mayGrantTask(view: ClaimView, task: TaskEntry, machine: Machine, now: number): boolean {
   if (task.notBefore > now || (task.zone !== null && task.zone !== machine.zone)) return false;
   if (task.job.isGroup) return view.members.mayStart(task, machine);
   if (!view.mayStart(task) || startsSoonerElsewhere(view, task, machine, now)) return false;
--- a/packages/core/src/claims/heartbeat-outcome.ts
+++ b/packages/core/src/claims/heartbeat-outcome.ts
@@ -1,13 +1,13 @@
-/** What a claim table does with a heartbeat. */
+/** The outcomes of a heartbeat in a claim table. */
 import type { WorkerCommand } from '@gingerlock/wire';
 
-/** The heartbeat is an older copy, or must not be answered: it changes nothing and renews no lease. */
+/** The heartbeat is outdated or must not be answered: it renews no lease. */
 export interface HeartbeatRefusal {
   readonly kind: 'refuse';
   readonly why: string;
 }
 
-/** What becomes of a heartbeat. */
+/** The outcome of a heartbeat. */
 export type HeartbeatOutcome =
   | { readonly kind: 'answer'; readonly fencingToken: number; readonly commands: WorkerCommand[] }
   | HeartbeatRefusal
--- a/packages/core/src/claims/heartbeat-reconciler.ts
+++ b/packages/core/src/claims/heartbeat-reconciler.ts
@@ -1,6 +1,6 @@
 /**
- * Reconciliation of a worker's heartbeat with the task table: which claims it confirms or ends, what is to be stopped
- * or forgotten.
+ * Reconciliation of a worker's heartbeat with the task table: which claims it confirms or ends, and which tasks the
+ * worker is to stop or forget.
  */
 import type { ExitCause, MachineType, ReportedTask, TaskState, WorkerCommand, Heartbeat } from '@gingerlock/wire';
 import type { ClusterConfig } from '../cluster/cluster-config';
@@ -11,18 +11,18 @@
 import type { TaskEntry } from './task-entry';
 
 /**
- * A machine that did not receive so many answers with starts in a row gets no more starts for a lease. Answers are
- * counted, not starts: a machine that missed a single answer with two starts is not to stay idle for a whole lease.
+ * A machine that missed this many answers with starts in a row gets no starts for a worker lease. Answers are counted
+ * and not starts, so that a machine does not stay idle for a whole lease after it missed one answer with two starts.
  */
-const UNREACHABLE_AFTER_ANSWERS = 2;
+const UNREACHABLE_AFTER_LOST_ANSWERS = 2;
 
-/** A task that failed this often waits before its next start. */
+/** A task that failed at least this often waits before its next start. */
 const FAILURES_BEFORE_BACKOFF = 2;
 
-/** The wait doubles with each further failure, at most this often. */
+/** The wait doubles with each further failure, at most this many times. */
 const MAX_BACKOFF_DOUBLINGS = 4;
 
-/** A machine that found no free resources for a task gets no starts for so many heartbeat intervals. */
+/** A machine without free resources for a granted task gets no starts for this many heartbeat intervals. */
 const NO_ROOM_INTERVALS = 2;
 
 /** States of a task that the machine still holds. */
@@ -41,9 +41,9 @@
     readonly alarm: (message: string, detail: Record<string, unknown>) => void,
   ) {}
 
-  /** Applies what a heartbeat says of tasks; returns the commands to forget and to stop some of them, in this order. */
+  /** Applies the task reports of a heartbeat; returns the commands to forget and to stop tasks, in this order. */
   reconcile(machine: Machine, heartbeat: Heartbeat, now: number): WorkerCommand[] {
-    this.#endUnlisted(machine, heartbeat, now);
+    this.#endUnlistedClaims(machine, heartbeat, now);
     const forget: WorkerCommand[] = [];
     for (const reported of heartbeat.tasks) {
       if (reported.state !== 'exited' || this.#reconcileExited(machine, reported, now) === 'keep') continue;
@@ -58,27 +58,26 @@
   }
 
   /**
-   * Ends the claims that the heartbeat does not list. A worker has one heartbeat in flight at a time and drops an
-   * answer that comes too late: what the last answer started and this later heartbeat lacks has not started and will
-   * not.
+   * Ends the claims that the heartbeat does not list. A worker has one heartbeat in flight at a time and drops late
+   * answers: a task that the last answer started and this heartbeat does not list has not started and never will.
    */
-  #endUnlisted(machine: Machine, heartbeat: Heartbeat, now: number): void {
+  #endUnlistedClaims(machine: Machine, heartbeat: Heartbeat, now: number): void {
     const listed = new Set(heartbeat.tasks.map((reported) => `${reported.task} ${reported.attempt}`));
     let hasLostStarts = false;
     for (const task of [...machine.claims.values()]) {
       if (listed.has(`${task.name} ${task.claim!.attempt}`)) continue;
       const isLostStart = task.claim!.stage === 'granted';
       hasLostStarts ||= isLostStart;
-      this.tasks.claimEnded(task, isLostStart ? 'start was lost' : 'not reported any more', now);
+      this.tasks.endClaim(task, isLostStart ? 'start was lost' : 'not reported any more', now);
     }
-    if (hasLostStarts && ++machine.unacknowledgedAnswers >= UNREACHABLE_AFTER_ANSWERS) {
+    if (hasLostStarts && ++machine.unacknowledgedAnswers >= UNREACHABLE_AFTER_LOST_ANSWERS) {
       machine.unreachableUntil = now + this.clusterConfig.workerLeaseMs;
     }
   }
 
   /**
-   * Applies the report of a task that the machine holds; returns the seconds that it gets for its checkpoint if it is
-   * to be stopped, null if it goes on.
+   * Applies the report of a task that the machine holds. Returns the seconds that the task gets for its checkpoint if
+   * the worker is to stop it, and null if no stop is to be sent.
    */
   #reconcileHeld(machine: Machine, reported: ReportedTask, state: HeldState, now: number): number | null {
     const task = this.tasks.findTask(reported.task);
@@ -96,7 +95,7 @@
     return isSaving ? null : claim.stopGraceS;
   }
 
-  /** Claims for the machine a task that was started there under an earlier owner. */
+  /** Claims a task for the machine on which it was started under an earlier owner. */
   #adopt(machine: Machine, task: TaskEntry, reported: ReportedTask, state: HeldState, now: number): void {
     if (task.state !== 'uncertain')
       this.alarm('task that was free to start is running', { task: task.name, on: machine.name });
@@ -113,8 +112,8 @@
   }
 
   /**
-   * Applies the report of an exited task. `keep`: the worker must not forget it yet, because its completion is still to
-   * be written to the key-value store.
+   * Applies the report of an exited task. Returns `keep` if the worker must not forget the task yet, because its
+   * completion is not written to the key-value store yet.
    */
   #reconcileExited(machine: Machine, reported: ReportedTask, now: number): ExitHandling {
     const task = this.tasks.findTask(reported.task);
@@ -129,18 +128,18 @@
     }
     if (!isOwnAttempt) return 'forget';
     this.#attributeFailure(machine, task, reported.cause ?? 'unrecognised', now);
-    this.tasks.claimEnded(task, `exited: ${reported.cause}`, now);
+    this.tasks.endClaim(task, `exited: ${reported.cause}`, now);
     return 'forget';
   }
 
-  /** Draws from a failed exit what it says of the task, its job and the machine. */
+  /** Applies the cause of a failed exit to the task, its job and the machine. */
   #attributeFailure(machine: Machine, task: TaskEntry, cause: ExitCause, now: number): void {
-    // It says neither that the task failed nor why: the task is started again, and no machine or job is held
-    // responsible.
+    // An unrecognised cause does not say whether the task failed or why: the task is started again, and neither the
+    // machine nor the job is held responsible.
     if (cause === 'unrecognised')
       this.alarm('unknown exit cause', { field: 'cause', task: task.name, machine: machine.name });
-    // A member may fail because another one did: its group ends as a whole, and is started again on a schedule of its
-    // own.
+    // A member may fail because another member did. The group ends as a whole, and is started again on a schedule of
+    // its own.
     if (task.job.isGroup && cause !== 'no_room') return;
     if (cause === 'error' || cause === 'unknown' || cause === 'unrecognised') {
       const runningSince = task.claim?.runningSince ?? now;
@@ -152,14 +151,14 @@
     }
   }
 
-  /** How long a task that failed so often waits for its next start. */
+  /** How long a task waits for its next start after this many failures, in milliseconds. */
   #backoffMs(failures: number): number {
     if (failures < FAILURES_BEFORE_BACKOFF) return 0;
     const doublings = Math.min(failures - FAILURES_BEFORE_BACKOFF, MAX_BACKOFF_DOUBLINGS);
     return this.clusterConfig.heartbeatIntervalMs * 2 ** doublings;
   }
 
-  /** Notes that the machine fetches or already has the image of the job. */
+  /** Records that the machine fetches or already has the image of the job. */
   useImage(machine: Machine, { spec }: Job): void {
     machine.cache.use(spec.image, spec.imageGb, this.typeOf(machine)?.cacheGb ?? 0);
   }
--- a/packages/core/src/claims/image-cache.ts
+++ b/packages/core/src/claims/image-cache.ts
@@ -1,11 +1,11 @@
-/** An estimate of which images a machine has cached: workers do not report it. */
+/** An estimate of which images a machine has cached, because workers do not report it. */
 import type { Job } from '../jobs/jobs';
 
-/** The images that one machine is believed to have; the most recently used stands last. */
+/** The images that one machine is believed to have, the most recently used last. */
 export class ImageCache {
   readonly #sizesGb: Map<string, number>;
 
-  /** `sizesGb`: by name, the images that are believed to be there. */
+  /** `sizesGb`: sizes of the images that the machine is believed to have, by name. */
   constructor(sizesGb: Iterable<readonly [string, number]> = []) {
     this.#sizesGb = new Map(sizesGb);
   }
@@ -19,7 +19,7 @@
     return [...this.#sizesGb.keys()];
   }
 
-  /** Notes that the image is being used; beyond `limitGb` others are evicted for it, the least recently used first. */
+  /** Records a use of the image. Evicts the least recently used others while the total exceeds `limitGb`. */
   use(image: string, sizeGb: number, limitGb: number): void {
     this.#sizesGb.delete(image);
     this.#sizesGb.set(image, sizeGb);
@@ -35,8 +35,8 @@
 }
 
 /**
- * The cache of a machine as an earlier owner knew it, of images that some job still uses. As much an estimate as our
- * own: a wrong one costs a fetch.
+ * The cache of a machine as an earlier owner estimated it, limited to images that some job still uses. A wrong estimate
+ * costs a fetch.
  */
 export function cacheOfKnownImages(images: readonly string[], jobs: Iterable<Job>): ImageCache {
   const sizesGb = new Map<string, number>();
--- a/packages/core/src/claims/job-evidence.ts
+++ b/packages/core/src/claims/job-evidence.ts
@@ -1,10 +1,10 @@
-/** What is known of a job apart from its failures in one partition: whether it is seen to run, or was. */
+/** Collects what is known about a job apart from its failures in one partition, such as whether it runs. */
 import type { JobEvidence } from './failure-attribution';
 import type { JobTable } from '../jobs/job-table';
 import type { TaskEntry } from './task-entry';
 
 /**
- * The evidence on the job `id` now. `tasksByJob`: the tasks that are assigned to the partition, by job and task index.
+ * Returns the current evidence on the job `id`. `tasksByJob`: the tasks of the partition, by job id and task index.
  */
 export function evidenceOn(
   jobs: JobTable,
@@ -24,7 +24,7 @@
     hasCompleted: (job?.finishedCount ?? 0) > 0 || jobs.finals.get(id) === 'done',
     isOver: job === undefined,
     isMarkedCrashLooping: job?.isCrashLooping === true,
-    runningOn: machines.size,
+    runningMachineCount: machines.size,
     longestRunMs: oldestRunSince === Infinity ? 0 : now - oldestRunSince,
   };
 }
--- a/packages/core/src/claims/machine-entry.ts
+++ b/packages/core/src/claims/machine-entry.ts
@@ -1,9 +1,9 @@
-/** What a claim table keeps of one machine that sends it heartbeats. */
+/** The entry of a claim table for a machine that sends it heartbeats. */
 import type { ReportedTask, Heartbeat } from '@gingerlock/wire';
 import type { ImageCache } from './image-cache';
 import type { TaskEntry } from './task-entry';
 
-/** One machine as the owner of its partition knows it. All moments are steady milliseconds. */
+/** A machine as the owner of its partition knows it. All times are steady milliseconds. */
 export interface Machine {
   readonly name: string;
   /** Address of its worker, by its latest heartbeat. */
@@ -13,37 +13,37 @@
   zone: string;
   /** Whether it is a spot instance. */
   spot: boolean;
-  /** Incarnation of its worker: a higher one has killed and forgotten all tasks of a lower one. */
+  /** Incarnation of its worker: one with a higher number has killed and forgotten all earlier tasks. */
   agentEpoch: number;
   /** Number of its latest accepted heartbeat within the epoch. */
   sequenceNumber: number;
-  /** A heartbeat that carries this owner's term has come: no older command can run there any more. */
+  /** Whether its latest heartbeat carried this owner's term, so that no older command can run there any more. */
   hasCurrentToken: boolean;
-  /** Answers given in a row to heartbeats that did not carry this owner's term. */
+  /** Consecutive heartbeats that did not carry this owner's term, while the machine may hold earlier tasks. */
   staleTokenAnswers: number;
-  /** When the last heartbeat that was answered was received; null: none was, or its lease has expired since. */
+  /** When the last answered heartbeat was received; null if none was answered, or if the lease has expired since. */
   answeredAt: number | null;
   /** How often a heartbeat was requested from it under this term; see `ClaimTable.requestHeartbeat`. */
   heartbeatRequests: number;
-  /** When a heartbeat was last requested from it; -Infinity: never under this term. */
+  /** When a heartbeat was last requested from it under this term; -Infinity if never. */
   heartbeatRequestedAt: number;
-  /** Whether the cloud has announced that it is about to take the machine back. */
+  /** Whether the cloud has announced that it is about to evict the machine. */
   evictionNotice: boolean;
-  /** Its name is in the stored membership, so that a new owner knows to wait for its heartbeat. */
+  /** Whether the stored membership contains it, so that a new owner waits for its heartbeat. */
   isMember: boolean;
   /** Whether it gets no new tasks because it is to be returned. */
   draining: boolean;
   /** The tasks that its latest heartbeat lists. */
   reportedTasks: readonly ReportedTask[];
-  /** By task name: the tasks that it holds, or may hold. */
+  /** The tasks that it holds or may hold, by task name. */
   readonly claims: Map<string, TaskEntry>;
   /** The images that it is believed to have. */
   readonly cache: ImageCache;
   /** Since when it has held no task. */
   emptySince: number;
-  /** Answers with starts in a row of which the next heartbeat showed none. */
+  /** Consecutive answers with starts of which the next heartbeat listed none. */
   unacknowledgedAnswers: number;
-  /** Up to when it gets no starts, because earlier ones were lost or found no free resources. */
+  /** It gets no starts until this time, because earlier ones were lost or found no free resources. */
   unreachableUntil: number;
 }
 
--- a/packages/core/src/claims/machine-table.ts
+++ b/packages/core/src/claims/machine-table.ts
@@ -1,5 +1,5 @@
 /**
- * The machines that send heartbeats to one partition: which are known, which are gone for good, and which fell silent.
+ * The machines that send heartbeats to one partition: which are known, which are gone for good, and which are silent.
  */
 import type { Heartbeat } from '@gingerlock/wire';
 import { type ClusterConfig, SUSPECT_INTERVALS, workerLeaseBoundMs } from '../cluster/cluster-config';
@@ -8,13 +8,13 @@
 import type { ImageCache } from './image-cache';
 import { type Machine, newMachine } from './machine-entry';
 
-/** The machine entries of one claim table. Pure: every moment is an argument, in steady milliseconds. */
+/** The machine entries of one claim table. Pure: times are arguments, in steady milliseconds. */
 export class MachineTable {
-  /** By name: the machines that have sent a heartbeat to this owner. */
+  /** The machines that have sent a heartbeat to this owner, by name. */
   readonly byName = new Map<string, Machine>();
-  /** Machines that the cloud has reported gone. */
+  /** Names of the machines that the cloud has reported gone. */
   readonly #goneNames = new Set<string>();
-  /** Since when this controller has received without a stall of its event loop. */
+  /** When the last stall of this controller's event loop ended; -Infinity if there was none. */
   #listeningSince = -Infinity;
 
   constructor(
@@ -23,14 +23,14 @@
     readonly alarm: (message: string, detail: Record<string, unknown>) => void,
   ) {}
 
-  /** Adds the machine of a first heartbeat. */
+  /** Adds a machine on its first heartbeat. */
   add(heartbeat: Heartbeat, known: { readonly isMember: boolean; readonly cache: ImageCache }, now: number): Machine {
     const machine = newMachine(heartbeat, known, now);
     this.byName.set(heartbeat.machine, machine);
     return machine;
   }
 
-  /** Takes over what a heartbeat says of the machine itself, and which tasks it lists. */
+  /** Updates the machine from its heartbeat, including the list of its tasks. */
   update(machine: Machine, heartbeat: Heartbeat): void {
     machine.addr = heartbeat.addr;
     machine.agentEpoch = heartbeat.agentEpoch;
@@ -39,13 +39,13 @@
     machine.reportedTasks = heartbeat.tasks;
   }
 
-  /** Notes that the stored membership names the machine, or no longer does. */
+  /** Records whether the stored membership contains the machine. */
   setMember(name: string, isMember: boolean): void {
     const machine = this.byName.get(name);
     if (machine !== undefined) machine.isMember = isMember;
   }
 
-  /** Notes for good that the machine is gone: heartbeats in its name are refused from now on. */
+  /** Records that the machine is gone for good: heartbeats in its name are refused from now on. */
   markGone(name: string): void {
     this.#goneNames.add(name);
   }
@@ -54,7 +54,7 @@
     return this.#goneNames.has(name);
   }
 
-  /** Why a heartbeat is not to be answered; null: it is accepted. */
+  /** Why a heartbeat is refused; null if it is accepted. */
   refusalOf(heartbeat: Heartbeat): HeartbeatRefusal | null {
     if (this.isGone(heartbeat.machine)) return { kind: 'refuse', why: 'machine was returned' };
     const known = this.byName.get(heartbeat.machine);
@@ -71,15 +71,15 @@
   }
 
   /**
-   * For how long the machine has been silent although this controller was receiving: a stall of this controller says
-   * nothing about the machine. For suspicion only; a lease expires by the clock. Infinity: it is not known to have a
-   * lease.
+   * How long the machine has been silent while this controller was receiving, in milliseconds; Infinity if the machine
+   * is not known to have a lease. A stall of this controller says nothing about the machine. The value serves only to
+   * suspect a machine; leases expire by the clock.
    */
   silentMs(machine: Machine, now: number): number {
     return machine.answeredAt === null ? Infinity : now - Math.max(machine.answeredAt, this.#listeningSince);
   }
 
-  /** Notes the end of each lease that has surely expired by now; returns its machine. */
+  /** Ends the leases that have certainly expired by now; returns their machines. */
   expireLeases(now: number): Machine[] {
     const expired: Machine[] = [];
     const boundMs = workerLeaseBoundMs(this.clusterConfig);
@@ -110,11 +110,10 @@
     );
   }
 
-  /** This controller's event loop stalled and goes on at `now`: heartbeats sent meanwhile are yet to be read. */
+  /** A stall of this controller's event loop ended at `now`: heartbeats sent during the stall are not read yet. */
   resumedAfterStall(now: number): void {
     this.#listeningSince = now;
-    // Answers from before the stall were too late for their workers, so that starts in them were lost is no fault of
-    // the machines.
+    // Answers from before the stall reached their workers too late, so the machines are not at fault for lost starts.
     for (const machine of this.byName.values()) machine.unacknowledgedAnswers = 0;
   }
 }
--- a/packages/core/src/claims/member-policy.ts
+++ b/packages/core/src/claims/member-policy.ts
@@ -1,13 +1,13 @@
 /**
- * What a claim table asks about the members of replica groups: the partition's owner decides it by the groups' records.
+ * What a claim table asks about members of replica groups; the partition's owner answers from the groups' records.
  */
 import type { Job } from '../jobs/jobs';
 import type { Machine } from './machine-entry';
 import type { TaskEntry } from './task-entry';
 
-/** Decides on the members of replica groups. */
+/** Decides when members of replica groups are started and returned. */
 export interface MemberPolicy {
-  /** The generation of the job's group as its record has it; 0: there is none. */
+  /** The generation of the job's group according to its record; 0 if there is none. */
   generationOf(job: Job): number;
   /** Whether the member may be started on the machine now. */
   mayStart(task: TaskEntry, machine: Machine): boolean;
--- a/packages/core/src/claims/spare-capacity.ts
+++ b/packages/core/src/claims/spare-capacity.ts
@@ -1,4 +1,4 @@
-/** What partitions tell each other of machines with free resources. */
+/** Machines with free resources, as partitions report them to each other. */
 import type { Resources } from '../cluster/resources';
 
 /** Free resources of a machine to which a replica might be relocated. */
--- a/packages/core/src/claims/task-entry.ts
+++ b/packages/core/src/claims/task-entry.ts
@@ -1,18 +1,18 @@
-/** What a claim table keeps of one task that is assigned to its partition. */
+/** The entry of a claim table for a task that is assigned to its partition. */
 import type { Job } from '../jobs/jobs';
 import type { Machine } from './machine-entry';
 
 /**
- * uncertain: assigned before this owner acquired the partition and reported by no machine yet, so an unconfirmed one
+ * uncertain: assigned before this owner acquired the partition and reported by no machine yet; an unconfirmed machine
  * may hold it.
  * waiting:   no machine holds it; its job has a wake.
- * claimed:   a machine holds it, or may.
- * finishing: completed; that is yet to be written to the key-value store.
+ * claimed:   a machine holds it or may hold it.
+ * finishing: completed, but the completion is not written to the key-value store yet.
  * returning: the write that returns it to the leader is under way.
  */
 export type TaskEntryState = 'uncertain' | 'waiting' | 'claimed' | 'finishing' | 'returning';
 
-/** To which states a task may go from each. */
+/** The states that may follow each state of a task. */
 export const TASK_TRANSITIONS: Record<TaskEntryState, readonly TaskEntryState[]> = {
   uncertain: ['waiting', 'claimed', 'finishing'],
   waiting: ['claimed', 'returning', 'finishing'],
@@ -21,7 +21,7 @@
   returning: ['waiting', 'claimed', 'finishing'],
 };
 
-/** A machine's hold on a task, from the grant or from the first heartbeat that lists it. */
+/** A machine's hold on a task. It begins with the grant or with the first heartbeat that lists the task. */
 export interface Claim {
   readonly machine: Machine;
   /** Number of this attempt to run the task; see `AttemptNumbers`. */
@@ -30,53 +30,53 @@
   readonly agentEpoch: number;
   /** When it was granted, or adopted from an earlier owner; steady milliseconds. */
   readonly grantedAt: number;
-  /** What the worker reported last; `granted` until it has listed the task. */
+  /** The stage that the worker reported last; `granted` until it has listed the task. */
   stage: 'granted' | 'fetching' | 'running' | 'saving';
-  /** When it was first reported running; null: it has not been. */
+  /** When the task was first reported running; null if it has not been. */
   runningSince: number | null;
-  /** Set when the task is to be stopped, with the time that it gets for its checkpoint; null: it is to go on. */
+  /** Seconds that the task gets for its checkpoint if it is to be stopped; null if it is not. */
   stopGraceS: number | null;
 }
 
 /** Where a waiting task would run soonest. */
 export interface PlannedPlacement {
   readonly machine: Machine;
-  /** How soon it would run there, about; milliseconds. */
+  /** Approximate time until it would run there, in milliseconds. */
   readonly startsInMs: number;
-  /** What has to be preempted there first. */
+  /** The tasks that have to be preempted there first. */
   readonly victims: readonly TaskEntry[];
 }
 
-/** One task as the owner of its partition knows it. All moments are steady milliseconds. */
+/** A task as the owner of its partition knows it. All times are steady milliseconds. */
 export interface TaskEntry {
   readonly job: Job;
   readonly index: number;
-  /** Its name on the wire: of its job and its index. */
+  /** Its name on the wire, made of its job's id and its index. */
   readonly name: string;
-  /** Where it is to run, by the newest record; null: anywhere. */
+  /** The zone that the newest record binds it to; null if any zone will do. */
   zone: string | null;
-  /** Term of the partition's owner at its assignment, by the newest record. */
+  /** The ownership term under which it was assigned, by the newest record. */
   term: number;
   state: TaskEntryState;
   /** Set if and only if the state is `claimed`. */
   claim: Claim | null;
   /** Since when it is in this state. */
   since: number;
-  /** Not granted before: a task that failed waits a while. */
+  /** It is not granted before this time, because a task that failed waits a while. */
   notBefore: number;
   /** How often it has failed under this owner. */
   failures: number;
-  /** Where it would run soonest, by the last planning; null: nowhere, or it was not planned. */
+  /** Where it would run soonest, by the last planning; null if nowhere, or if it was not planned. */
   plan: PlannedPlacement | null;
   /**
-   * Evicted so that its machine can be returned: it waits only for a machine that has its image, or goes back to the
-   * leader.
+   * Whether it was evicted so that its machine can be returned. It waits only for a machine that has its image, or is
+   * returned to the leader.
    */
   isRelocating: boolean;
   /** Version of the job's record on which the write that returns this task to the leader is conditional. */
   returningVersion: number;
-  /** Of a member of a replica group: the generation in which it was started here; 0: it was not. */
+  /** The generation in which a member of a replica group was started here; 0 if it was not. */
   startedIn: number;
-  /** Not assigned here any more by the newest record, and kept only until its claim ends. */
+  /** Whether the newest record does not assign it here any more; it is kept only until its claim ends. */
   isWithdrawn: boolean;
 }
--- a/packages/core/src/claims/task-granter.ts
+++ b/packages/core/src/claims/task-granter.ts
@@ -3,7 +3,7 @@
 import type { AttemptNumbers } from './attempt-numbers';
 import type { ClaimView } from './claim-view';
 import { GrantCapacity } from './grant-capacity';
-import { bindable } from './granting';
+import { grantableTasks } from './granting';
 import type { HeartbeatReconciler } from './heartbeat-reconciler';
 import type { Machine } from './machine-entry';
 import type { TaskEntry } from './task-entry';
@@ -19,22 +19,22 @@
   ) {}
 
   /**
-   * Binds to the machine what it can take now; returns the starts to send. None while a new owner would not know to
-   * wait for it.
+   * Grants waiting tasks to the machine as far as it can take them now; returns the starts to send. A machine outside
+   * the stored membership gets none, because a new owner would not wait for its heartbeat.
    */
   grant(machine: Machine, now: number): WorkerCommand[] {
     const starts: WorkerCommand[] = [];
     if (!machine.isMember || !this.view.mayTakeWork(machine, now)) return starts;
     const capacity = new GrantCapacity(this.view.freeResources(machine), this.view.reservations, machine.name);
-    for (const task of bindable(this.view, machine, capacity, now)) {
+    for (const task of grantableTasks(this.view, machine, capacity, now)) {
       if (this.attemptNumbers.isExhausted) break;
-      starts.push(this.#bind(machine, task, now));
+      starts.push(this.#grantTask(machine, task, now));
       capacity.take(task);
     }
     return starts;
   }
 
-  #bind(machine: Machine, task: TaskEntry, now: number): WorkerCommand {
+  #grantTask(machine: Machine, task: TaskEntry, now: number): WorkerCommand {
     const attempt = this.attemptNumbers.next();
     const cached = machine.cache.has(task.job.spec.image);
     const waitedMs = Math.round(now - task.since);
--- a/packages/core/src/claims/task-table.ts
+++ b/packages/core/src/claims/task-table.ts
@@ -7,33 +7,33 @@
 import { type Claim, type TaskEntry, TASK_TRANSITIONS, type TaskEntryState } from './task-entry';
 import { WakeQueue } from './wake-queue';
 
-/** What a task table is built from. */
+/** The options of a task table. */
 export interface TaskTableOptions {
   readonly partitionId: number;
-  /** Number of the owner's term. */
+  /** Number of the ownership term. */
   readonly term: number;
   readonly jobs: JobTable;
-  /** Whether no machine can hold a task of an earlier owner any more. */
+  /** Whether no machine can hold an unreported task of an earlier owner any more. */
   readonly isFencingOver: () => boolean;
   readonly log: (message: string, detail: Record<string, unknown>) => void;
-  /** Is given what contradicts the safety argument, and so is never expected. */
+  /** Called on an event that contradicts the safety argument, and so is never expected. */
   readonly alarm: (message: string, detail: Record<string, unknown>) => void;
 }
 
-/** The task entries of one partition. `transition` alone changes their states and claims. */
+/** The task entries of one partition. Only `transition` changes their states and sets their claims. */
 export class TaskTable {
-  /** By job and task index. */
+  /** The tasks of the partition, by job id and task index. */
   readonly tasksByJob = new Map<string, Map<number, TaskEntry>>();
-  /** Goes up with every change that alters free resources or waiting tasks. */
+  /** Counts the changes of free resources or waiting tasks. */
   changes = 0;
   readonly #wakes = new WakeQueue();
 
   constructor(readonly options: TaskTableOptions) {}
 
-  /** Changes the state of a task, and its claim with it. Throws if `TASK_TRANSITIONS` has no such change. */
+  /** Changes the state and the claim of a task. Throws if `TASK_TRANSITIONS` does not allow the change. */
   transition(task: TaskEntry, next: TaskEntryState, now: number, claim: Claim | null = null): void {
     if (task.state !== next && !TASK_TRANSITIONS[task.state].includes(next)) {
-      throw new Error(`task ${task.name}: no move from ${task.state} to ${next}`);
+      throw new Error(`task ${task.name}: invalid transition from ${task.state} to ${next}`);
     }
     if (task.claim !== null) task.claim.machine.claims.delete(task.name);
     task.claim = claim;
@@ -44,18 +44,18 @@
     this.changes++;
   }
 
-  /** The jobs that may have waiting tasks, in order. */
+  /** The jobs that may have waiting tasks, in the order of `jobOrder`. */
   wakes(): readonly Job[] {
     return this.#wakes.jobs();
   }
 
-  /** The waiting tasks of the job; none of a cancelled one. */
+  /** The waiting tasks of the job; none if the job is cancelled. */
   *waitingTasks(job: Job): Generator<TaskEntry> {
     if (job.isCancelled) return;
     for (const task of this.tasksByJob.get(job.id)?.values() ?? []) if (task.state === 'waiting') yield task;
   }
 
-  /** The recovery scan: from now on the jobs that have a waiting task have a wake, and no others. */
+  /** The recovery scan: afterwards exactly the jobs with a waiting task have a wake. */
   recoverWakes(): void {
     this.#wakes.clear();
     for (const tasksByIndex of this.tasksByJob.values()) {
@@ -67,7 +67,7 @@
     }
   }
 
-  /** The fencing period is over: uncertain tasks are held by nobody and may be granted. */
+  /** Makes uncertain tasks wait: after the fencing period no machine holds them, so they may be granted. */
   releaseUncertain(now: number): void {
     for (const tasksByIndex of this.tasksByJob.values()) {
       for (const task of tasksByIndex.values()) {
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Brings the tasks of a job in line with its record. Returns those whose claims are to be stopped from now on. */
+  /** Updates the tasks of a job to match its record. Returns the tasks that are to be stopped from now on. */
   sync(id: string, now: number): readonly TaskEntry[] {
     const job = this.options.jobs.live.get(id);
     const tasksByIndex = this.tasksByJob.get(id) ?? new Map<number, TaskEntry>();
@@ -94,7 +94,7 @@
     }
     if (tasksByIndex.size === 0) this.tasksByJob.delete(id);
     else this.tasksByJob.set(id, tasksByIndex);
-    // Its urgency may have changed, with that of a job that needs it.
+    // The job's urgency may have changed with the urgency of a job that depends on it.
     this.#wakes.reorder();
     this.changes++;
     if (job?.isCancelled === true) stopped.push(...this.#cancel(job));
@@ -102,8 +102,8 @@
   }
 
   /**
-   * The unfinished tasks that the record assigns here, by index. Not those that it assigns under a later term: while
-   * the watch cache is read anew, assignments to the next owner may show before that owner's own record does.
+   * The unfinished tasks that the record assigns here, by index. Tasks assigned under a later term are left out: while
+   * the watch cache is reloaded, assignments to the next owner may appear before the record of that owner does.
    */
   #assignedTasksOf(job: Job | undefined): Map<number, AssignedTask> {
     if (job === undefined) return new Map();
@@ -129,28 +129,29 @@
       isWithdrawn: false,
     };
     tasksByIndex.set(index, task);
-    // A task assigned under this owner's term can be held by nobody yet.
+    // No machine can hold a task yet that was assigned under this owner's term.
     if (term === this.options.term || this.options.isFencingOver()) this.transition(task, 'waiting', now);
   }
 
   #remove(task: TaskEntry, tasksByIndex: Map<number, TaskEntry>): void {
-    // If a machine still runs it, it is an orphaned task there from now on, and the machine is sent a stop.
+    // If a machine still runs the task, it becomes an orphaned task there, and the machine is sent a stop.
     if (task.claim !== null) task.claim.machine.claims.delete(task.name);
     tasksByIndex.delete(task.index);
     this.changes++;
   }
 
   /**
-   * Whether a task that is not assigned here any more has to stay: a machine may hold it, and it is neither finished
-   * nor is its job over. Without the entry and its claim, the task could be started again while it runs.
+   * Whether the entry of a task that is not assigned here any more must be kept: a machine may hold the task, and
+   * neither the task nor its job is finished. Without the entry and its claim, the task could be started again while it
+   * runs.
    */
   #mustKeep(task: TaskEntry, job: Job | undefined): boolean {
     return task.claim !== null && task.job === job && !job.isFinished(task.index);
   }
 
   /**
-   * Has a claimed task stopped that the record no longer names, which is never expected; false: it is being stopped
-   * already.
+   * Stops a claimed task that the record no longer assigns here, which is never expected. Returns false if the task is
+   * being stopped already.
    */
   #withdraw(task: TaskEntry): boolean {
     if (!task.isWithdrawn) this.options.alarm('claimed task is not assigned here any more', { task: task.name });
@@ -159,29 +160,29 @@
   }
 
   /**
-   * Brings a known task in line with its newest assignment; true: its claim is to be stopped. The task may have been
-   * returned and assigned anew, to another zone, without the record in between having been seen here.
+   * Updates a known task to its newest assignment. Returns true if the task is to be stopped. The task may have been
+   * returned and assigned again, to another zone, without this owner having seen the record in between.
    */
   #reassign(task: TaskEntry, { zone, term }: AssignedTask, now: number): boolean {
     task.isWithdrawn = false;
     task.term = term;
     task.zone = zone;
-    // Only a newer record proves that the write under way can not be carried out any more.
+    // Only a newer record proves that the write that returns the task can no longer succeed.
     if (task.state === 'returning' && task.job.version !== task.returningVersion) this.transition(task, 'waiting', now);
     if (task.claim === null || zone === null || task.claim.machine.zone === zone) return false;
     this.options.alarm('claimed task is assigned to another zone', { task: task.name, zone });
     return this.#stop(task);
   }
 
-  /** Has a claimed task stopped at once; false: no machine holds it, or it is being stopped already. */
+  /** Stops a claimed task at once. Returns false if no machine holds it, or if it is being stopped already. */
   #stop(task: TaskEntry): boolean {
     if (task.claim === null || task.claim.stopGraceS === 0) return false;
     task.claim.stopGraceS = 0;
     return true;
   }
 
-  /** The claim has ended, by proof: the task waits again, unless it is not assigned here any more. */
-  claimEnded(task: TaskEntry, why: string, now: number): void {
+  /** Ends a claim whose end is proven. The task waits again, or is removed if it is not assigned here any more. */
+  endClaim(task: TaskEntry, why: string, now: number): void {
     this.options.log('claim ended', { task: task.name, machine: task.claim?.machine.name, why });
     this.transition(task, 'waiting', now);
     const tasksByIndex = this.tasksByJob.get(task.job.id);
@@ -190,14 +191,14 @@
     if (tasksByIndex.size === 0) this.tasksByJob.delete(task.job.id);
   }
 
-  /** Ends all claims of a machine, by proof that none of its tasks runs any more. */
+  /** Ends all claims of a machine whose tasks are proven not to run any more. */
   endClaims(machine: Machine, now: number, why: string): void {
-    for (const task of [...machine.claims.values()]) this.claimEnded(task, why, now);
+    for (const task of [...machine.claims.values()]) this.endClaim(task, why, now);
   }
 
   /**
-   * Marks waiting tasks as being returned to the leader, by a write that is conditional on the present version of their
-   * job.
+   * Marks waiting tasks as being returned to the leader by a write that is conditional on the current version of their
+   * job's record.
    */
   beginReturn(tasks: readonly TaskEntry[], now: number): void {
     for (const task of tasks) {
@@ -207,7 +208,7 @@
     }
   }
 
-  /** Has tasks wait again whose return did not happen and never will. */
+  /** Makes tasks wait again after a write that was to return them did not happen and never will. */
   cancelReturn(tasks: readonly TaskEntry[], now: number): void {
     for (const task of tasks) {
       if (task.state !== 'returning' || this.findTask(task.name) !== task) continue;
@@ -215,12 +216,12 @@
     }
   }
 
-  /** Has all claimed tasks of the job stopped; returns those that were not being stopped already. */
+  /** Stops all claimed tasks of the job; returns those that were not being stopped already. */
   #cancel(job: Job): TaskEntry[] {
     return [...(this.tasksByJob.get(job.id)?.values() ?? [])].filter((task) => this.#stop(task));
   }
 
-  /** The task of this name; undefined: the name is malformed, or the task is not in the table. */
+  /** The task of this name; undefined if the name is malformed or the table has no such task. */
   findTask(taskName: string): TaskEntry | undefined {
     const parsed = parseTaskName(taskName);
     return parsed === null ? undefined : this.tasksByJob.get(parsed.job)?.get(parsed.index);
--- a/packages/core/src/claims/wake-queue.ts
+++ b/packages/core/src/claims/wake-queue.ts
@@ -1,13 +1,13 @@
-/** The wakes of one partition: the jobs that have waiting tasks, one wake for each however many tasks it has. */
+/** The wakes of one partition: one wake for each job with waiting tasks, however many tasks wait. */
 import { type Job, jobOrder } from '../jobs/jobs';
 
-/** Jobs in their order; sorted when they are read and something has changed. */
+/** The jobs that have a wake. They are sorted when they are read after a change. */
 export class WakeQueue {
   #jobs: Job[] = [];
   readonly #posted = new Set<string>();
   #isSorted = true;
 
-  /** Posts a wake; a job that has one keeps it. */
+  /** Posts a wake for the job unless it has one. */
   post(job: Job): void {
     if (this.#posted.has(job.id)) return;
     this.#posted.add(job.id);
@@ -15,12 +15,12 @@
     this.#isSorted = false;
   }
 
-  /** Notes that the order of the jobs may have changed. */
+  /** Records that the order of the jobs may have changed. */
   reorder(): void {
     this.#isSorted = false;
   }
 
-  /** Drops all wakes. */
+  /** Removes all wakes. */
   clear(): void {
     this.#jobs = [];
     this.#posted.clear();
--- a/packages/core/test/claim-table.test.ts
+++ b/packages/core/test/claim-table.test.ts
@@ -19,7 +19,7 @@
 };
 const spec = specOf('j-000001', { kind: 'service', priority: 'high' });
 
-/** The claim table of an owner with term 2 of the partition. */
+/** The claim table of an owner under term 2. */
 function claimTableOf(
   jobs: JobTable,
   fencedUntil: number,
@@ -39,8 +39,8 @@
   });
 }
 
-/** The job with its four tasks assigned to the partition. */
-function assigned(jobs: JobTable, term: number, version: number): void {
+/** Writes the job's record with its four tasks assigned to the partition. */
+function assignAllTasks(jobs: JobTable, term: number, version: number): void {
   const assignedRanges = [{ from: 0, count: 4, partitionId: 0, zone: null, term }];
   jobs.applyJob(
     spec.id,
@@ -49,10 +49,10 @@
   );
 }
 
-/** The claim table of a new owner: four tasks were assigned before its time, and three machines may hold them. */
+/** The claim table of a new owner: four tasks were assigned under an earlier term, and three machines may hold them. */
 function tableOfNewOwner(): ClaimTable {
   const jobs = new JobTable(() => 64);
-  assigned(jobs, 1, 5);
+  assignAllTasks(jobs, 1, 5);
   const claimTable = claimTableOf(jobs, 20_000, ['m-1', 'm-2', 'm-3']);
   claimTable.syncJob(spec.id, 0);
   return claimTable;
@@ -77,7 +77,7 @@
   const claimTable = tableOfNewOwner();
   assert.equal(claimTable.missingServices(3500).gpus, 0);
   for (const name of ['m-1', 'm-2']) {
-    // The first answer shows it our term; the next heartbeat proves that it knows it.
+    // The first answer tells the machine the new term; its next heartbeat proves that it has received the term.
     claimTable.handleHeartbeat(heartbeat(name, 1, TOKENS_PER_TERM), 3500, true);
     assert.equal(claimTable.missingServices(3600).gpus, 0);
     claimTable.handleHeartbeat(heartbeat(name, 2, 2 * TOKENS_PER_TERM), 3700, true);
@@ -85,9 +85,8 @@
   assert.equal(claimTable.missingServices(3800).gpus, 4);
 });
 
-// Of a zone that was cut off for long nothing was rented before its tasks were known to be gone: a boot was waited for
-// on top.
-test('tasks of a partition without any heartbeat count as missing a boot before its fencing period ends, and not sooner', () => {
+// If the tasks of a zone that is cut off count as missing only after the fencing period, new machines boot only then.
+test('tasks of a partition without any heartbeat count as missing from one boot time before its fencing period ends', () => {
   const claimTable = tableOfNewOwner();
   const bootMs = type.bootS * 1000;
   assert.equal(claimTable.missingServices(claimTable.fencedUntil - bootMs - 1).gpus, 0);
@@ -96,9 +95,10 @@
   assert.equal(claimTable.missingServices(claimTable.fencedUntil).gpus, 0);
 });
 
-// A worker that never takes a token is not answered for ever, as its lease would stay in doubt. A machine that came up
-// deaf just as its part changed hands was counted among those, and refused long after it could hear again.
-test('a machine that can hold no earlier task is answered however often it has not accepted the token', () => {
+// A worker that never accepts the token is refused after some answers, because each answer may renew its lease. A
+// machine that starts while answers do not reach it and the partition changes owners must not be refused: it holds no
+// tasks.
+test('a machine that can hold no earlier task is answered however often its heartbeats lack the new token', () => {
   const claimTable = tableOfNewOwner();
   const answers = (machine: string): string[] =>
     Array.from({ length: 8 }, (_, i) => claimTable.handleHeartbeat(heartbeat(machine, i + 1, 0), 1000 + i, true).kind);
@@ -106,14 +106,14 @@
   assert.equal(answers('m-1').at(-1), 'refuse');
 });
 
-// While all is read anew, page by page, the record of a job may be seen before that of its partition's next owner.
-test('what was assigned to a later owner of the partition is not this one’s to start', () => {
+// While the watch cache is reloaded page by page, a job's record may be read before that of its partition's next owner.
+test('an owner does not start tasks that are assigned under a later term of the partition', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 0, []);
   claimTable.tick(1);
   assert.ok(claimTable.isFencingOver);
   const assignment = (term: number, version: number): void => {
-    assigned(jobs, term, version);
+    assignAllTasks(jobs, term, version);
     claimTable.syncJob(spec.id, 2);
   };
   assignment(3, 5);
@@ -122,9 +122,9 @@
   assert.equal(claimTable.tasksByJob.get(spec.id)?.size, 4);
 });
 
-test('a job that a peer reports as cancelled starts nothing more, also when older records of it come in after that', () => {
+test('a job that a peer reports as cancelled starts no more tasks, even if older records of it arrive later', () => {
   const jobs = new JobTable(() => 64);
-  assigned(jobs, 2, 5);
+  assignAllTasks(jobs, 2, 5);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
   claimTable.syncJob(spec.id, 0);
   const fencingToken = 2 * TOKENS_PER_TERM;
@@ -140,16 +140,16 @@
   jobs.markCancelled(spec.id);
   assert.equal(claimTable.syncJob(spec.id, 1500).length, 4);
   assert.equal(claimTable.syncJob(spec.id, 1500).length, 0);
-  assigned(jobs, 2, 6);
+  assignAllTasks(jobs, 2, 6);
   claimTable.syncJob(spec.id, 1600);
-  // The starts were lost on the way: nothing is there, and nothing is started again.
+  // The starts were lost: the machine holds no task, and none is started again.
   assert.deepEqual(starts(2), []);
   assert.equal(claimTable.returnable([], 2500).get(spec.id)?.length, 4);
 });
 
-// A machine that was gone before its new owner could hear it stayed in the membership: each later owner of the
-// partition kept all waiting tasks back for it until its fencing period.
-test('machines that are silent until the fencing period ends leave the membership, and those with a heartbeat stay', () => {
+// If a machine that is gone before its new owner receives a heartbeat stays in the membership, each later owner of the
+// partition waits for it and holds back uncertain tasks for a whole fencing period.
+test('machines that are silent until the fencing period ends leave the membership, and machines with a heartbeat stay', () => {
   const claimTable = tableOfNewOwner();
   claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * TOKENS_PER_TERM), claimTable.fencedUntil - 1000, true);
   assert.deepEqual(claimTable.tick(claimTable.fencedUntil - 1), []);
@@ -157,7 +157,7 @@
   assert.deepEqual(claimTable.tick(claimTable.fencedUntil + 1), []);
 });
 
-/** Writes the job's record with the given ranges, and has the claim table take it. */
+/** Writes the job's record with the given ranges and updates the claim table to it. */
 function reassign(
   jobs: JobTable,
   claimTable: ClaimTable,
@@ -180,9 +180,9 @@
   term: 2,
 });
 
-// Returned, and assigned to the same partition in another zone before the owner had read of either, a task kept the
-// zone of its first assignment: a job that is bound to one zone ran in two.
-test('a task that is returned and assigned anew to another zone starts in that zone alone', () => {
+// A task may be returned and assigned to the same partition in another zone before the owner reads either record. If it
+// keeps the zone of its first assignment, a job that is bound to one zone runs in two.
+test('a task that is returned and assigned again to another zone starts only in that zone', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 20_000, ['m-1', 'm-2']);
   reassign(jobs, claimTable, [rangeOf(0, 4, 'a')], 5);
@@ -197,9 +197,9 @@
   assert.equal(starts('m-2', 'b'), 4);
 });
 
-// Entries were dropped with their claims as soon as the record lacked them, and made anew as waiting when it had them
-// again: the task was started again while it ran.
-test('a claimed task that its record does not name for a while is stopped, and not started again before it has ended', () => {
+// If the entry of a claimed task is removed while the job's record does not contain the task, a new waiting entry
+// follows when the record contains it again, and the task is started a second time while it runs.
+test('a claimed task that its record omits for a while is stopped, and is not started again before it has ended', () => {
   const jobs = new JobTable(() => 64);
   const alarms: string[] = [];
   const claimTable = claimTableOf(jobs, 0, ['m-1', 'm-2'], (message) => alarms.push(message));
@@ -223,7 +223,7 @@
   assert.deepEqual(commands('m-2', 3, []), []);
   assert.deepEqual(commands('m-1', 4, [running]), [`stop ${spec.id}/0`]);
   assert.deepEqual(commands('m-1', 5, []), [`start ${spec.id}/0`]);
-  // Withdrawn for good, it goes with its claim.
+  // The record omits the task for good: its entry is removed when its claim ends.
   reassign(jobs, claimTable, [], 8);
   assert.equal(claimTable.tasksByJob.get(spec.id)?.size, 1);
   assert.deepEqual(commands('m-1', 6, []), []);
@@ -243,9 +243,8 @@
   assert.equal(claimTable.handleHeartbeat(heartbeat('m-1', 2, fencingToken), 3000, true).kind, 'answer');
 });
 
-// A controller that stood still found all its machines silent on going on: they got no work and machines were rented in
-// their place.
-test('machines are not silent because their owner stood still, and their leases run out all the same', () => {
+// After a stall, a controller must not suspect all its machines: they would get no tasks, and others would be rented.
+test('machines are not suspect after a stall of their owner, but their leases expire nevertheless', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
   claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * TOKENS_PER_TERM), 1000, true);
@@ -255,14 +254,14 @@
   claimTable.resumedAfterStall(resumedAt);
   assert.equal(claimTable.isSuspect(machine, resumedAt), false);
   assert.equal(claimTable.silentMs(machine, resumedAt + 500), 500);
-  // It is still silent.
+  // The machine stays silent after the stall.
   assert.equal(claimTable.isSuspect(machine, resumedAt + clusterConfig.heartbeatIntervalMs * 3 + 1), true);
   assert.deepEqual(claimTable.tick(1000 + clusterConfig.workerLeaseMs * 2), ['m-1']);
 });
 
-test('an owner that stood still does not hold starts against a machine whose answers came too late for that', () => {
+test('after a stall of the owner, earlier lost starts do not count against a machine', () => {
   const jobs = new JobTable(() => 64);
-  assigned(jobs, 2, 5);
+  assignAllTasks(jobs, 2, 5);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
   claimTable.syncJob(spec.id, 0);
   const starts = (sequenceNumber: number): number => {
@@ -273,18 +272,18 @@
     );
     return outcome.kind === 'answer' ? outcome.commands.filter(({ op }) => op === 'start').length : -1;
   };
-  // Each answer with starts is lost, as the next heartbeat shows: the tasks are started anew.
+  // The next heartbeat shows that the answer with starts was lost: the tasks are started again.
   assert.equal(starts(1), 4);
   assert.equal(starts(2), 4);
   claimTable.resumedAfterStall(2500);
   assert.equal(starts(3), 4);
-  // Lost twice in a row without a stall, it is the machine that does not hear.
+  // Two lost answers in a row without a stall: the machine counts as unreachable.
   assert.equal(starts(4), 0);
   assert.equal(starts(5), 0);
 });
 
-/** Heartbeats of a machine that carries the owner's token, at the time of its count in seconds. */
-function failedOn(
+/** Reports a task as failed in a heartbeat, at `sequenceNumber` seconds; returns the kinds of the commands. */
+function reportFailure(
   claimTable: ClaimTable,
   machine: string,
   sequenceNumber: number,
@@ -306,18 +305,18 @@
   return outcome.kind === 'answer' ? outcome.commands.map(({ op }) => op) : [];
 }
 
-// Sixty tasks of a broken array were each retried for themselves, on every machine, and stopped other work for it.
-test('a job whose tasks failed on two machines starts no more of them, plans for none, and is returned marked', () => {
+// If the 60 tasks of a broken array are retried separately, each is tried on every machine and preempts other work.
+test('a job whose tasks failed on two machines starts and plans no more, and is returned as crash-looping', () => {
   const jobs = new JobTable(() => 64);
-  assigned(jobs, 2, 5);
+  assignAllTasks(jobs, 2, 5);
   const claimTable = claimTableOf(jobs, 20_000, ['m-1', 'm-2']);
   claimTable.syncJob(spec.id, 0);
   const attemptOf = (task: number): number => claimTable.tasksByJob.get(spec.id)!.get(task)!.claim!.attempt;
   claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * TOKENS_PER_TERM), 1000, true);
-  failedOn(claimTable, 'm-1', 2, attemptOf(0));
-  // The other three are not reported any more: they wait, as does the one that failed.
+  reportFailure(claimTable, 'm-1', 2, attemptOf(0));
+  // The heartbeat lists only the failed task: all four tasks wait again.
   claimTable.handleHeartbeat(heartbeat('m-2', 3, 2 * TOKENS_PER_TERM), 3000, true);
-  failedOn(claimTable, 'm-2', 4, attemptOf(1), 1);
+  reportFailure(claimTable, 'm-2', 4, attemptOf(1), 1);
   claimTable.tick(4100);
   const job = jobs.live.get(spec.id)!;
   assert.equal(claimTable.isCrashLooping(job), true);
@@ -325,13 +324,13 @@
   assert.ok(outcome.kind === 'answer' && outcome.commands.every(({ op }) => op !== 'start'));
   const { unschedulable } = planPlacements(claimTable, 5200);
   assert.deepEqual(unschedulable, []);
-  const back = claimTable.returnable([], 7000).get(spec.id)!;
-  assert.equal(back.length, 4);
-  assert.equal(claimTable.marksCrashLoopOnReturn(job, back, 7000), true);
+  const returned = claimTable.returnable([], 7000).get(spec.id)!;
+  assert.equal(returned.length, 4);
+  assert.equal(claimTable.marksCrashLoopOnReturn(job, returned, 7000), true);
   assert.equal(claimTable.isQuarantined(claimTable.machines.get('m-1')!), false);
 });
 
-test('of a job that its record marks as crash-looping a task that was assigned alone is started once, by any owner', () => {
+test('a job that its record marks as crash-looping starts only a task that is assigned alone, and only once', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
   const assign = (count: number, version: number): void => {
@@ -356,23 +355,23 @@
   assert.equal(claimTable.returnable([], 3000).get(spec.id)?.length, 4);
   assign(1, 6);
   assert.equal(starts(4), 1);
-  failedOn(claimTable, 'm-1', 5, claimTable.tasksByJob.get(spec.id)!.get(0)!.claim!.attempt);
+  reportFailure(claimTable, 'm-1', 5, claimTable.tasksByJob.get(spec.id)!.get(0)!.claim!.attempt);
   assert.equal(starts(6), 0);
   assert.equal(claimTable.returnable([], 9000).get(spec.id)?.length, 1);
 });
 
-// With a flood of one-task jobs of a team of guests, the completed tasks of all others waited behind theirs for the
-// limit on changes.
-test('completed tasks are written in the order of their urgency, and those that waited for a lease before all others', () => {
+// Without an order, a flood of one-task jobs of one team delays the completions of all other teams, because the store's
+// write rate is limited.
+test('completed tasks are written in the order of urgency, after those that waited longer than a worker lease', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
-  const ids = { guest: 'j-000010', normal: 'j-000011', late: 'j-000012' };
+  const ids = { lowPriority: 'j-000010', normal: 'j-000011', overdue: 'j-000012' };
   const accept = (id: string, priority: 'normal' | 'low', version: number): void => {
-    const one = specOf(id, { priority, tasks: 1, gpus: 0 });
+    const jobSpec = specOf(id, { priority, tasks: 1, gpus: 0 });
     const assignedRanges = [{ from: 0, count: 1, partitionId: 0, zone: null, term: 2 }];
     const record = {
       final: null,
-      spec: one,
+      spec: jobSpec,
       acceptedAt: version,
       cancelled: false,
       isCrashLooping: false,
@@ -386,21 +385,21 @@
     claimTable.handleHeartbeat({ ...heartbeat('m-1', sequenceNumber, 2 * TOKENS_PER_TERM), tasks: [done] }, now, false);
   };
   const order = (now: number): string[] => [...claimTable.tasksToFinish(now, 0).keys()];
-  accept(ids.late, 'low', 5);
-  complete(ids.late, 1, 1000);
-  accept(ids.guest, 'low', 6);
-  complete(ids.guest, 2, 5000);
+  accept(ids.overdue, 'low', 5);
+  complete(ids.overdue, 1, 1000);
+  accept(ids.lowPriority, 'low', 6);
+  complete(ids.lowPriority, 2, 5000);
   accept(ids.normal, 'normal', 7);
   complete(ids.normal, 3, 6000);
-  assert.deepEqual(order(6000), [ids.normal, ids.late, ids.guest]);
-  assert.deepEqual(order(1001 + clusterConfig.workerLeaseMs), [ids.late, ids.normal, ids.guest]);
+  assert.deepEqual(order(6000), [ids.normal, ids.overdue, ids.lowPriority]);
+  assert.deepEqual(order(1001 + clusterConfig.workerLeaseMs), [ids.overdue, ids.normal, ids.lowPriority]);
 });
 
-test('an exit of unknown cause is named in the log, has its task tried again, and is held against nobody', () => {
+test('an exit of unknown cause is logged and restarts the task, and counts against neither job nor machine', () => {
   const jobs = new JobTable(() => 64);
   const alarms: string[] = [];
   const claimTable = claimTableOf(jobs, 0, ['m-1'], (message) => alarms.push(message));
-  assigned(jobs, 2, 5);
+  assignAllTasks(jobs, 2, 5);
   claimTable.syncJob(spec.id, 0);
   claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * TOKENS_PER_TERM), 1000, true);
   const { attempt } = claimTable.tasksByJob.get(spec.id)!.get(0)!.claim!;
@@ -411,9 +410,9 @@
     cause: 'unrecognised' as const,
     saved: false,
   };
-  const strange = { ...exit, task: 'j-999999/0' };
+  const unknownTaskExit = { ...exit, task: 'j-999999/0' };
   const outcome = claimTable.handleHeartbeat(
-    { ...heartbeat('m-1', 2, 2 * TOKENS_PER_TERM), tasks: [exit, strange] },
+    { ...heartbeat('m-1', 2, 2 * TOKENS_PER_TERM), tasks: [exit, unknownTaskExit] },
     2000,
     true,
   );
@@ -423,13 +422,13 @@
   assert.ok(claimTable.tasksByJob.get(spec.id)!.get(0)!.claim!.attempt > attempt);
 });
 
-// Batch work that waited for the next heartbeat was reported as neither free nor its own: machines were rented for
-// services.
-test('what waiting tasks are expected to use is reported by their priority class, until they are bound', () => {
+// If resources planned for waiting batch tasks are reported neither as free nor under their priority class, they look
+// taken, and machines are rented for services.
+test('resources that waiting tasks are expected to use are reported under their priority class', () => {
   const jobs = new JobTable(() => 64);
   const claimTable = claimTableOf(jobs, 0, ['m-1']);
   claimTable.handleHeartbeat(heartbeat('m-1', 1, 2 * TOKENS_PER_TERM), 100, true);
-  assigned(jobs, 2, 5);
+  assignAllTasks(jobs, 2, 5);
   claimTable.syncJob(spec.id, 200);
   const machine = claimTable.machines.get('m-1')!;
   assert.deepEqual([...plannedByPriority(claimTable)], []);
