--- a/packages/core/src/scheduling/assignment.ts
+++ b/packages/core/src/scheduling/assignment.ts
@@ -25,16 +25,16 @@
 /** Ranges of a job's tasks that are not assigned: pairs of the first index and the count. */
 type WaitingRanges = readonly [number, number][];
 
-/** The places found for one job's tasks. */
+/** The placements found for one job's tasks. */
 interface JobPlacements {
   readonly indices: number[];
   readonly placements: Placement[];
   readonly intended: IntendedUse[];
-  /** Tasks that the team's limit allows and that fit nowhere. */
+  /** How many tasks the team's limit allows but fit on no machine. */
   missing: number;
 }
 
-/** How many tasks of a job were placed, and how many fitted nowhere. */
+/** How many tasks of a job were placed, and how many fitted on no machine. */
 type PlacedCounts = Readonly<Record<'placed' | 'missing', number>>;
 
 /** Assigns the waiting tasks of all jobs, the most urgent first, within the limits of their teams. */
@@ -47,15 +47,15 @@
   return run.result();
 }
 
-/** One assignment of all jobs, and what it has used up so far. */
+/** One assignment of all jobs: its results so far and the remaining capacity. */
 class AssignmentRun {
   readonly #assignments: Assignment[] = [];
   readonly #unschedulable: UnschedulableDemand[] = [];
   readonly #capacity: RemainingCapacity;
   readonly #groups: GroupAssignment;
-  /** Shapes of tasks that fit nowhere: free resources only shrink, so the search is not repeated. */
+  /** Shapes of tasks that fit on no machine. Free resources only shrink, so the search is not repeated. */
   readonly #unplacedShapes = new Set<string>();
-  /** By id of each job of which tasks within its team's guarantee were placed or fitted nowhere. */
+  /** By job id: the counts of the pass that assigns tasks within their teams' guarantees. */
   readonly #withinGuaranteeByJob = new Map<string, PlacedCounts>();
 
   constructor(
@@ -66,7 +66,7 @@
     this.#groups = new GroupAssignment(input, this.#capacity);
   }
 
-  /** What has been assigned so far. */
+  /** The result so far. */
   result(): AssignmentResult {
     return {
       assignments: this.#assignments,
@@ -83,7 +83,7 @@
   assign(job: Job): void {
     const waiting = job.unassigned();
     const team = this.#teamOf(job);
-    // A team that is gone from the settings gets nothing more; what it has goes on.
+    // A team that was removed from the settings is assigned no more tasks; its assigned tasks go on.
     if (waiting.length === 0 || team === undefined) return;
     if (job.isGroup) {
       this.#assignGroup(job, team);
@@ -101,7 +101,7 @@
     else this.#assignTasks(job, waiting, allowed, zones, this.#capacity.gpusHeldBackFrom(team.name));
   }
 
-  /** Assigns as many of the job's tasks as its team is guaranteed; those beyond are for a later assignment. */
+  /** Assigns the job's waiting tasks within its team's guarantee; a later assignment places the rest. */
   assignWithinGuarantee(job: Job): void {
     const waiting = job.unassigned();
     const team = this.#teamOf(job);
@@ -138,11 +138,11 @@
     this.#capacity.countUse(job, placements.length + missing);
     if (placements.length > 0) this.#assignments.push({ job, added: assignedRangesOf(indices, placements), intended });
     if (missing > 0)
-      this.#unschedulable.push({ job, count: missing, zones: zones.open(this.input.clusterConfig.zones) });
+      this.#unschedulable.push({ job, count: missing, zones: zones.openZones(this.input.clusterConfig.zones) });
     return { placed: placements.length, missing };
   }
 
-  /** If not even the tasks within the team's guarantee fit anywhere, the rest of the job does not either. */
+  /** Counts the rest of the job as unschedulable if its tasks within the team's guarantee fitted on no machine. */
   #countRestAsUnschedulable(job: Job, waiting: WaitingRanges, team: Team, { placed, missing }: PlacedCounts): void {
     if (placed > 0 || missing === 0) return;
     const waitingCount = waiting.reduce((sum, [from, count]) => sum + unfinishedIn(job, { from, count }), 0);
@@ -155,8 +155,8 @@
   }
 
   /**
-   * Assigns one task of a crash-looping job to free resources, if a probe is due. It preempts nothing and asks for no
-   * machine, and the next probe goes to another partition if it can.
+   * Assigns one task of a crash-looping job to free resources, if a probe is due. A probe preempts nothing, creates no
+   * demand for machines, and goes to another partition than the last probe if possible.
    */
   #assignProbe(job: Job, waiting: WaitingRanges, zones: ZoneChoice): void {
     const { probes, now, maxAssignments } = this.input;
@@ -164,7 +164,7 @@
       return;
     const bin = this.#probeBin(job, zones);
     if (bin === undefined) return;
-    this.#capacity.take(bin, job);
+    this.#capacity.allocate(bin, job);
     const placement = { partitionId: bin.partitionId, zone: zones.take(bin.machine.zone), term: bin.term };
     this.#capacity.countUse(job, 1);
     this.#assignments.push({
@@ -200,7 +200,7 @@
           found.missing++;
           continue;
         }
-        this.#capacity.take(bin, job);
+        this.#capacity.allocate(bin, job);
         found.indices.push(index);
         found.placements.push({ partitionId: bin.partitionId, zone: zones.take(bin.machine.zone), term: bin.term });
         found.intended.push({ machine: bin.machine.name, need: job.spec });
@@ -222,7 +222,7 @@
     const lastPartitionId = placements.at(-1)?.partitionId ?? job.assignedRanges.at(-1)?.partitionId;
     const allowsZone = (zone: string): boolean => zones.allows(zone);
     const bin = chooseBin(job, this.#capacity.bins, this.input, allowsZone, lastPartitionId);
-    // A job that keeps to zones of its own proves nothing about other jobs of the same shape.
+    // A `spread` or `oneZone` job may fail to fit because of its zones: other jobs of its shape may still fit.
     if (bin === undefined && !job.spec.spread && !job.spec.oneZone) this.#unplacedShapes.add(shape);
     return bin;
   }
--- a/packages/core/src/scheduling/bin-choice.ts
+++ b/packages/core/src/scheduling/bin-choice.ts
@@ -1,4 +1,4 @@
-// Which machine the leader's assignment chooses for a task: the one that would run it soonest.
+// The leader's choice of a machine for a task: the one that would run it soonest.
 import { PRIORITIES } from '@gingerlock/wire';
 import { fitsIn } from '../cluster/resources';
 import type { Job } from '../jobs/jobs';
@@ -8,23 +8,23 @@
 import { tightnessCostMs } from './tightness';
 
 /**
- * Tasks of an array that go to another partition than the one before them count as this part of a heartbeat interval
- * later: each partition writes its finished tasks itself, and its last ones are a step more until the job is done.
+ * An array task in another partition than the task before it costs a heartbeat interval divided by this number: each
+ * partition writes its own finished tasks, so a further partition adds a step before the job is done.
  */
 const OTHER_PARTITION_INTERVAL_DIVISOR = 4;
 
-/** Work that may run on spot machines waits for them for as many heartbeat intervals: ordinary machines cost more. */
+/** Cost of an ordinary machine for work that may run on cheaper spot machines, in heartbeat intervals. */
 const SPOT_PREFERENCE_INTERVALS = 2;
 
-/** Work whose priority comes after this one is batch work. */
+/** Index of the least urgent priority that is not batch work. */
 const URGENT_PRIORITY = PRIORITIES.indexOf('high');
 
-/** What the choice of a bin needs to know besides the job. */
+/** Input for the choice of a bin, apart from the job and the bins. */
 type ChoiceContext = Pick<AssignmentInput, 'types' | 'clusterConfig' | 'preempts'>;
 
 /**
- * How soon the task would run in the bin, in milliseconds, with ties broken towards what is fuller already.
- * `lastPartitionId` is the partition of the task before it; undefined: there is none.
+ * The cost of a bin for a task: the estimated time until it runs there, in milliseconds, plus penalties; a fuller
+ * machine wins a tie. `lastPartitionId` is the partition of the task before it; undefined: there is none.
  */
 export function startCostMs(
   job: Job,
@@ -41,7 +41,7 @@
   return imageMs + ordinaryMs + otherPartitionMs + tightnessCostMs(heartbeatIntervalMs, free, type);
 }
 
-/** The bin that would run one more task soonest, the first of those alike; undefined: it fits in none. */
+/** The bin with the lowest cost for one more task, the first one on a tie; undefined: the task fits in none. */
 export function chooseBin(
   job: Job,
   bins: readonly MachineBin[],
@@ -64,7 +64,7 @@
   return best;
 }
 
-/** The cost of a bin in which the task fits by preemption only, as an owner estimates it; Infinity: it does not fit. */
+/** Cost of a bin where the task fits only with preemption, estimated as an owner does; Infinity: it does not fit. */
 function costWithPreemptionMs(
   job: Job,
   bin: MachineBin,
@@ -74,6 +74,6 @@
   const priorityKept = preempts ? leastUrgentPriorityKept(job, bin) : null;
   if (priorityKept === null) return Infinity;
   const stoppedMs = costMs + (STOP_MS + clusterConfig.heartbeatIntervalMs / 2);
-  // Work that is urgent itself is preempted only where the task fits nowhere else.
+  // Urgent work is preempted only if the task fits nowhere else.
   return priorityKept < URGENT_PRIORITY ? stoppedMs + SERVICE_VICTIM_MS : stoppedMs;
 }
--- a/packages/core/src/scheduling/group-assignment.ts
+++ b/packages/core/src/scheduling/group-assignment.ts
@@ -1,4 +1,4 @@
-// The assignment of replica groups, of which all members are placed at once or none.
+// The assignment of replica groups: either all members of a group are placed at once, or none.
 import type { Team } from '../cluster/cluster-config';
 import { countWithinLimit } from '../cluster/quota';
 import {
@@ -26,25 +26,25 @@
 import { STOP_MS } from './start-time';
 import { boundZone } from './zone-choice';
 
-/** Which resources of machines count for a group. */
+/** Which resources of machines count as available to a group. */
 interface CandidateSearch {
-  /** Whether those of less urgent work count too. */
-  readonly preempting: boolean;
-  /** Whether those are left out that earlier groups in their backoff will use. */
-  readonly besideBackoffUse: boolean;
+  /** Whether resources that preempting less urgent work would free are available. */
+  readonly includesPreemptable: boolean;
+  /** Whether resources that earlier groups in their backoff will use are unavailable. */
+  readonly excludesBackoffUse: boolean;
 }
 
 /** The replica groups of one assignment of all jobs. */
 export class GroupAssignment {
   readonly placements: GroupPlacement[] = [];
   readonly waiting: WaitingGroup[] = [];
-  /** Names of machines that fit some members of a group of which others fit nowhere. */
+  /** Names of machines that fit members of a group that could not be placed as a whole. */
   readonly partlyFittingMachines = new Set<string>();
-  /** By name of each machine that groups in their backoff could be placed on now: what they would use there. */
+  /** By machine name: the resources that groups in their backoff would use there if they were placed now. */
   readonly #backoffUseByMachine = new Map<string, Resources>();
-  /** By shape of groups that did not fit: the zones in which more machines would help. Free resources only shrink. */
+  /** By shape of groups that did not fit: zones that lack machines. None is retried: free resources only shrink. */
   readonly #zonesByUnplacedShape = new Map<string, readonly string[]>();
-  /** Whether resources are held already for a group that does not fit as a whole: at most one holds any. */
+  /** Whether a group that does not fit as a whole holds resources already; at most one group does. */
   #isCapacityHeld = false;
 
   constructor(
@@ -52,15 +52,15 @@
     readonly capacity: RemainingCapacity,
   ) {}
 
-  /** Names of machines that groups could be placed on now but for their backoff. */
+  /** Names of the machines on which groups in their backoff would fit now. */
   get backoffMachines(): ReadonlySet<string> {
     return new Set(this.#backoffUseByMachine.keys());
   }
 
   /**
-   * Places all members of a replica group, or none; returns the demand that stays unschedulable, or null. With
-   * `mayAssign` false the assignment has reached its size: the group is not placed. Nor is one in its backoff, which
-   * takes nothing from the jobs after it, but is demand for the machines that it will need.
+   * Places all members of a replica group or none; returns the unschedulable demand, or null if there is none. If
+   * `mayAssign` is false, the assignment is full and the group is not placed. A group in its backoff is not placed
+   * either: it takes no resources from the jobs after it, but counts as demand for the machines that it will need.
    */
   assign(job: Job, team: Team, mayAssign: boolean): UnschedulableDemand | null {
     const { groups } = this.input;
@@ -70,15 +70,17 @@
       this.#noteWaiting(job, 'team limit');
       return null;
     }
-    const zonesOfAlike = this.#zonesByUnplacedShape.get(groupShapeOf(job));
-    if (zonesOfAlike !== undefined) {
+    const zonesOfSameShape = this.#zonesByUnplacedShape.get(groupShapeOf(job));
+    if (zonesOfSameShape !== undefined) {
       this.#noteWaiting(job, 'no machines');
-      return { job, count: job.spec.tasks, zones: zonesOfAlike };
+      return { job, count: job.spec.tasks, zones: zonesOfSameShape };
     }
-    const search = { preempting: false, besideBackoffUse: isBackingOff };
+    const search = { includesPreemptable: false, excludesBackoffUse: isBackingOff };
     const free = groups.choose(job, mayAssign ? this.#candidates(job, search) : []);
     const mayPreempt = free.missing > 0 && mayAssign && this.input.preempts;
-    const choice = mayPreempt ? groups.choose(job, this.#candidates(job, { ...search, preempting: true })) : free;
+    const choice = mayPreempt
+      ? groups.choose(job, this.#candidates(job, { ...search, includesPreemptable: true }))
+      : free;
     const lackingMembers = this.#membersWithoutGpus(job, team);
     if (choice.missing === 0 && lackingMembers === 0) {
       if (isBackingOff) this.#noteBackoffUse(job, choice);
@@ -100,7 +102,7 @@
     this.waiting.push({ job, why });
   }
 
-  /** For how many members there are no GPUs besides those that are held back for the guarantees of other teams. */
+  /** How many members lack GPUs while other teams' GPUs are held back for their guarantees. */
   #membersWithoutGpus(job: Job, team: Team): number {
     const { gpus, tasks } = job.spec;
     const heldBackGpus = this.capacity.gpusHeldBackFrom(team.name);
@@ -109,11 +111,11 @@
     return Math.min(tasks, Math.ceil(lackingGpus / gpus));
   }
 
-  /** Holds what fits some members of the first group that asks for it, so that the jobs after it leave it free. */
+  /** Holds the resources that fit members of the first group that holds partial capacity: later jobs can't use them. */
   #holdPartialCapacity(job: Job, { chosen }: GroupChoice, groups: GroupPlanner): void {
     if (this.#isCapacityHeld || !groups.holdsPartialCapacity(job)) return;
     this.#isCapacityHeld = true;
-    for (const { machine } of chosen) this.capacity.take(this.capacity.binOf(machine), job);
+    for (const { machine } of chosen) this.capacity.allocate(this.capacity.binOf(machine), job);
   }
 
   #noteBackoffUse(job: Job, { chosen }: GroupChoice): void {
@@ -127,10 +129,10 @@
   #place(job: Job, { chosen }: GroupChoice): void {
     const members = chosen.map(({ machine }) => {
       const bin = this.capacity.binOf(machine);
-      this.capacity.take(bin, job);
+      this.capacity.allocate(bin, job);
       return { partitionId: bin.partitionId, zone: boundZone(job, bin.machine.zone), term: bin.term, machine };
     });
-    // Members are alike: ranks follow the places, so that the record needs one range for each place.
+    // Members are interchangeable: sorted by place, their ranks need only one range of the record for each place.
     members.sort(comparePlacements);
     this.capacity.countUse(job, members.length);
     this.placements.push({ job, members });
@@ -144,11 +146,15 @@
       .filter(({ capacity }) => capacity > 0);
   }
 
-  #candidateOf(job: Job, bin: MachineBin, { preempting, besideBackoffUse }: CandidateSearch): GroupCandidate {
+  #candidateOf(
+    job: Job,
+    bin: MachineBin,
+    { includesPreemptable, excludesBackoffUse }: CandidateSearch,
+  ): GroupCandidate {
     const { name, zone } = bin.machine;
-    const free = preempting ? freeWithPreemption(bin, job.ownPriority) : bin.free;
-    const backoffUse = besideBackoffUse ? (this.#backoffUseByMachine.get(name) ?? NO_RESOURCES) : NO_RESOURCES;
-    const stopMs = preempting && !fitsIn(job.spec, bin.free) ? STOP_MS : 0;
+    const free = includesPreemptable ? freeWithPreemption(bin, job.ownPriority) : bin.free;
+    const backoffUse = excludesBackoffUse ? (this.#backoffUseByMachine.get(name) ?? NO_RESOURCES) : NO_RESOURCES;
+    const stopMs = includesPreemptable && !fitsIn(job.spec, bin.free) ? STOP_MS : 0;
     return {
       machine: name,
       zone,
--- a/packages/core/src/scheduling/group-planner.ts
+++ b/packages/core/src/scheduling/group-planner.ts
@@ -1,4 +1,4 @@
-// What the assignment asks about replica groups; package `replica-groups` answers it.
+// The interface through which the assignment plans replica groups; the rules are in package `replica-groups`.
 import type { Job } from '../jobs/jobs';
 
 /** A machine on which members of a replica group could run. */
@@ -7,30 +7,30 @@
   readonly zone: string;
   /** How many members fit on it. */
   readonly capacity: number;
-  /** About how soon a member would run there, in milliseconds. */
+  /** Estimate of how soon a member would run there, in milliseconds. */
   readonly costMs: number;
 }
 
 /** Machines for the members of a replica group. */
 export interface GroupChoice {
-  /** One for each member that fits, one machine as often as it is chosen. */
+  /** One entry for each member that fits; a machine is repeated for each member on it. */
   readonly chosen: readonly GroupCandidate[];
-  /** Members that fit nowhere. */
+  /** How many members fit nowhere. */
   readonly missing: number;
-  /** The zones in which more machines would help them. */
+  /** The zones in which more machines would let the missing members fit. */
   readonly zones: readonly string[];
-  /** What the chosen machines cost, to compare choices by. */
+  /** Cost of the chosen machines, by which choices are compared. */
   readonly cost: number;
 }
 
-/** Decides over replica groups, of which all members are assigned at once or none. */
+/** Decides when and where replica groups are placed; all members of a group are placed at once, or none. */
 export interface GroupPlanner {
   /** Whether the group may be placed now. */
   mayPlace(job: Job): boolean;
-  /** Whether nothing but the backoff after a failed generation keeps the group from being placed. */
+  /** Whether the backoff after a failed generation is the only reason not to place the group. */
   isBackingOff(job: Job): boolean;
   /** Chooses machines for the members among the candidates. */
   choose(job: Job, candidates: readonly GroupCandidate[]): GroupChoice;
-  /** Whether free resources that fit only some members are held back from the jobs after the group. */
+  /** Whether the group holds free resources that fit only some members, so that later jobs leave them free. */
   holdsPartialCapacity(job: Job): boolean;
 }
--- a/packages/core/src/scheduling/immovable-demand.ts
+++ b/packages/core/src/scheduling/immovable-demand.ts
@@ -1,4 +1,4 @@
-// Tasks that are assigned to a partition which has no machine for them, and that its owner can't return to the leader.
+// Finds assigned tasks that have no machine in their partition and that its owner can't return to the leader.
 import type { MachineType } from '@gingerlock/wire';
 import type { UnschedulableDemand } from './assignment-types';
 import type { MachineStatus, PartitionStatus } from './partition-status';
@@ -8,7 +8,7 @@
 import { unfinishedIn } from '../jobs/assigned-usage';
 import type { Job } from '../jobs/jobs';
 
-/** What the search for immovable tasks is given. */
+/** Input of `findImmovableDemand`. */
 export interface ImmovableDemandInput {
   readonly jobs: Iterable<Job>;
   readonly statuses: readonly PartitionStatus[];
@@ -17,14 +17,14 @@
   readonly partitioner: Partitioner;
   /** All zones. */
   readonly zones: readonly string[];
-  /** Whether the key-value store would reject the job's record, whatever its owners leave out of it. */
+  /** Whether the key-value store would reject the job's record even without the ranges of any one partition. */
   readonly isFrozen: (job: Job) => boolean;
 }
 
 /**
- * The tasks that can run in their partition alone and have no machine there. An owner returns tasks to the leader by
- * a smaller record of their job; if the store rejects even that, as it may after its limit on values was lowered, a
- * machine has to be rented in the partition, or the tasks wait for ever.
+ * Finds the tasks that can run only in their partition and have no machine there. An owner returns tasks to the leader
+ * by writing a smaller record of their job. If the store rejects even that, as it may after its limit on values was
+ * lowered, the tasks wait forever unless a machine is rented in the partition.
  */
 export function findImmovableDemand(input: ImmovableDemandInput): UnschedulableDemand[] {
   const immovable: UnschedulableDemand[] = [];
@@ -39,7 +39,7 @@
   return immovable;
 }
 
-/** How many tasks of the job wait in the partition; none while its status is older than the assignment. */
+/** How many tasks of the job wait in the partition; 0 while its status is older than the assignment. */
 function waitingIn(job: Job, { partitionId, revision, running }: PartitionStatus): number {
   if (revision < job.version) return 0;
   const assigned = job.assignedRanges
@@ -49,7 +49,7 @@
   return assigned - runningCount;
 }
 
-/** Whether tasks of the job could run on the machine, now or once enough of it is free. */
+/** Whether tasks of the job could run on the machine, now or after other tasks have freed its resources. */
 function couldTake(machine: MachineStatus, { spec }: Job, types: ReadonlyMap<string, MachineType>): boolean {
   const type = types.get(machine.type);
   return (
@@ -60,7 +60,7 @@
   );
 }
 
-/** The zones that have machines of the partition and that its tasks of the job are bound to, if they are bound. */
+/** The zones of the partition in which its tasks of the job may run. */
 function zonesFor(job: Job, partitionId: number, { partitioner, zones }: ImmovableDemandInput): string[] {
   const boundZones = new Set(
     job.assignedRanges.filter((range) => range.partitionId === partitionId).map((range) => range.zone),
--- a/packages/core/src/scheduling/job-shape.ts
+++ b/packages/core/src/scheduling/job-shape.ts
@@ -1,13 +1,14 @@
-// Jobs whose tasks fit in the same places, so that a search that failed for one is not repeated for the others.
+// Keys of jobs whose tasks fit in the same places: a search that failed for one is not repeated for the others.
 import type { Job } from '../jobs/jobs';
 
-/** Equal for jobs whose single tasks all fit on some machine or all on none. */
+/** Key of a job's tasks: of jobs with equal keys, either each has tasks that fit on some machine, or none has. */
 export function taskShapeOf({ ownPriority, spec }: Job): string {
   return [ownPriority, spec.cpus, spec.gpus, spec.memoryGb, spec.zone, spec.spot, ...(spec.types ?? [])].join();
 }
 
 /**
- * Equal for replica groups that all fit or all do not; one that avoids a machine still waits for the next assignment.
+ * Key of a replica group: groups with equal keys either all fit or all do not. Machines that a group avoids are not
+ * part of the key; they may delay a group to the next assignment.
  */
 export function groupShapeOf(job: Job): string {
   const { tasks, spread, oneZone } = job.spec;
--- a/packages/core/src/scheduling/machine-bin.ts
+++ b/packages/core/src/scheduling/machine-bin.ts
@@ -1,22 +1,22 @@
-// The machines as bins that one assignment packs tasks into.
+// The machines as bins, into which one assignment packs tasks.
 import { addResources, fitsIn, NO_RESOURCES, type Resources, subtractResources } from '../cluster/resources';
 import { allowsMachine } from '../cluster/placement-constraints';
 import type { Job } from '../jobs/jobs';
 import type { AssignmentInput, PendingAssignment } from './assignment-types';
 import type { MachineStatus, PartitionStatus } from './partition-status';
 
-/** A machine that takes work, with what the running assignment has left on it. */
+/** A machine that takes work, and the resources that the current assignment has left on it. */
 export interface MachineBin {
   readonly machine: MachineStatus;
   readonly partitionId: number;
   /** Term of the partition's owner. */
   readonly term: number;
   free: Resources;
-  /** By priority, the most urgent first: what preempting that work would free. */
+  /** By priority, the most urgent first: the resources that preempting work of that priority would free. */
   readonly byPriority: Resources[];
 }
 
-/** The machines that take work, with what is free on them less what earlier assignments will use there. */
+/** The bins of all machines that take work; resources that pending assignments will use are not free. */
 export function machineBinsOf({ statuses, pendingAssignments }: AssignmentInput): MachineBin[] {
   const bins: MachineBin[] = [];
   for (const status of statuses) {
@@ -43,19 +43,19 @@
   return free;
 }
 
-/** Whether the job may run on the bin's machine, whatever is free there. */
+/** Whether the job may run on the bin's machine, regardless of its free resources. */
 export function mayRunIn(job: Job, { machine }: MachineBin): boolean {
   return allowsMachine(job.spec, machine.type, machine.zone, machine.spot);
 }
 
-/** What would be free in the bin if all work that is less urgent were preempted. */
+/** The resources that would be free in the bin if all less urgent work were preempted. */
 export function freeWithPreemption(bin: MachineBin, ownPriority: number): Resources {
   return bin.byPriority.slice(ownPriority + 1).reduce((sum, resources) => addResources(sum, resources), bin.free);
 }
 
 /**
  * The least urgent priority whose work may stay if all less urgent work is preempted to fit the task; null: the task
- * does not fit even without all work that is less urgent than it.
+ * does not fit even if all work less urgent than it is preempted.
  */
 export function leastUrgentPriorityKept(job: Job, bin: MachineBin): number | null {
   let available = bin.free;
@@ -65,8 +65,8 @@
   return fitsIn(job.spec, available) ? priority : null;
 }
 
-/** Subtracts one task from the bin, preempting the least urgent work as far as the task does not fit. */
-export function takeFromBin(bin: MachineBin, job: Job): void {
+/** Allocates one task in the bin; while it does not fit, preempts the least urgent work that is left. */
+export function allocateInBin(bin: MachineBin, job: Job): void {
   for (
     let priority = bin.byPriority.length - 1;
     priority > job.ownPriority && !fitsIn(job.spec, bin.free);
--- a/packages/core/src/scheduling/partition-status.ts
+++ b/packages/core/src/scheduling/partition-status.ts
@@ -1,8 +1,8 @@
-// What the owner of a partition publishes of its machines: all that the leader knows of them when it assigns tasks and
-// sizes the cluster.
+// The status that a partition's owner publishes: all that the leader knows of the machines when it assigns tasks and
+// scales the cluster.
 import type { Resources } from '../cluster/resources';
 
-/** What a partition's owner publishes of one machine. */
+/** The status of one machine. */
 export interface MachineStatus {
   readonly name: string;
   /** Name of its machine type. */
@@ -11,11 +11,11 @@
   readonly spot: boolean;
   /** The last epoch that its worker reported: a new owner needs it to prove its term to the worker. */
   readonly agentEpoch: number;
-  /** Left after its claims and after the waiting tasks that the owner expects to start here. */
+  /** Resources left after its claims and the waiting tasks that the owner expects to start on it. */
   readonly free: Resources;
   /**
-   * By priority, the most urgent first: what preempting its claims of that priority would free, and what waiting
-   * tasks of that priority are expected to use.
+   * By priority, the most urgent first: the resources that preempting its claims of that priority would free, plus
+   * those that waiting tasks of that priority are expected to use.
    */
   readonly byPriority: readonly Resources[];
   /** Images in its cache. */
@@ -23,10 +23,10 @@
   /** Whether tasks may be started on it now. */
   readonly takesWork: boolean;
   readonly draining: boolean;
-  /** Whether the cloud has announced that it takes the machine. */
+  /** Whether the cloud has announced the eviction of the machine. */
   readonly evictionNotice: boolean;
   readonly isQuarantined: boolean;
-  /** It certainly holds no task; see `machineUse`. */
+  /** Whether it is known to hold no task; see `machineUse`. */
   readonly empty: boolean;
   /** How long it has been empty. */
   readonly emptyMs: number;
@@ -34,7 +34,7 @@
   readonly silentMs: number;
 }
 
-/** What a partition's owner publishes of the partition. */
+/** The status of one partition. */
 export interface PartitionStatus {
   readonly partitionId: number;
   /** The owner's term. */
@@ -42,7 +42,7 @@
   /** The revision of the owner's watch cache: later assignments are not counted in this status. */
   readonly revision: number;
   readonly machines: readonly MachineStatus[];
-  /** What those tasks use together that a new owner has awaited for longer than a heartbeat takes, in vain so far. */
+  /** Total resources of service tasks that no machine has reported to a new owner in time; see `missingServices`. */
   readonly missing: Resources;
   /** Pairs of a job's id and how many of its tasks run. */
   readonly running: readonly (readonly [string, number])[];
--- a/packages/core/src/scheduling/placement-planner.ts
+++ b/packages/core/src/scheduling/placement-planner.ts
@@ -1,31 +1,31 @@
-// What the owner of a partition plans for the coming heartbeats: which machine would take which waiting task, what is
+// An owner's plan for the coming heartbeats of its partition: which machine takes which waiting task, which tasks are
 // preempted for it, and which machines are asked for a heartbeat at once.
 import type { ClaimView } from '../claims/claim-view';
 import type { Machine } from '../claims/machine-entry';
 import type { PlannedPlacement, TaskEntry } from '../claims/task-entry';
 import { addResources, fitsIn, NO_RESOURCES, type Resources, subtractResources } from '../cluster/resources';
 import { bestPlacement, type PlacementContext } from './placement';
-import { leastVictims, preempt } from './preemption';
+import { selectVictims, preempt } from './preemption';
 
-/** What planning all waiting tasks of a partition has led to. */
+/** The plan for all waiting tasks of a partition. */
 export interface PlacementPlan {
-  /** By machine that takes work: what the planned tasks leave free. */
+  /** By machine that takes work: the resources that the planned tasks leave free. */
   readonly freeByMachine: Map<Machine, Resources>;
   /** Tasks that no machine of this partition can take. */
   readonly unschedulable: TaskEntry[];
-  /** Tasks that were preempted and are to be stopped. */
+  /** Preempted tasks that are marked to be stopped. */
   readonly stopped: TaskEntry[];
 }
 
-/** A planning run: what it has placed so far is counted in. */
+/** The state of a planning run, in which the tasks planned so far are counted. */
 interface PlanningRun extends PlacementContext {
   readonly freeByMachine: Map<Machine, Resources>;
   readonly preempted: Set<TaskEntry>;
 }
 
 /**
- * Packs the waiting tasks into the machines' free resources as the coming heartbeats would, preempting work of lower
- * priority where that is the soonest. Sets the plan of each waiting task.
+ * Plans the waiting tasks on the machines' free resources as the coming heartbeats would grant them. Preempts work of
+ * lower priority where a task would then run soonest. Sets `plan` of each waiting task.
  */
 export function planPlacements(claimTable: ClaimView, now: number): PlacementPlan {
   const freeByMachine = plannableResources(claimTable, now);
@@ -42,13 +42,13 @@
   return { freeByMachine, unschedulable, stopped };
 }
 
-/** By machine that takes work: what is free, or will be soon, and is not reserved. */
+/** By machine that takes work: the resources that are free or will be free soon, without the reserved ones. */
 function plannableResources(claimTable: ClaimView, now: number): Map<Machine, Resources> {
   const freeByMachine = new Map<Machine, Resources>();
   for (const machine of claimTable.machines.values()) {
     if (!claimTable.mayTakeWork(machine, now)) continue;
     let available = claimTable.freeResources(machine);
-    // What is stopping is free soon: counted now, so that nothing more is preempted for the same task.
+    // Resources of stopping tasks count as free, so that no further task is preempted for the same waiting task.
     for (const task of machine.claims.values())
       if (task.claim!.stopGraceS !== null) available = addResources(available, task.job.spec);
     freeByMachine.set(machine, subtractResources(available, claimTable.reservations.reservedOn(machine.name)));
@@ -56,10 +56,10 @@
   return freeByMachine;
 }
 
-/** Plans a task that is in no replica group; false: it may start, and no machine of this partition can take it. */
+/** Plans a task outside replica groups; returns false if it may start but no machine of this partition fits it. */
 function planTask(run: PlanningRun, task: TaskEntry): boolean {
   const { claimTable, freeByMachine, now } = run;
-  // It is held back, and returned to the leader in time: no machine is kept or asked for.
+  // A task that may not start yet needs no machine: it is returned to the leader later.
   if (!claimTable.mayStart(task)) return true;
   task.plan = reservedPlacement(run, task);
   if (task.plan !== null) return true;
@@ -72,41 +72,38 @@
   return true;
 }
 
-/** Counts the victims as preempted; returns what is available with what they hold. */
+/** Counts the victims as preempted; returns the available resources including theirs. */
 function addVictims(run: PlanningRun, victims: readonly TaskEntry[], available: Resources): Resources {
   for (const victim of victims) run.preempted.add(victim);
   return victims.reduce((sum, victim) => addResources(sum, victim.job.spec), available);
 }
 
 /**
- * Plans a member of a replica group: it waits for the machine on which resources are reserved for it, and for no other.
- * Where these are not free yet, work of lower priority is preempted, if that is enough.
+ * Plans a member of a replica group on the machine that has resources reserved for it, the only one that may run it.
+ * If these resources are not free yet, preempts work of lower priority there, provided that this frees enough.
  */
 function planGroupMember(run: PlanningRun, task: TaskEntry): void {
   const { claimTable, freeByMachine, preempted } = run;
   task.plan = reservedPlacement(run, task);
   if (task.plan === null || !claimTable.preempts) return;
   const { machine } = task.plan;
-  // The reservation is subtracted already: it is covered if nothing is lacking.
+  // Reservations are already subtracted from `available`: if no resource is negative, they are covered.
   const available = freeByMachine.get(machine)!;
   if (fitsIn(NO_RESOURCES, available)) return;
-  const victims = leastVictims(machine, task, available, preempted, NO_RESOURCES);
+  const victims = selectVictims(machine, task, available, preempted, NO_RESOURCES);
   if (victims === null) return;
   freeByMachine.set(machine, addVictims(run, victims, available));
   for (const victim of victims) preempt(claimTable, victim, task);
 }
 
-/** The machine on which resources are reserved for the task; null: there is none, or it takes no work now. */
+/** The placement on the machine with the task's reservation; null: there is none, or it takes no work now. */
 function reservedPlacement({ claimTable, freeByMachine }: PlanningRun, task: TaskEntry): PlannedPlacement | null {
   const name = claimTable.reservations.reservedMachineFor(task.name);
   const machine = name === null ? undefined : claimTable.machines.get(name);
   return machine === undefined || !freeByMachine.has(machine) ? null : { machine, startsInMs: 0, victims: [] };
 }
 
-/**
- * The machines that waiting tasks are planned for, and whose next heartbeat would come later than it could if asked
- * for.
- */
+/** The machines on which waiting tasks could start and whose next heartbeat would come sooner if requested. */
 export function machinesToSolicit(claimTable: ClaimView, now: number): Set<Machine> {
   const machines = new Set<Machine>();
   for (const job of claimTable.wakes()) {
@@ -119,12 +116,12 @@
   return machines;
 }
 
-/** The machine on which the waiting task could start with the next heartbeat, as planned; null: there is none. */
+/** The planned machine if the waiting task could start there with the next heartbeat; null: it could not. */
 function machineToStartOn(claimTable: ClaimView, task: TaskEntry, now: number): Machine | null {
   const { job, plan } = task;
   if (plan === null || plan.victims.length > 0 || task.notBefore > now) return null;
   if (job.isGroup && !claimTable.members.mayStart(task, plan.machine)) return null;
-  // What is reserved for it may not be free yet.
+  // The reserved resources may not be free yet.
   const isReserved = claimTable.reservations.reservedMachineFor(task.name) !== null;
   return isReserved && !fitsIn(job.spec, claimTable.freeResources(plan.machine)) ? null : plan.machine;
 }
--- a/packages/core/src/scheduling/placement-ranges.ts
+++ b/packages/core/src/scheduling/placement-ranges.ts
@@ -1,4 +1,4 @@
-// How placements become the ranges of a job's record.
+// Converts placements into the assigned ranges of a job's record.
 import type { AssignedRange } from '@gingerlock/wire';
 import { mergeRanges } from '../jobs/assigned-ranges';
 import type { Placement } from './assignment-types';
@@ -9,8 +9,8 @@
 }
 
 /**
- * Deals the tasks, which are all alike, to the placements so that those of one place follow each other: one range for
- * each place instead of one for each task keeps the record of a large job within the store's limit on values.
+ * Pairs the tasks, which are interchangeable, with the placements so that tasks in one place have consecutive indices.
+ * One range for each place instead of each task keeps the record of a large job within the store's limit on values.
  */
 export function assignedRangesOf(indices: readonly number[], placements: readonly Placement[]): AssignedRange[] {
   const sorted = [...placements].sort(comparePlacements);
--- a/packages/core/src/scheduling/placement.ts
+++ b/packages/core/src/scheduling/placement.ts
@@ -1,31 +1,31 @@
-// Where a waiting task of the partition would run soonest. For every waiting task the owner estimates how soon each
-// machine could run it: at once but for the fetch of its image, or after preempting work of lower priority. A machine
-// that sends a heartbeat gets the tasks that it has free resources for, and passes on one only if another machine of
-// the partition would run it sooner. See docs/design.md.
+// Finds the machine on which a waiting task of the partition would run soonest. For every waiting task the owner
+// estimates how soon each machine could run it: after the fetch of its image, and after preempting work of lower
+// priority if necessary. A machine that sends a heartbeat gets the tasks that fit its free resources; it passes on a
+// task only if another machine of the partition would run it sooner. See docs/design.md.
 import type { ClaimView } from '../claims/claim-view';
 import type { Machine } from '../claims/machine-entry';
 import type { PlannedPlacement, TaskEntry } from '../claims/task-entry';
 import { allowsMachine } from '../cluster/placement-constraints';
 import { fitsIn, type Resources } from '../cluster/resources';
-import { leastVictims } from './preemption';
+import { selectVictims } from './preemption';
 import { fetchMs, SERVICE_VICTIM_MS, STOP_MS } from './start-time';
 import { tightnessCostMs } from './tightness';
 
-/** A task is passed on only while it has waited for less than the fetch takes and so many heartbeat intervals. */
+/** A task is passed on only until it has waited for the image fetch plus this many heartbeat intervals. */
 const PASS_ON_INTERVALS = 2;
 
-/** What the placement of one task depends on besides the task. */
+/** Input for the placement of a task, apart from the task. */
 export interface PlacementContext {
   readonly claimTable: ClaimView;
-  /** By machine that takes work: what the placements so far leave free. */
+  /** By machine that takes work: the resources that the placements so far leave free. */
   readonly freeByMachine: ReadonlyMap<Machine, Resources>;
   /** Tasks that are preempted for the placements so far. */
   readonly preempted: ReadonlySet<TaskEntry>;
-  /** On the owner's clock, in milliseconds. */
+  /** Time on the owner's clock, in milliseconds. */
   readonly now: number;
 }
 
-/** Whether the task may run on the machine, whatever is free there. */
+/** Whether the task may run on the machine, regardless of its free resources. */
 function mayRunOn(claimTable: ClaimView, task: TaskEntry, machine: Machine, now: number): boolean {
   return (
     (task.zone === null || task.zone === machine.zone) &&
@@ -34,7 +34,7 @@
   );
 }
 
-/** The machine of the partition that would run the task soonest, the first of those alike; null: none could. */
+/** The placement that would run the task soonest, the first one on a tie; null: no machine could run it. */
 export function bestPlacement(context: PlacementContext, task: TaskEntry): PlannedPlacement | null {
   const { claimTable, freeByMachine, now } = context;
   const { spec } = task.job;
@@ -59,7 +59,7 @@
   return best;
 }
 
-/** The placement on a machine that could run the task in `readyMs` once it fits; null: it can't be made to fit. */
+/** The placement on a machine that is ready in `readyMs`; null: the task does not fit, even with allowed preemption. */
 function placementOn(
   { claimTable, preempted }: PlacementContext,
   task: TaskEntry,
@@ -69,22 +69,22 @@
   mayPreempt: boolean,
 ): PlannedPlacement | null {
   if (fitsIn(task.job.spec, available)) return { machine, startsInMs: readyMs, victims: [] };
-  const victims = mayPreempt ? leastVictims(machine, task, available, preempted) : null;
+  const victims = mayPreempt ? selectVictims(machine, task, available, preempted) : null;
   if (victims === null) return null;
-  // Until they have stopped, and their lost work. A preempted replica is missed at once, so that is for when the task
-  // fits nowhere else.
+  // Adds the time until the victims have stopped, and a cost for their lost work. Users notice a preempted service
+  // replica at once, so its cost is so high that it is preempted only if the task fits nowhere else.
   let ms = readyMs + (STOP_MS + claimTable.clusterConfig.heartbeatIntervalMs * (victims.length / 2));
   for (const victim of victims) if (victim.job.spec.kind === 'service') ms += SERVICE_VICTIM_MS;
   return { machine, startsInMs: ms, victims };
 }
 
-/** Whether the machine whose heartbeat came passes on a task that would run sooner on the machine it is planned for. */
+/** Whether the machine that sent a heartbeat passes on the task, as its planned machine would run it sooner. */
 export function startsSoonerElsewhere(claimTable: ClaimView, task: TaskEntry, machine: Machine, now: number): boolean {
   const { spec } = task.job;
   const { heartbeatIntervalMs } = claimTable.clusterConfig;
   const imageMs = fetchMs(spec.imageGb, machine.cache.has(spec.image), claimTable.typeOf(machine));
   if (imageMs <= heartbeatIntervalMs / 2 || task.plan?.machine === machine) return false;
-  // Not planned yet: that comes with the next tick.
+  // A task without a plan gets one with the next tick.
   if (task.plan === null) return now - task.since < heartbeatIntervalMs / 2;
   return (
     task.plan.startsInMs < imageMs &&
--- a/packages/core/src/scheduling/probe-policy.ts
+++ b/packages/core/src/scheduling/probe-policy.ts
@@ -1,7 +1,7 @@
-// What the assignment asks about crash-looping jobs; `ProbeSchedule` answers it.
+// The interface through which the assignment probes crash-looping jobs; `ProbeSchedule` implements it.
 import type { Job } from '../jobs/jobs';
 
-/** When and where single tasks of crash-looping jobs are started as probes. */
+/** Decides when and where single tasks of crash-looping jobs are started as probes. */
 export interface ProbePolicy {
   /** Whether a probe has run for long enough to show that the job can run. */
   isProven(job: string): boolean;
@@ -11,7 +11,7 @@
   lastPartitionId(job: string): number | null;
 }
 
-/** Whether the job failed wherever it was started, and no probe has shown since that it can run. */
+/** Whether the job is crash-looping, and no probe has shown since that it can run. */
 export function mustBeProbed(job: Job, probes: ProbePolicy): boolean {
   return job.isCrashLooping && !probes.isProven(job.id);
 }
--- a/packages/core/src/scheduling/probe-schedule.ts
+++ b/packages/core/src/scheduling/probe-schedule.ts
@@ -1,31 +1,31 @@
-// When the leader has a task of a crash-looping job started again as a probe. Such a job is retried as a job: one
-// task at a time, however many it has, with pauses that grow, and it is never given up, for a series of faulty
-// machines looks the same at first. Nothing here reads a clock: the time is an argument.
+// Schedules the probes of crash-looping jobs: the leader assigns one task of such a job at a time, with growing pauses.
+// It never gives up the job, because a series of faulty machines looks the same at first. The time is an argument: this
+// module reads no clock.
 import type { ClusterConfig } from '../cluster/cluster-config';
 import type { ProbePolicy } from './probe-policy';
 
-/** The probes of one job. All moments are on the clock of the caller, in milliseconds. */
+/** The probes of one job. All times are on the caller's clock, in milliseconds. */
 interface Probe {
-  /** The next one is not started before. */
+  /** Earliest start of the next probe. */
   nextAt: number;
-  /** How long the one after it waits. */
+  /** Pause after the next probe. */
   pauseMs: number;
   /** Since when a task of the job has been reported running without a gap; null: none is running. */
   runningSince: number | null;
-  /** How long a task has to run for the job to be proven. */
+  /** How long a task has to run to prove that the job can run. */
   provenAfterMs: number;
   isProven: boolean;
-  /** Where the last probe was; the next one goes elsewhere if it can. Null: there was none. */
+  /** Partition of the last probe; the next one goes to another if possible. Null: there was none. */
   lastPartitionId: number | null;
 }
 
 /** The pause after the first probe, in heartbeat intervals. */
 const FIRST_PAUSE_INTERVALS = 2;
 
-/** How long a probe has to run at first, in heartbeat intervals. */
+/** How long the first probe has to run to prove that the job can run, in heartbeat intervals. */
 const PROVEN_INTERVALS = 4;
 
-/** How long a probe has to run doubles each time that the job was proven, up to so many cancellation bounds. */
+/** The run time that proves a job doubles each time that the job is proven, up to this many cancellation bounds. */
 const MAX_PROVEN_CANCELLATION_BOUNDS = 8;
 
 /** The probes of all crash-looping jobs, by the leader's clock. */
@@ -59,8 +59,8 @@
   }
 
   /**
-   * The job's record does not mark it as crash-looping any more. If it fails again, its next probe has to run for
-   * longer.
+   * Notes that the job's record no longer marks it as crash-looping. If the job fails again, its next probe has to run
+   * for longer.
    */
   recordMarkRemoved(job: string): void {
     const probe = this.#probesByJob.get(job);
@@ -83,7 +83,7 @@
     return this.#probesByJob.get(job)?.lastPartitionId ?? null;
   }
 
-  /** A task of the job has been assigned to a partition as a probe. */
+  /** Notes that a task of the job has been assigned to a partition as a probe. */
   probeStarted(job: string, partitionId: number, now: number): void {
     const probe = this.#probeOf(job);
     probe.lastPartitionId = partitionId;
--- a/packages/core/src/scheduling/replica-relocation.ts
+++ b/packages/core/src/scheduling/replica-relocation.ts
@@ -1,4 +1,4 @@
-// Which service replicas leave draining machines for others, where they are up again within a moment.
+// Moves service replicas from draining machines to others on which they can start at once.
 import type { ClaimView } from '../claims/claim-view';
 import type { Machine } from '../claims/machine-entry';
 import type { SpareCapacity } from '../claims/spare-capacity';
@@ -6,14 +6,14 @@
 import { allowsMachine } from '../cluster/placement-constraints';
 import { fitsIn, type Resources, subtractResources } from '../cluster/resources';
 
-/** A start counts for users only if nothing stops the task within 30 s (PROTOCOL): no replica is moved before. */
+/** No replica is moved earlier: a start counts for users only if nothing stops the task within 30 s (PROTOCOL). */
 const MIN_RUN_BEFORE_RELOCATION_MS = 30_000;
 
 /**
- * Has replicas of a draining machine stopped that would be up again elsewhere within a moment: where they fit and their
- * image is cached, in this partition on a machine whose heartbeat can be asked for, or in another. A machine is left as
- * it is unless all its replicas can move, and one machine is emptied at a time. Returns the replicas to be stopped.
- * `remoteSpareCapacity` is asked at most once, and only if there is a machine to empty.
+ * Marks the replicas of one draining machine to be stopped if all of them can start at once on other machines: where
+ * they fit and their image is cached, either in another partition or on a machine of this partition whose heartbeat can
+ * be requested. Returns the replicas to be stopped; empty if no machine qualifies. `remoteSpareCapacity` is called at
+ * most once, and only if there is a machine to empty.
  */
 export function relocateReplicas(
   claimTable: ClaimView,
@@ -21,7 +21,7 @@
   remoteSpareCapacity: () => readonly SpareCapacity[],
   now: number,
 ): TaskEntry[] {
-  if (doesAnyReplicaWait(claimTable)) return [];
+  if (isAnyReplicaWaiting(claimTable)) return [];
   let spareCapacity: readonly SpareCapacity[] | null = null;
   for (const machine of claimTable.machines.values()) {
     if (!machine.draining || machine.evictionNotice || machine.spot || claimTable.isSuspect(machine, now)) continue;
@@ -35,8 +35,8 @@
   return [];
 }
 
-/** Whether a replica waits that is neither of a replica group nor of a crash-looping job: it goes first. */
-function doesAnyReplicaWait(claimTable: ClaimView): boolean {
+/** Whether a replica outside replica groups and crash-looping jobs waits: it has precedence over relocations. */
+function isAnyReplicaWaiting(claimTable: ClaimView): boolean {
   for (const job of claimTable.wakes()) {
     if (job.spec.kind !== 'service' || job.isGroup || claimTable.isCrashLooping(job)) continue;
     if (claimTable.waitingTasks(job).next().done !== true) return true;
@@ -44,7 +44,7 @@
   return false;
 }
 
-/** Whether the replica has run for long enough and goes on running. A replica group moves as a whole or not at all. */
+/** Whether the replica has run for long enough and is not being stopped. Replica groups are not relocated. */
 function mayRelocate({ job, claim }: TaskEntry, now: number): boolean {
   const { stopGraceS, stage, grantedAt } = claim!;
   return !job.isGroup && stopGraceS === null && stage === 'running' && now - grantedAt >= MIN_RUN_BEFORE_RELOCATION_MS;
@@ -73,7 +73,7 @@
   );
 }
 
-/** Free resources on ordinary machines of this partition whose heartbeat can be asked for at once. */
+/** Free resources on ordinary machines of this partition whose heartbeat can be requested at once. */
 function* localSpareCapacity(
   claimTable: ClaimView,
   freeByMachine: ReadonlyMap<Machine, Resources>,
--- a/packages/core/src/scheduling/start-time.ts
+++ b/packages/core/src/scheduling/start-time.ts
@@ -1,7 +1,7 @@
-// How long it takes until a task runs on a machine, as assignment, placement and scaling out estimate it.
+// Estimates of the time until a task runs on a machine, for assignment, placement and scale-out.
 import type { MachineType } from '@gingerlock/wire';
 
-/** How long a fetch is assumed to take if the type's rate is not known. */
+/** The estimated duration of a fetch if the fetch rate of the machine type is not known. */
 const UNKNOWN_FETCH_MS = 60_000;
 
 /** How long the fetch of an image takes on a machine of this type, in milliseconds, if nothing else is fetched. */
@@ -16,5 +16,5 @@
  */
 export const STOP_MS = 500;
 
-/** What stopping a service replica counts as, in milliseconds of waiting: more than any fetch. */
+/** Cost of stopping a service replica, as milliseconds of waiting: more than any fetch takes. */
 export const SERVICE_VICTIM_MS = 120_000;
--- a/packages/core/src/scheduling/tightness.ts
+++ b/packages/core/src/scheduling/tightness.ts
@@ -2,12 +2,12 @@
 import type { MachineType } from '@gingerlock/wire';
 import type { Resources } from '../cluster/resources';
 
-/** What a wholly free machine costs more than a full one, as a part of the heartbeat interval. */
+/** A wholly free machine costs more than a full one by a heartbeat interval divided by this number. */
 const FREE_MACHINE_INTERVAL_DIVISOR = 10;
 
 /**
- * What a machine's free GPUs add to its cost, in milliseconds: a fuller machine is chosen, which leaves larger gaps
- * to others.
+ * The cost that a machine's free GPUs add, in milliseconds: fuller machines are preferred (best fit), which leaves
+ * larger gaps for other tasks.
  */
 export function tightnessCostMs(
   heartbeatIntervalMs: number,
--- a/packages/core/src/scheduling/zone-choice.ts
+++ b/packages/core/src/scheduling/zone-choice.ts
@@ -1,21 +1,21 @@
-// Which zones the tasks of one job may go to: all in one zone, spread over zones, or as they come.
+// The zones that the tasks of one job may go to: all one zone, spread over zones, or any.
 import { fitsIn } from '../cluster/resources';
 import { spreadCap, unfinishedIn } from '../jobs/assigned-usage';
 import type { Job } from '../jobs/jobs';
 import { type MachineBin, mayRunIn } from './machine-bin';
 
-/** So many free CPUs count as one free GPU where zones are compared: they only break ties. */
+/** Free CPUs that count as one free GPU when zones are compared, so that CPUs only break ties. */
 const CPUS_PER_GPU = 1000;
 
-/** Which zones one job's tasks may go to, given those that it has tasks in. */
+/** The zones that one job's tasks may go to, given the zones of its assigned tasks. */
 export class ZoneChoice {
   readonly #taskCountByZone: Map<string, number>;
-  /** Most tasks of a spread job in one zone. */
+  /** The most tasks of a `spread` job in one zone. */
   readonly #cap: number;
-  /** The only zone; null: none is chosen. */
+  /** The zone of all tasks of a `oneZone` job; null: none is chosen, or the job is not `oneZone`. */
   #onlyZone: string | null;
 
-  /** `bestZone` is where a job of one zone goes that has no task in any yet. */
+  /** `bestZone` chooses the zone of a `oneZone` job that has no unfinished task in any zone. */
   constructor(
     readonly job: Job,
     bestZone: () => string | null,
@@ -37,14 +37,14 @@
   /** Counts one more task in the zone of a machine; returns the zone that the task is bound to, null for any. */
   take(machineZone: string): string | null {
     const zone = boundZone(this.job, machineZone);
-    // If the job fits in no zone without preemption, none was the best: the first task that is placed binds the rest.
+    // `bestZone` finds no zone if the job fits in none without preemption: then the first placed task binds the rest.
     if (this.job.spec.oneZone) this.#onlyZone = zone;
     if (zone !== null) this.#taskCountByZone.set(zone, (this.#taskCountByZone.get(zone) ?? 0) + 1);
     return zone;
   }
 
   /** The zones that further tasks may go to; null: any. */
-  open(zones: readonly string[]): readonly string[] | null {
+  openZones(zones: readonly string[]): readonly string[] | null {
     const only = this.#onlyZone ?? this.job.spec.zone;
     if (only !== null) return [only];
     return this.job.spec.spread ? zones.filter((zone) => !this.#isFull(zone)) : null;
@@ -57,8 +57,8 @@
 }
 
 /**
- * How many tasks of the job may be in each zone now. Finished tasks do not count: they are off their machines, and
- * would bind the rest of a job of one zone to a zone that may have lost its machines.
+ * How many unfinished tasks of the job are assigned to each zone. Finished tasks have left their machines; if they
+ * counted, they would bind the rest of a `oneZone` job to a zone that may have lost its machines.
  */
 function unfinishedCountByZone(job: Job): Map<string, number> {
   const countByZone = new Map<string, number>();
@@ -69,7 +69,7 @@
   return countByZone;
 }
 
-/** The zone in which most tasks of the job fit now; null: none is asked for, and the job fits in none. */
+/** The zone with the most free GPUs on machines that fit the job; null: the job names no zone and fits in none. */
 export function bestZone(job: Job, bins: readonly MachineBin[]): string | null {
   const freeByZone = new Map<string, number>();
   for (const bin of bins) {
--- a/packages/core/test/assignment.test.ts
+++ b/packages/core/test/assignment.test.ts
@@ -31,18 +31,18 @@
   return machineStatusOf(name, { zone, free: { cpus: 48, gpus: freeGpus, memoryGb: 192 } });
 }
 
-/** Assigns so many waiting jobs to so many machines, and counts how often a machine is looked at. */
-function countLooks(
+/** Assigns waiting jobs to machines, and counts how often the assignment reads the zone of a machine. */
+function countMachineReads(
   machineCount: number,
   jobCount: number,
   freeGpus: number,
-): { looks: number; assigned: number; unschedulable: number } {
-  let looks = 0;
+): { reads: number; assigned: number; unschedulable: number } {
+  let reads = 0;
   const machineStatuses = Array.from({ length: machineCount }, (_, i): MachineStatus => {
     const machine = machineStatusIn(`m-${i}`, ZONES[i % 3]!, freeGpus);
     return new Proxy(machine, {
       get(target, property) {
-        if (property === 'zone') looks++;
+        if (property === 'zone') reads++;
         return Reflect.get(target, property) as unknown;
       },
     });
@@ -74,28 +74,28 @@
     heldBack: null,
     groups: null,
   });
-  return { looks, assigned: assignments.length, unschedulable: unschedulable.length };
+  return { reads, assigned: assignments.length, unschedulable: unschedulable.length };
 }
 
-// Without that, a leader whose machines are full looks through all of them for every waiting task, at every assignment.
-test('one assignment looks at machines no more often than in step with how many there are, however many jobs wait', () => {
-  const small = countLooks(50, 100, 8);
+// Guards against a leader that searches all of its full machines for every waiting task in every assignment.
+test('one assignment reads machines at most in proportion to their number, regardless of how many jobs wait', () => {
+  const small = countMachineReads(50, 100, 8);
   assert.equal(small.assigned, 12);
-  assert.ok(countLooks(100, 100, 8).looks <= small.looks * 2.1);
-  assert.ok(countLooks(50, 400, 8).looks <= small.looks * 1.1);
-  const full = countLooks(50, 100, 0);
+  assert.ok(countMachineReads(100, 100, 8).reads <= small.reads * 2.1);
+  assert.ok(countMachineReads(50, 400, 8).reads <= small.reads * 1.1);
+  const full = countMachineReads(50, 100, 0);
   assert.equal(full.unschedulable, 100);
-  assert.ok(countLooks(100, 100, 0).looks <= full.looks * 2.1);
-  assert.ok(countLooks(50, 400, 0).looks <= full.looks * 1.1);
+  assert.ok(countMachineReads(100, 100, 0).reads <= full.reads * 2.1);
+  assert.ok(countMachineReads(50, 400, 0).reads <= full.reads * 1.1);
   for (const free of [8, 0]) {
-    const earlier = countLooks(200, 400, free);
-    assert.ok(countLooks(900, 1800, free).looks <= earlier.looks * 4.5 * 1.1, `${free} free`);
+    const earlier = countMachineReads(200, 400, free);
+    assert.ok(countMachineReads(900, 1800, free).reads <= earlier.reads * 4.5 * 1.1, `${free} free`);
   }
 });
 
-// The assigned ranges of a job keep its finished tasks. If these counted as if they still ran, the rest of a job of
-// one zone would wait for a zone that may have lost its machines.
-test('a job of one zone goes on in another once all its tasks there are finished, and not while one may run', () => {
+// The assigned ranges of a job keep its finished tasks. If these counted as running, the rest of a `oneZone` job would
+// wait for a zone that may have lost its machines.
+test('a oneZone job continues in another zone only after all its tasks in the first zone have finished', () => {
   const table = new JobTable(() => 64);
   const spec = specOf('j-1', { oneZone: true });
   const assignedRanges = [{ from: 0, count: 2, partitionId: 0, zone: 'a', term: 1 }];
--- a/packages/core/test/immovable-demand.test.ts
+++ b/packages/core/test/immovable-demand.test.ts
@@ -12,7 +12,7 @@
 } from '../src/index';
 import { machineStatusOf, specOf } from './fixtures';
 
-const HOMES = ['north', 'south'];
+const HOME_ZONES = ['north', 'south'];
 const box: MachineType = {
   name: 'box',
   cpus: 8,
@@ -46,7 +46,7 @@
   return { partitionId, term: 1, revision: 9, machines, missing: NO_RESOURCES, running: [], ...over };
 }
 
-function immovable(
+function immovableDemandOf(
   job: Job,
   statuses: readonly PartitionStatus[],
   isFrozen = true,
@@ -55,39 +55,39 @@
     jobs: [job],
     statuses,
     types: new Map([[box.name, box]]),
-    partitioner: new Partitioner(HOMES.length, HOMES),
+    partitioner: new Partitioner(HOME_ZONES.length, HOME_ZONES),
     zones: box.zones,
     isFrozen: () => isFrozen,
   });
   return found.map(({ count, zones }) => ({ count, zones }));
 }
 
-// Without that a cluster without machines is rented none for such tasks, and they wait for ever.
-test('for tasks that cannot be returned to the leader and have no machine in their partition, one is asked for in its zones', () => {
+// Guards against tasks that wait forever because no machine is rented for them in a cluster without machines.
+test('tasks that cannot be returned to the leader and have no machine in their partition create demand in its zones', () => {
   const job = jobWith([rangeOf(0, 0), rangeOf(2, 1), rangeOf(4, 0)]);
   const both = [partitionStatusOf(0, []), partitionStatusOf(1, [])];
-  assert.deepEqual(immovable(job, both), [
+  assert.deepEqual(immovableDemandOf(job, both), [
     { count: 4, zones: ['north', 'west'] },
     { count: 2, zones: ['south', 'west'] },
   ]);
-  assert.deepEqual(immovable(job, both, false), [], 'those that can be returned fit elsewhere');
+  assert.deepEqual(immovableDemandOf(job, both, false), [], 'tasks that can be returned fit elsewhere');
 });
 
-test('no machine is asked for where one can take the tasks in time, or where nothing waits', () => {
+test('there is no demand where a machine can take the tasks later or no task waits', () => {
   const job = jobWith([rangeOf(0, 0)]);
   const full = machineStatusOf('m-1', { zone: 'north', free: NO_RESOURCES });
-  assert.deepEqual(immovable(job, [partitionStatusOf(0, [full])]), []);
-  assert.deepEqual(immovable(job, [partitionStatusOf(0, [{ ...full, takesWork: false }])]), [
+  assert.deepEqual(immovableDemandOf(job, [partitionStatusOf(0, [full])]), []);
+  assert.deepEqual(immovableDemandOf(job, [partitionStatusOf(0, [{ ...full, takesWork: false }])]), [
     { count: 2, zones: ['north', 'west'] },
   ]);
-  assert.deepEqual(immovable(job, [partitionStatusOf(0, [], { running: [['j-1', 1]] })]), [
+  assert.deepEqual(immovableDemandOf(job, [partitionStatusOf(0, [], { running: [['j-1', 1]] })]), [
     { count: 1, zones: ['north', 'west'] },
   ]);
   assert.deepEqual(
-    immovable(job, [partitionStatusOf(0, [], { revision: 4 })]),
+    immovableDemandOf(job, [partitionStatusOf(0, [], { revision: 4 })]),
     [],
     'the status is older than the assignment',
   );
   const bound = jobWith([rangeOf(0, 0, 'west')], { spread: true });
-  assert.deepEqual(immovable(bound, [partitionStatusOf(0, [])]), [{ count: 2, zones: ['west'] }]);
+  assert.deepEqual(immovableDemandOf(bound, [partitionStatusOf(0, [])]), [{ count: 2, zones: ['west'] }]);
 });
--- a/packages/core/test/probe-schedule.test.ts
+++ b/packages/core/test/probe-schedule.test.ts
@@ -8,7 +8,7 @@
 const clusterConfig = { ...CLUSTER_CONFIG, teams: new Map([[team.name, team]]) };
 const spec = specOf('j-1', { tasks: 60, priority: 'production' });
 
-/** A job that is marked as crash-looping, and two partitions with one machine each. */
+/** Sets up a job that is marked as crash-looping, and two partitions with one machine each. */
 function crashLoopingJob(
   byPriority = NO_RESOURCES,
   free = { cpus: 8, gpus: 4, memoryGb: 32 },
@@ -51,7 +51,7 @@
   return { jobs, probes, assign };
 }
 
-test('of a crash-looping job one task at a time is assigned, with pauses that grow, in turn to the partitions, and for ever', () => {
+test('a crash-looping job is assigned one task at a time, with growing pauses, to alternating partitions, forever', () => {
   const { probes, assign } = crashLoopingJob();
   const times: number[] = [];
   const partitionIds: number[] = [];
@@ -65,7 +65,7 @@
     partitionIds.push(added[0]!.partitionId);
     probes.probeStarted(spec.id, added[0]!.partitionId, now);
   }
-  // It is probed at once, then less and less often, down to once in the bound on cancellations.
+  // The first probe starts at once; the pauses then grow up to the cancellation bound.
   const pauses = times.slice(1).map((at, i) => at - times[i]!);
   assert.equal(times[0], 0);
   assert.ok(pauses[0]! <= clusterConfig.heartbeatIntervalMs * 3);
@@ -74,36 +74,36 @@
   assert.ok(partitionIds.every((partitionId, i) => i === 0 || partitionId !== partitionIds[i - 1]));
 });
 
-test('a probe waits for free resources: it preempts nothing, and no machine is asked for it', () => {
+test('a probe waits for free resources: it preempts nothing and creates no demand for machines', () => {
   const available = { cpus: 8, gpus: 4, memoryGb: 32 };
   const { assign } = crashLoopingJob(available, NO_RESOURCES);
   assert.deepEqual([assign(0).assignments.length, assign(0).unschedulable.length], [0, 0]);
 });
 
-test('a job of which a probe runs for long enough is assigned as a whole, and needs a longer one should it fail again', () => {
+test('a job is assigned as a whole after a long enough probe, and needs a longer probe after it fails again', () => {
   const { jobs, probes, assign } = crashLoopingJob();
   const job = jobs.live.get(spec.id)!;
   const isLive = (id: string): boolean => jobs.live.has(id);
-  const running = (now: number, tasks: number): void => probes.review(isLive, [spec.id], () => tasks, now);
-  const provenAfter = (from: number): number => {
+  const reviewWithRunning = (now: number, tasks: number): void => probes.review(isLive, [spec.id], () => tasks, now);
+  const timeUntilProven = (from: number): number => {
     for (let now = from; ; now += clusterConfig.heartbeatIntervalMs) {
-      running(now, 1);
+      reviewWithRunning(now, 1);
       if (probes.isProven(spec.id)) return now - from;
     }
   };
-  running(0, 0);
+  reviewWithRunning(0, 0);
   assert.equal(mustBeProbed(job, probes), true);
-  const first = provenAfter(1000);
+  const first = timeUntilProven(1000);
   const { assignments } = assign(9000);
   assert.ok(assignments.flatMap((a) => a.added).reduce((n, range) => n + range.count, 0) > 1);
   probes.recordMarkRemoved(spec.id);
-  running(10_000, 0);
+  reviewWithRunning(10_000, 0);
   assert.equal(probes.isProven(spec.id), false);
-  assert.ok(provenAfter(11_000) >= first * 2);
-  // One that is interrupted begins anew.
+  assert.ok(timeUntilProven(11_000) >= first * 2);
+  // The run time of an interrupted probe starts again from zero.
   probes.recordMarkRemoved(spec.id);
-  running(60_000, 1);
-  running(61_000, 0);
-  running(62_000, 1);
+  reviewWithRunning(60_000, 1);
+  reviewWithRunning(61_000, 0);
+  reviewWithRunning(62_000, 1);
   assert.equal(probes.isProven(spec.id), false);
 });
