--- a/packages/daemon/src/leader/assignment-changes.ts
+++ b/packages/daemon/src/leader/assignment-changes.ts
@@ -1,5 +1,5 @@
-// Assignments as changes of job records: each rests on the job's version and on the owners of the partitions that it
-// names.
+// Turns assignments into changes of job records. Each change is conditional on the version of the job's record and on
+// the owners of the partitions that the assignment names.
 import type { Assignment, PartitionStatus } from '@gingerlock/core';
 import type { AssignedRange } from '@gingerlock/wire';
 import type { ControllerContext } from '../controller/controller-context';
@@ -8,8 +8,8 @@
 import type { PlannedUse } from './pending-assignments';
 
 /**
- * Adds assignments to the batch until it is full. A job whose record is too large is left out and logged. Returns the
- * resources that the added assignments are going to use.
+ * Adds assignments to the batch until it is full. Skips and logs jobs whose record is too large. Returns the resources
+ * that the added assignments will use.
  */
 export function addAssignments(
   context: ControllerContext,
@@ -34,12 +34,12 @@
   return uses;
 }
 
-/** The partitions that the ranges name. */
+/** Ids of the partitions that the ranges are assigned to. */
 export function partitionIdsOf(assignedRanges: readonly AssignedRange[]): number[] {
   return assignedRanges.map(({ partitionId }) => partitionId);
 }
 
-/** As many of the new ranges as fit the job's record; the other tasks are assigned once it has shrunk. */
+/** As many of the new ranges as fit in the job's record. The other tasks are assigned after the record has shrunk. */
 function fittingRanges(context: ControllerContext, { job, added }: Assignment): AssignedRange[] {
   const fitting = [...added];
   while (fitting.length > 0 && !context.fitsValue(recordWith(job, true, fitting))) fitting.pop();
--- a/packages/daemon/src/leader/autoscaling-loop.ts
+++ b/packages/daemon/src/leader/autoscaling-loop.ts
@@ -1,4 +1,4 @@
-// The leader's requests to the cloud: reads its lists, and scales the fleet out and in as the autoscaler plans it.
+// The leader's autoscaling loop: reads the cloud's lists, and scales the fleet out and in as the autoscaler plans.
 import { Cloud, type Http, sleep, URGENCY } from '@gingerlock/clients';
 import { Autoscaler, type OwnershipTerm, type PartitionStatus, type UnschedulableDemand } from '@gingerlock/core';
 import {
@@ -13,9 +13,9 @@
 import { MachineTypeCatalog } from './machine-type-catalog';
 import type { ControllerContext } from '../controller/controller-context';
 
-/** What the autoscaling goes by: the leader's view of the work and of the machines, as of now. */
+/** The leader's current view of work and machines, which the autoscaling loop plans from. */
 export interface SchedulerView {
-  /** The statuses that the partitions' current owners sent lately. */
+  /** The recent statuses of the partitions' current owners. */
   statuses(now: number): readonly PartitionStatus[];
   /** Tasks that fit no machine. */
   unschedulable(): readonly UnschedulableDemand[];
@@ -23,49 +23,49 @@
   pinned(): ReadonlySet<string>;
 }
 
-/** What owners have to know of machines; sent to them with every status, since a message may be lost. */
+/** What the leader tells owners about machines. It is sent again with every status, because a message may be lost. */
 export interface MachineDirectives {
-  /** Machines that get no more work. */
+  /** Names of machines that get no more work. */
   readonly drain: readonly string[];
-  /** Machines that are gone for certain. */
+  /** Names of machines that no longer exist, as the cloud has confirmed. */
   readonly gone: readonly string[];
 }
 
-/** How often a scale-out is requested under one name while its outcome is not known. */
-const RENT_TRIES = 4;
+/** How many times a scale-out is requested under one name while its outcome is unknown. */
+const MAX_SCALE_OUT_TRIES = 4;
 
-/** The loop runs so many times in a heartbeat interval, as far as the cloud's request rate allows. */
+/** Runs of the loop per heartbeat interval, if the cloud's request rate allows. */
 const RUNS_PER_HEARTBEAT = 3;
 
-/** Requests to the cloud that one run of the loop is counted as. */
+/** Cloud requests that one run of the loop is assumed to make. */
 const REQUESTS_PER_RUN = 3;
 
-/** Machine types are read again after so many times the lag of the cloud's list. */
-const TYPES_AGE_LAGS = 10;
+/** Age at which machine types are read again, in lags of the cloud's machine list. */
+const TYPES_MAX_AGE_LAGS = 10;
 
-/** The cloud's list is read so many times within its lag. */
+/** Number of times that the cloud's machine list is read within its lag. */
 const LISTS_PER_LAG = 2;
 
-/** For how many worker leases owners are sent the name of a machine that is gone. */
+/** Number of worker leases during which owners are told that a machine no longer exists. */
 const GONE_LEASES = 2;
 
-/** All machines that are up have sent a heartbeat within so many intervals. */
+/** Number of heartbeat intervals within which all running machines have sent a heartbeat. */
 const FLEET_KNOWN_INTERVALS = 2;
 
-/** Types without their prices, as text: those of spot machines change all the time, and only this leader uses them. */
+/** The types as JSON without spot prices, which change often and are used only by this leader. */
 function withoutSpotPrices(typesMap: unknown): string {
   return JSON.stringify(typesMap).replace(/"low_price":[0-9.]+/g, '');
 }
 
-/** Runs for one term of leadership, from its construction until it is stopped. */
+/** The autoscaling loop of one term of leadership. It runs from its construction until it is stopped. */
 export class AutoscalingLoop {
   readonly #autoscaler: Autoscaler;
   readonly #cloud: Cloud;
   readonly #machineTypes: MachineTypeCatalog;
-  /** Since when owners' statuses have come without a stall of this process. */
+  /** Start of the period in which this process has received owners' statuses without a stall. */
   #listeningSince: number;
   #drain: readonly string[] = [];
-  /** By machine that is gone for certain: since when this is known. */
+  /** By name of a machine that no longer exists: since when this is known. */
   readonly #goneSince = new Map<string, number>();
   #isStopped = false;
   #hasListed = false;
@@ -86,27 +86,27 @@
     void this.#loop();
   }
 
-  /** Ends the loop; a request that is under way is not repeated. */
+  /** Ends the loop. A request in progress is not repeated. */
   stop(): void {
     this.#isStopped = true;
   }
 
-  /** This process has stalled: the fleet is not changed before all machines have had time for a heartbeat again. */
+  /** After a stall of this process, delays fleet changes until all machines have had time for a heartbeat. */
   resumedAfterStall(now: number): void {
     this.#listeningSince = now;
   }
 
-  /** What owners are to be sent now. */
+  /** The directives to send to owners now. */
   directives(): MachineDirectives {
     return { drain: this.#drain, gone: [...this.#goneSince.keys()] };
   }
 
-  /** How long until a machine that is scaled out now could run a task of the job, in milliseconds; Infinity: never. */
+  /** Time until a machine that is scaled out now could run a task of the job, in milliseconds; Infinity: never. */
   scaleOutMs(job: JobSpec): number {
     return this.#autoscaler.scaleOutMs(job, this.context.clusterState.types);
   }
 
-  /** Whether the cloud has lately refused machines for the job in the zone, for lack of capacity. */
+  /** Whether the cloud has recently refused machines for the job in the zone for lack of capacity. */
   lacksCapacityFor(job: JobSpec, zone: string): boolean {
     return this.#autoscaler.lacksCapacityFor(job, zone, this.#machineTypes.current, this.context.clock.now());
   }
@@ -115,64 +115,64 @@
     return this.ownershipTerm.isCurrent && !this.#isStopped;
   }
 
-  /** Whether the cloud may be asked for changes now: checked again before each request. */
-  #mayManage(): boolean {
+  /** Whether fleet changes may be requested from the cloud now; checked again before each request. */
+  #mayChangeFleet(): boolean {
     return this.#isLeading() && this.context.leaseValid() && this.context.fresh();
   }
 
   async #loop(): Promise<void> {
     const { clusterConfig, clock, log, settings } = this.context;
-    const paceMs = Math.max(
+    const intervalMs = Math.max(
       clusterConfig.heartbeatIntervalMs / RUNS_PER_HEARTBEAT,
       (REQUESTS_PER_RUN * 1000) / settings.cloudRps,
     );
     while (!this.#isStopped) {
       try {
-        await this.#runOnce(clock.now(), paceMs);
+        await this.#runOnce(clock.now(), intervalMs);
       } catch (error) {
         log.info({ error: String(error) }, 'cloud request failed');
       }
       this.#forgetGone();
-      await sleep(clock, paceMs);
+      await sleep(clock, intervalMs);
     }
   }
 
-  async #runOnce(now: number, paceMs: number): Promise<void> {
+  async #runOnce(now: number, intervalMs: number): Promise<void> {
     const { clusterConfig, clusterState } = this.context;
     const { cloudListLagMs } = clusterConfig;
-    const areTypesOld = now - this.#typesReadAt > cloudListLagMs * TYPES_AGE_LAGS;
+    const areTypesOld = now - this.#typesReadAt > cloudListLagMs * TYPES_MAX_AGE_LAGS;
     if (areTypesOld || clusterState.types.size === 0) await this.#readTypes();
-    if (now - this.#listedAt > Math.max(cloudListLagMs / LISTS_PER_LAG, paceMs)) {
+    if (now - this.#listedAt > Math.max(cloudListLagMs / LISTS_PER_LAG, intervalMs)) {
       this.#listedAt = now;
       await this.#readMachines();
     }
-    if (this.#mayManage()) await this.#manage();
+    if (this.#mayChangeFleet()) await this.#changeFleet();
   }
 
-  // --- what the cloud says -----------------------------------------------------------------------------------------
+  // --- the cloud's lists -------------------------------------------------------------------------------------------
 
   async #readMachines(): Promise<void> {
     const { clock } = this.context;
-    const listed = this.#knownMachines(await this.#cloud.list());
+    const listed = this.#acceptedMachines(await this.#cloud.list());
     const { failed } = this.#autoscaler.applyCloudList(listed, clock.now());
     for (const name of failed) this.#goneSince.set(name, clock.now());
     this.#hasListed = true;
   }
 
-  #knownMachines(listed: readonly CloudMachine[]): CloudMachine[] {
-    return this.#machineTypes.knownKinds(listed, (machine) => this.#autoscaler.machines.has(machine));
+  #acceptedMachines(listed: readonly CloudMachine[]): CloudMachine[] {
+    return this.#machineTypes.acceptedMachines(listed, (machine) => this.#autoscaler.machines.has(machine));
   }
 
   async #readTypes(): Promise<void> {
     const { clock, clusterState } = this.context;
     const list = await this.#cloud.types();
     this.#typesReadAt = clock.now();
-    // Before the machines have been listed it is not known which types are used.
+    // Until the machines have been listed, any type may be in use.
     const isUsed = (type: string): boolean => !this.#hasListed || this.#autoscaler.hasMachineOfType(type);
     await this.#storeTypes(this.#machineTypes.read(list, clusterState.types.values(), isUsed));
   }
 
-  /** Stores the types for all controllers, unless only prices of spot machines have changed. */
+  /** Stores the types for all controllers, unless only spot prices have changed. */
   async #storeTypes(types: readonly MachineType[]): Promise<void> {
     const { context } = this;
     const value = machineTypesMap(types);
@@ -191,7 +191,7 @@
 
   // --- changes of the fleet ----------------------------------------------------------------------------------------
 
-  async #manage(): Promise<void> {
+  async #changeFleet(): Promise<void> {
     const { clock, clusterState } = this.context;
     const now = clock.now();
     const statuses = this.view.statuses(now);
@@ -208,21 +208,22 @@
     this.#logFigures(statuses, now);
     if (plan.scaleIn.length > 0) await this.#scaleIn(plan.scaleIn.slice(0, MAX_MACHINES_PER_RETURN));
     for (const request of plan.scaleOut) {
-      // While the cloud was asked, the leadership may have been lost or this process have stalled: the next leader
-      // scales out too.
-      if (this.#mayManage()) await this.#scaleOut(request);
+      // During the previous requests, leadership may have been lost or this process may have stalled. The next leader
+      // would then scale out for the same demand.
+      if (this.#mayChangeFleet()) await this.#scaleOut(request);
     }
   }
 
   /**
-   * Whether all partitions, machines and types are known: otherwise machines would be scaled out for resources that are
-   * free.
+   * Whether all partitions, machines and types are known. Otherwise, the autoscaler would scale out although
+   * resources are free.
    */
   #mayPlan(statuses: readonly PartitionStatus[], now: number): boolean {
     const { clusterConfig, clusterState } = this.context;
     const isEveryPartitionKnown = statuses.length === (clusterState.meta?.partitionCount ?? Infinity);
-    const hadTimeToHear = now - this.#listeningSince >= clusterConfig.heartbeatIntervalMs * FLEET_KNOWN_INTERVALS;
-    const isFleetKnown = hadTimeToHear || this.#autoscaler.hasStatusOfAll(statuses);
+    const hadTimeForHeartbeats =
+      now - this.#listeningSince >= clusterConfig.heartbeatIntervalMs * FLEET_KNOWN_INTERVALS;
+    const isFleetKnown = hadTimeForHeartbeats || this.#autoscaler.hasStatusOfAll(statuses);
     return this.#hasListed && isEveryPartitionKnown && isFleetKnown && this.#machineTypes.current.size > 0;
   }
 
@@ -241,10 +242,10 @@
     log.info({ machines: names }, 'machines scaled in');
   }
 
-  /** A request whose outcome is unknown is repeated under the same name: the cloud rents nothing twice for it. */
+  /** Repeats a request whose outcome is unknown under the same name, so that the cloud rents no machine twice. */
   async #scaleOut(request: RentRequest): Promise<void> {
     const { clock, log, clusterConfig } = this.context;
-    for (let tries = 0; tries < RENT_TRIES && this.#mayManage(); tries++) {
+    for (let tries = 0; tries < MAX_SCALE_OUT_TRIES && this.#mayChangeFleet(); tries++) {
       const result = await this.#cloud.rent(request);
       if (result.kind === 'rented') {
         this.#autoscaler.recordScaleOut(result.names, request, clock.now());
@@ -256,7 +257,7 @@
         log.info({ ...request }, 'scale-out refused: no capacity');
         return;
       }
-      log.info({ ...request, why: result.why }, 'scale-out unanswered');
+      log.info({ ...request, why: result.why }, 'scale-out outcome unknown');
       await sleep(clock, clusterConfig.heartbeatIntervalMs / 2);
     }
     this.#autoscaler.recordCapacityRefusal(request, clock.now());
--- a/packages/daemon/src/leader/borrowing-feature.ts
+++ b/packages/daemon/src/leader/borrowing-feature.ts
@@ -1,5 +1,4 @@
-// Borrowing as a feature of the leader: reclaims that `LeaderBorrowing` decides become changes of the leader's
-// transaction.
+// Borrowing as a feature of the leader: adds the reclaims that `LeaderBorrowing` decides to the leader's transactions.
 import type { Decision } from '@gingerlock/borrowing';
 import { assignedRangesOf, type Job, type PartitionStatus, type UnschedulableDemand } from '@gingerlock/core';
 import { reclaimRecord } from '@gingerlock/wire';
@@ -15,7 +14,7 @@
 } from './leader-feature';
 import type { PlannedUse } from './pending-assignments';
 
-/** A reclaim changes the record of its job and adds its own. */
+/** Changes that a reclaim adds to a transaction: it updates the record of its job and creates its own. */
 const CHANGES_PER_RECLAIM = 2;
 
 /** A reclaim that the current transaction contains, with the key of its record. */
@@ -31,7 +30,7 @@
   constructor(
     readonly context: ControllerContext,
     readonly borrowing: LeaderBorrowing,
-    /** How long until a machine that is scaled out now could run a task of the job, in milliseconds. */
+    /** Time until a machine that is scaled out now could run a task of the job, in milliseconds; Infinity: never. */
     readonly scaleOutMs: (job: Job) => number,
   ) {}
 
@@ -47,7 +46,7 @@
     return { preempts: false, heldBack: this.borrowing.heldBack(statuses) };
   }
 
-  /** The ranges that get the reclaimed resources and the record of the reclaim go into one transaction. */
+  /** Adds each reclaim's record and the assigned ranges that get its resources to the same transaction. */
   addPlacements(batch: JobBatch, { result, statuses }: AssignmentOutcome): AddedPlacements {
     const freeChanges = this.context.settings.maxTransactionOps - batch.changes.length;
     const decisions = this.borrowing.plan({
@@ -63,8 +62,8 @@
   }
 
   /**
-   * Leaves out a reclaim that fits neither the transaction nor the records, or whose job the transaction changes
-   * already.
+   * Adds a reclaim. Skips it if the transaction or a record has no space for it, or if the transaction already changes
+   * its job.
    */
   #addReclaim(batch: JobBatch, decision: Decision): void {
     const { job, tasks, placements } = decision;
@@ -83,7 +82,7 @@
     return [];
   }
 
-  /** Removes reclaims that their owners have not carried out within any time that they may take. */
+  /** Removes the reclaims that their owners have abandoned. */
   addRemovals(batch: JobBatch): void {
     for (const { key, version } of this.borrowing.abandoned()) {
       if (!batch.removeIf(key, version)) return;
--- a/packages/daemon/src/leader/borrowing-log.ts
+++ b/packages/daemon/src/leader/borrowing-log.ts
@@ -1,4 +1,4 @@
-// What the leader logs of borrowing: how each team stands, and for which jobs nothing can be reclaimed and why.
+// The leader's log lines on borrowing: the account of each team, and why nothing can be reclaimed for a job.
 import { borrowed, lent, type Refused, type TeamAccount } from '@gingerlock/borrowing';
 import type { Resources } from '@gingerlock/core';
 import { guaranteedGpus } from '../settings/features';
@@ -11,7 +11,7 @@
   isLogged: boolean;
 }
 
-/** Logs refusals once they last, and accounts from time to time. */
+/** Logs refusals that last for a heartbeat interval, and all accounts once per worker lease. */
 export class BorrowingLog {
   #refusalsByJob = new Map<string, LoggedRefusal>();
   #accountsLoggedAt = -Infinity;
@@ -19,7 +19,7 @@
 
   constructor(readonly context: ControllerContext) {}
 
-  /** The outcome of one plan of reclaims. */
+  /** Records the outcome of one plan of reclaims. */
   record(refused: readonly Refused[], accounts: readonly TeamAccount[], now: number): void {
     this.#recordRefusals(refused, now);
     if (now - this.#accountsLoggedAt < this.context.clusterConfig.workerLeaseMs) return;
@@ -29,14 +29,14 @@
   }
 
   #recordRefusals(refused: readonly Refused[], now: number): void {
-    const before = this.#refusalsByJob;
+    const previous = this.#refusalsByJob;
     this.#refusalsByJob = new Map();
     for (const refusal of refused) {
       const { job, why } = refusal;
-      const known = before.get(job.id);
+      const known = previous.get(job.id);
       const entry = known?.why === why ? known : { why, since: now, isLogged: false };
       this.#refusalsByJob.set(job.id, entry);
-      // A reason that changes within moments helps nobody.
+      // A reason that changes within a heartbeat interval does not help operators.
       if (entry.isLogged || now - entry.since < this.context.clusterConfig.heartbeatIntervalMs) continue;
       entry.isLogged = true;
       this.#logRefused(refusal);
@@ -48,7 +48,7 @@
     this.context.log.info(detail, 'nothing reclaimed');
   }
 
-  /** Logs once that no fleet within the operators' bounds can meet all guarantees. */
+  /** Logs, once, that even the largest fleet that the operators allow cannot meet all guarantees. */
   #logExcessGuarantees(): void {
     const { clusterConfig, clusterState, settings, log } = this.context;
     const { maxOrdinaryMachines, maxSpotMachines } = settings.operators;
@@ -61,17 +61,17 @@
   }
 }
 
-/** How a team stands, as fields of a log line; all but its name in GPUs. */
+/** A team's account as fields of a log line; all numbers are GPUs. */
 function accountFigures(account: TeamAccount): Record<string, number | string> {
-  const { team, surelyUsed: low, possiblyUsed: high, unschedulable: waiting } = account;
+  const { team, surelyUsed, possiblyUsed, unschedulable } = account;
   const gpusOf = (resources: Resources): number => Math.round(resources.gpus * 1000) / 1000;
   return {
     team: team.name,
     guarantee: team.gpus,
     limit: team.gpusMax,
-    runs: gpusOf(low),
-    mayRun: gpusOf(high),
-    waits: gpusOf(waiting),
+    runs: gpusOf(surelyUsed),
+    mayRun: gpusOf(possiblyUsed),
+    waits: gpusOf(unschedulable),
     borrowed: borrowed(account, 'gpus'),
     lent: lent(account, 'gpus'),
   };
--- a/packages/daemon/src/leader/crash-loop-probes.ts
+++ b/packages/daemon/src/leader/crash-loop-probes.ts
@@ -1,10 +1,10 @@
-// Crash-looping jobs at the leader: one probe task at a time is assigned of them, and the mark in the job's record is
-// removed once a probe has run for long enough.
+// Crash-looping jobs at the leader: assigns one probe task per job at a time, and removes the mark from the job's
+// record once a probe has run for long enough.
 import { type Assignment, type Job, mustBeProbed, type PartitionStatus, ProbeSchedule } from '@gingerlock/core';
 import type { ControllerContext } from '../controller/controller-context';
 import { type JobBatch, recordWith } from './job-batch';
 
-/** Feeds the probe schedule from statuses and committed transactions. */
+/** Updates the probe schedule from statuses and committed transactions. */
 export class CrashLoopProbes {
   readonly schedule: ProbeSchedule;
 
@@ -12,7 +12,7 @@
     this.schedule = new ProbeSchedule(context.clusterConfig);
   }
 
-  /** Updates the schedule from the jobs that are marked and the tasks that run now. */
+  /** Updates the schedule from the jobs that are marked as crash-looping and the tasks that run now. */
   review(statuses: readonly PartitionStatus[], now: number): void {
     const { live } = this.context.clusterState.jobs;
     const crashLooping = [...live.values()]
@@ -29,14 +29,14 @@
     );
   }
 
-  /** See `mustBeProbed` of the core. */
+  /** See `mustBeProbed` in the package `core`. */
   mustBeProbed(job: Job): boolean {
     return mustBeProbed(job, this.schedule);
   }
 
   /**
-   * Removes the mark from jobs whose probe has succeeded and of which the batch assigns nothing: an assignment removes
-   * it too.
+   * Removes the mark from jobs whose probe has succeeded. Skips jobs that the batch already changes, because an
+   * assignment removes the mark too.
    */
   removeMarks(batch: JobBatch): void {
     const { clusterState, settings } = this.context;
--- a/packages/daemon/src/leader/groups-feature.ts
+++ b/packages/daemon/src/leader/groups-feature.ts
@@ -1,4 +1,4 @@
-// Replica groups as a feature of the leader: passes the hooks on to `LeaderGroups`.
+// Replica groups as a feature of the leader: forwards the hooks to `LeaderGroups`.
 import type { UnschedulableDemand } from '@gingerlock/core';
 import type { JobBatch } from './job-batch';
 import {
@@ -27,8 +27,8 @@
 
   addPlacements(batch: JobBatch, { result, now }: AssignmentOutcome): AddedPlacements {
     const uses = this.groups.addReservations(batch, result.groups);
-    this.groups.noteUnplaced(result, now);
-    // A group that was placed is not among the unschedulable ones.
+    this.groups.recordUnplaced(result, now);
+    // The map is empty because the unschedulable demand contains no groups that were placed.
     return { uses, placedCountByJob: new Map() };
   }
 
--- a/packages/daemon/src/leader/immovable-demand.ts
+++ b/packages/daemon/src/leader/immovable-demand.ts
@@ -1,12 +1,10 @@
-// Demand of tasks that are assigned and can't be moved to a partition with free resources, because the record of their
-// job can't be written.
+// Demand of assigned tasks that can't be moved to a partition with free resources, because the record of their job is
+// too large to be written.
 import { findImmovableDemand, type Job, type PartitionStatus, type UnschedulableDemand } from '@gingerlock/core';
 import type { ControllerContext } from '../controller/controller-context';
 import { recordOf } from './job-batch';
 
-/**
- * Estimated upper bound of the bytes of one assigned range in a record: jobs with fewer ranges need not be measured.
- */
+/** Estimated upper bound of the size of an assigned range; records that fit by this estimate are not encoded. */
 const LARGEST_RANGE_BYTES = 128;
 
 /** Tasks for which machines have to be scaled out in the partition that they are assigned to. */
@@ -26,7 +24,7 @@
   });
 }
 
-/** Whether the job's record is too large to be written even without all that is assigned to any one partition. */
+/** Whether the job's record stays too large to be written whichever partition's assigned ranges are removed from it. */
 function isFrozen(context: ControllerContext, job: Job): boolean {
   if (job.assignedRanges.length * LARGEST_RANGE_BYTES < context.settings.valueBytes) return false;
   return [...new Set(job.assignedRanges.map(({ partitionId }) => partitionId))].every((partitionId) => {
--- a/packages/daemon/src/leader/job-batch.ts
+++ b/packages/daemon/src/leader/job-batch.ts
@@ -3,12 +3,12 @@
 import { type AssignedRange, type Change, type Condition, jobRecord, KEYS, type OwnerRecord } from '@gingerlock/wire';
 import type { TransactionSizeLimit } from '../state/transaction-size-limit';
 
-/** The record of a job with ranges added to its own. */
+/** The record of a job with ranges added to its assigned ranges. */
 export function recordWith(job: Job, isCrashLooping: boolean, added: readonly AssignedRange[]): unknown {
   return recordOf(job, isCrashLooping, [...job.assignedRanges, ...added]);
 }
 
-/** The record of a job with these ranges in place of its own. */
+/** The record of a job with its assigned ranges replaced by the given ones. */
 export function recordOf(job: Job, isCrashLooping: boolean, assignedRanges: readonly AssignedRange[]): unknown {
   return jobRecord.write({
     final: null,
@@ -20,13 +20,13 @@
   });
 }
 
-/** Changes of job records in one transaction, each against the version that was read. */
+/** Changes of job records in one transaction, each conditional on the version that was read. */
 export class JobBatch {
   readonly conditions: Condition[] = [];
   readonly changes: Change[] = [];
-  /** Ids of the jobs whose records it changes. */
+  /** Ids of the jobs whose records the transaction changes. */
   readonly jobs = new Set<string>();
-  /** Partitions on whose owners it rests already. */
+  /** Ids of the partitions whose owners are already conditions of the transaction. */
   readonly #requiredOwners = new Set<number>();
 
   constructor(
@@ -37,7 +37,7 @@
     this.#add([leadership], []);
   }
 
-  /** Adds all of these or none; false: the transaction has no space for them. */
+  /** Adds all conditions and changes, or none. Returns false if the transaction has no space for them. */
   #add(conditions: readonly Condition[], changes: readonly Change[]): boolean {
     if (!this.sizeLimit.add(conditions, changes)) return false;
     this.conditions.push(...conditions);
@@ -45,7 +45,7 @@
     return true;
   }
 
-  /** Writes the record of a job, and other changes that belong to it; false: the transaction has no space for them. */
+  /** Writes a job's record along with other changes. Returns false if the transaction has no space for them. */
   put(job: Job, record: unknown, ...others: readonly Change[]): boolean {
     const key = KEYS.job(job.id);
     if (!this.#add([{ key, version: job.version }], [{ put: key, value: record }, ...others])) return false;
@@ -54,31 +54,31 @@
   }
 
   /**
-   * Writes another record if it has that version, resting on one more condition; false: the transaction has no space
-   * for it.
+   * Writes a record other than a job's, if it has the given version and the other condition holds. Returns false if the
+   * transaction has no space for it.
    */
   putIf(change: { readonly put: string; readonly value: unknown }, version: number, other: Condition): boolean {
     return this.#add([{ key: change.put, version }, other], [change]);
   }
 
-  /** Makes the transaction rest on the version of a key; false: it has no space for that. */
+  /** Makes the transaction conditional on the version of a key. Returns false if it has no space for the condition. */
   requireVersion(condition: Condition): boolean {
     return this.#add([condition], []);
   }
 
-  /** Removes the key whatever its version; false: the transaction has no space for it. */
+  /** Removes the key, whatever its version. Returns false if the transaction has no space for the removal. */
   remove(key: string): boolean {
     return this.#add([], [{ remove: key }]);
   }
 
-  /** Removes the key if it still has that version; false: the transaction has no space for it. */
+  /** Removes the key if it still has that version. Returns false if the transaction has no space for the removal. */
   removeIf(key: string, version: number): boolean {
     return this.#add([{ key, version }], [{ remove: key }]);
   }
 
   /**
-   * Makes the transaction rest on the owners of the partitions, as far as they have one; false: it has no space for
-   * that.
+   * Makes the transaction conditional on the current owners of the partitions; skips partitions without one. Returns
+   * false if it has no space for the conditions.
    */
   requireOwners(owners: ReadonlyMap<string, Versioned<OwnerRecord>>, partitionIds: Iterable<number>): boolean {
     for (const partitionId of partitionIds) {
--- a/packages/daemon/src/leader/leader-borrowing.ts
+++ b/packages/daemon/src/leader/leader-borrowing.ts
@@ -1,5 +1,5 @@
-// Borrowing at the leader: has reclaims planned from what partitions hold, names their records, and finds those that
-// were abandoned.
+// Borrowing at the leader: plans reclaims from the claims in the partitions, names the records of the reclaims, and
+// finds abandoned reclaims.
 import {
   ABANDONED_BOUNDS,
   type BorrowingSettings,
@@ -16,61 +16,61 @@
 import type { ControllerContext } from '../controller/controller-context';
 import { BorrowingLog } from './borrowing-log';
 
-/** For how many heartbeat intervals a list of claims counts as current. */
-const CLAIMS_INTERVALS = 2;
+/** Number of heartbeat intervals for which a list of claims counts as current. */
+const CLAIMS_MAX_AGE_INTERVALS = 2;
 
-/** A reclaim that may be abandoned, with what its removal rests on. */
+/** A reclaim that its owner has abandoned: the key of its record, and the version that its removal requires. */
 export interface AbandonedReclaim {
   readonly key: string;
   readonly version: number;
 }
 
-/** What a decision adds to the key-value store beside the job's record. */
+/** The record that a decision adds to the key-value store, besides changing the job's record. */
 export interface StoredReclaim {
   readonly key: string;
   readonly record: ReclaimRecord;
 }
 
-/** What reclaims are planned from, for one transaction of the leader. */
+/** The input for planning the reclaims of one transaction. */
 export interface ReclaimView {
   readonly result: AssignmentResult;
   readonly statuses: readonly PartitionStatus[];
-  /** Jobs that the transaction changes already. */
+  /** Ids of the jobs that the transaction already changes. */
   readonly changedJobs: ReadonlySet<string>;
   readonly maxReclaims: number;
-  /** How long until a machine that is scaled out now could run a task of the job, in milliseconds. */
+  /** Time until a machine that is scaled out now could run a task of the job, in milliseconds; Infinity: never. */
   readonly scaleOutMs: (job: Job) => number;
 }
 
-/** The decisions on reclaims of one term of leadership. */
+/** Decides on reclaims during one term of leadership. */
 export class LeaderBorrowing {
   readonly #log: BorrowingLog;
-  /** Numbers the reclaims of this term. */
-  #counter = 0;
-  /** By partition: the revision at which the last of its reclaims ended. Older lists of claims show what it stopped. */
-  readonly #endedAt = new Map<number, number>();
+  /** Number of reclaim names given in this term. */
+  #reclaimCount = 0;
+  /** By partition: the revision at which its last reclaim ended. Older lists of claims still show the stopped tasks. */
+  readonly #endRevisions = new Map<number, number>();
 
   constructor(
     readonly context: ControllerContext,
     readonly ownershipTerm: OwnershipTerm,
     readonly settings: BorrowingSettings,
-    readonly lists: ClaimLists,
+    readonly claimLists: ClaimLists,
   ) {
     this.#log = new BorrowingLog(context);
   }
 
-  /** A reclaim of the partition has ended. */
+  /** Records that a reclaim of the partition has ended at the revision. */
   reclaimEnded(partitionId: number, revision: number): void {
-    this.#endedAt.set(partitionId, Math.max(this.#endedAt.get(partitionId) ?? 0, revision));
+    this.#endRevisions.set(partitionId, Math.max(this.#endRevisions.get(partitionId) ?? 0, revision));
   }
 
-  /** By team: GPUs of its guarantee that others leave free for it. */
+  /** By team: GPUs of its guarantee that are held back from other teams. */
   heldBack(statuses: readonly PartitionStatus[]): Map<string, number> {
     const { clusterState, clusterConfig } = this.context;
     return heldBackGpus(clusterConfig, clusterState.jobs.live, this.#claims(statuses));
   }
 
-  /** Decides which tasks are stopped for unschedulable ones of teams that are below their guarantees. */
+  /** Decides which tasks to preempt for unschedulable tasks of teams below their guarantees. */
   plan(view: ReclaimView): readonly Decision[] {
     const { clusterState, clusterConfig, clock } = this.context;
     const { decisions, refused, accounts } = planReclaims({
@@ -90,28 +90,28 @@
     return decisions;
   }
 
-  /** The reclaims that are stored and not over. */
+  /** The records of the reclaims in progress. */
   #pending(): ReclaimRecord[] {
     return [...this.context.clusterState.reclaims.values()].flatMap((ofPartition) =>
       [...ofPartition.values()].map(({ record }) => record),
     );
   }
 
-  /** What machines hold, of the partitions whose list of claims is current and shows all reclaims that have ended. */
+  /** The claims in those partitions whose list of claims is current and reflects all reclaims that have ended. */
   #claims(statuses: readonly PartitionStatus[]): PartitionClaims[] {
     const { clock, clusterConfig } = this.context;
     const terms = new Map(statuses.map(({ partitionId, term }) => [partitionId, term]));
-    return this.lists
-      .since(clock.now() - clusterConfig.heartbeatIntervalMs * CLAIMS_INTERVALS)
+    return this.claimLists
+      .since(clock.now() - clusterConfig.heartbeatIntervalMs * CLAIMS_MAX_AGE_INTERVALS)
       .filter(
         ({ partitionId, term, revision }) =>
-          terms.get(partitionId) === term && revision >= (this.#endedAt.get(partitionId) ?? 0),
+          terms.get(partitionId) === term && revision >= (this.#endRevisions.get(partitionId) ?? 0),
       );
   }
 
-  /** The record of a decision, under a name that is never used again: it carries the leader's term. */
+  /** The record of a decision. Its name is never reused, because it contains the leader's term. */
   recordOf({ job, tasks, machine, victims, reason, placements }: Decision): StoredReclaim {
-    const id = `${this.ownershipTerm.term}-${++this.#counter}`;
+    const id = `${this.ownershipTerm.term}-${++this.#reclaimCount}`;
     const decidedAt = Math.round(this.context.clock.wallNow());
     return {
       key: KEYS.reclaim(placements[0]!.partitionId, id),
@@ -119,7 +119,7 @@
     };
   }
 
-  /** The decision was committed, with the reclaim's record at `key`. */
+  /** Logs a committed decision; `key` is that of the reclaim's record. */
   decided(decision: Decision, key: string): void {
     const { job, machine, tasks, victims, reason, loss } = decision;
     const detail = { reclaim: key, job: job.id, team: job.spec.team, machine, tasks: tasks.length, reason };
@@ -130,21 +130,21 @@
     );
   }
 
-  /** Reclaims that have been stored for far longer than carrying them out may take: their owners do not. */
+  /** The abandoned reclaims: those stored for longer than `ABANDONED_BOUNDS` times the longest that they may take. */
   abandoned(): AbandonedReclaim[] {
     const { clusterState, clock } = this.context;
-    const wall = clock.wallNow();
+    const wallNow = clock.wallNow();
     const found: AbandonedReclaim[] = [];
     for (const [partitionId, ofPartition] of clusterState.reclaims) {
       for (const [id, { record, version }] of ofPartition) {
         const boundMs = this.#boundMs(record) * ABANDONED_BOUNDS;
-        if (wall - record.decidedAt > boundMs) found.push({ key: KEYS.reclaim(partitionId, id), version });
+        if (wallNow - record.decidedAt > boundMs) found.push({ key: KEYS.reclaim(partitionId, id), version });
       }
     }
     return found;
   }
 
-  /** How long carrying the reclaim out may take, with the longest save of its victims. */
+  /** The longest that the reclaim may take, including the longest save of its victims, in milliseconds. */
   #boundMs({ victims }: ReclaimRecord): number {
     const { clusterState, clusterConfig } = this.context;
     const gracesS = victims.map(({ task: taskName }) => {
--- a/packages/daemon/src/leader/leader-feature.ts
+++ b/packages/daemon/src/leader/leader-feature.ts
@@ -1,51 +1,50 @@
-// What an optional feature of the deployment (borrowing, replica groups) adds to the leader's transactions. A feature
-// that is off has no object in the leader's list.
+// The hooks by which optional features of the deployment (borrowing, replica groups) extend the leader's transactions.
+// The leader has no object for a feature that is off.
 import type { AssignmentInput, AssignmentResult, PartitionStatus, UnschedulableDemand } from '@gingerlock/core';
 import type { JobBatch } from './job-batch';
 import type { PlannedUse } from './pending-assignments';
 
-/** Rules of the assignment that features change. */
+/** The assignment rules that features may change. */
 export type AssignmentRules = Pick<AssignmentInput, 'preempts' | 'heldBack' | 'groups'>;
 
 /** The rules while all features are off. */
 export const DEFAULT_ASSIGNMENT_RULES: AssignmentRules = { preempts: true, heldBack: null, groups: null };
 
-/** What a transaction is made from, once tasks have been assigned. */
+/** The outcome of an assignment, from which a feature adds its placements to the transaction. */
 export interface AssignmentOutcome {
   readonly result: AssignmentResult;
   readonly statuses: readonly PartitionStatus[];
   readonly now: number;
 }
 
-/** What a feature has added to a transaction beside the ordinary assignments. */
+/** The placements that a feature has added to a transaction besides the ordinary assignments. */
 export interface AddedPlacements {
   readonly uses: readonly PlannedUse[];
-  /** By job: tasks that the assignment found unschedulable and that the feature has placed. */
+  /** By job id: number of tasks that the assignment found unschedulable and that the feature has placed. */
   readonly placedCountByJob: ReadonlyMap<string, number>;
 }
 
 /**
- * The hooks, in the order in which the leader calls them for one transaction. A feature that adds nothing at a hook
- * does nothing.
+ * The hooks of a feature, in the order in which the leader calls them for one transaction.
  */
 export interface LeaderFeature {
-  /** A transaction begins; the one before was committed or dropped. */
+  /** Called when a transaction begins; the previous one was committed or dropped. */
   begin(): void;
   /** Adds changes that come before all assignments. */
   addChanges(batch: JobBatch): void;
-  /** The rules of the assignment that the feature changes. */
+  /** The assignment rules that the feature changes. */
   assignmentRules(statuses: readonly PartitionStatus[]): Partial<AssignmentRules>;
   /** Adds placements of its own, after the ordinary assignments. */
   addPlacements(batch: JobBatch, outcome: AssignmentOutcome): AddedPlacements;
-  /** Demand for machines beside that of tasks that are unschedulable. */
+  /** Demand for machines besides that of unschedulable tasks. */
   extraDemand(): readonly UnschedulableDemand[];
-  /** Adds the removal of records that nobody needs any more, after everything else. */
+  /** Adds the removal of obsolete records, after all other changes. */
   addRemovals(batch: JobBatch): void;
-  /** The transaction was committed. */
+  /** Called when the transaction has been committed. */
   committed(): void;
   /**
-   * Machines that are neither drained for consolidation nor scaled in while idle; asked for outside of transactions
-   * too.
+   * Names of machines that must not be drained for consolidation or scaled in while idle; also called outside of
+   * transactions.
    */
   pinnedMachines(): Iterable<string>;
 }
--- a/packages/daemon/src/leader/leader-groups.ts
+++ b/packages/daemon/src/leader/leader-groups.ts
@@ -1,4 +1,4 @@
-// Replica groups at the leader: says which may be placed and where, and stores each change of their state.
+// Replica groups at the leader: decides which may be placed and where, and stores each change of their state.
 import {
   type AssignmentResult,
   assignedRangesOf,
@@ -31,26 +31,26 @@
 import { WaitingGroups } from './waiting-groups';
 import type { ControllerContext } from '../controller/controller-context';
 
-/** A reservation changes the record of its job and that of its group. */
+/** Changes that a reservation adds to a transaction: to the record of its job and to that of its group. */
 const CHANGES_PER_RESERVATION = 2;
 
-/** A log line on a change, written once the change is committed. */
+/** A log line that is written once the change that it reports is committed. */
 interface PendingLine {
   readonly detail: Record<string, unknown>;
   readonly message: string;
 }
 
-/** What the placement of groups needs to know of the fleet. */
+/** The facts about the fleet that the placement of groups depends on. */
 export interface GroupFleetView {
-  /** Machines that are to get no more work, whether their owners know it yet or not. */
+  /** Names of machines that must get no more work, even if their owners don't know it yet. */
   draining(): readonly string[];
-  /** Whether the cloud has lately refused machines for the job in the zone, for lack of capacity. */
+  /** Whether the cloud has recently refused machines for the job in the zone for lack of capacity. */
   lacksCapacityFor(job: JobSpec, zone: string): boolean;
 }
 
 const NO_FLEET: GroupFleetView = { draining: () => [], lacksCapacityFor: () => false };
 
-/** The replica groups as one term of leadership sees them. */
+/** Manages replica groups during one term of leadership. */
 export class LeaderGroups implements GroupPlanner {
   fleetView: GroupFleetView = NO_FLEET;
   readonly #preferredZones = new PreferredZones((job, zone) => this.fleetView.lacksCapacityFor(job, zone));
@@ -58,7 +58,7 @@
   readonly #waitReasons: GroupWaitReasons;
   /** Machines of reservations that are being committed. */
   #machinesInFlight: readonly string[] = [];
-  /** By job: the version of its group's record that was seen last, and since when. */
+  /** By job id: the latest version of its group's record, and since when this leader has known it. */
   readonly #knownByJob = new Map<string, { readonly version: number; readonly since: number }>();
   /** The longest time that any task may take to save its state, in seconds. */
   #longestSaveS = 0;
@@ -75,7 +75,7 @@
     this.#neededMachines = new NeededMachines(context.clusterConfig.workerLeaseMs);
   }
 
-  // --- what the assignment asks ------------------------------------------------------------------------------------
+  // --- used by the assignment --------------------------------------------------------------------------------------
 
   mayPlace(job: Job): boolean {
     return mayPlace(job, this.#stored(job)?.record ?? null, this.#contextOf(job));
@@ -88,9 +88,9 @@
   choose(job: Job, candidates: readonly GroupCandidate[]): GroupChoice {
     const { zones } = this.context.clusterConfig;
     const draining = new Set(this.fleetView.draining());
-    const open = candidates.filter(({ machine }) => !draining.has(machine));
+    const available = candidates.filter(({ machine }) => !draining.has(machine));
     const avoid = this.#stored(job)?.record.avoid ?? null;
-    const chooseIn: ChooseInZones = (among) => chooseMachines(job, open, among, avoid);
+    const chooseIn: ChooseInZones = (among) => chooseMachines(job, available, among, avoid);
     const choice = chooseIn(zones);
     if (choice.missing > 0 && job.spec.oneZone) return chooseIn([this.#preferredZones.zoneFor(job, zones, chooseIn)]);
     this.#preferredZones.forget(job);
@@ -124,7 +124,7 @@
     };
   }
 
-  /** Since when this leader has known the record at that version; now, if it has not. */
+  /** Since when this leader has known that version of the record; now, if the version is new to it. */
   #knownSince(job: string, version: number): number {
     const known = this.#knownByJob.get(job);
     if (known?.version === version) return known.since;
@@ -133,26 +133,26 @@
     return since;
   }
 
-  // --- what the autoscaling asks -----------------------------------------------------------------------------------
+  // --- used by the autoscaling -------------------------------------------------------------------------------------
 
   /**
-   * Machines that are neither drained for consolidation nor scaled in while idle: those of members now, before or soon,
-   * those that a group in its backoff could be placed on, and those that fit some members of a group that waits for
-   * more. They stay so for a while after an assignment that needed them, see `NeededMachines`.
+   * Names of machines that must not be drained for consolidation or scaled in while idle: machines of current, recent
+   * and reserved members, machines on which a group in backoff could be placed, and machines that fit some members of a
+   * group that waits for more machines. `NeededMachines` keeps them for a while after an assignment that needed them.
    */
   pinnedMachines(): Set<string> {
     const needed = this.#neededMachines.at(this.context.clock.now());
     return new Set([...needed, ...this.#machinesInFlight, ...this.#machinesOfMembers()]);
   }
 
-  /** The machines of the members of all groups. One to be avoided may be the only one there is. */
+  /** The machines of the members of all groups. Avoided machines are included: they may be the only ones available. */
   #machinesOfMembers(): string[] {
     const records = [...this.context.clusterState.groups.values()].map(({ record }) => record);
     return records.flatMap(({ members }) => members.map(({ machine }) => machine));
   }
 
   /**
-   * Demand of members whose machine is lost: another one may be scaled out while the other members are still stopped.
+   * Demand of members whose machine is lost: a replacement may be scaled out while the other members are being stopped.
    */
   endingDemand(): UnschedulableDemand[] {
     const { clusterState } = this.context;
@@ -168,7 +168,7 @@
 
   // --- transactions ------------------------------------------------------------------------------------------------
 
-  /** Begins a transaction; log lines of one that was not committed are dropped. */
+  /** Begins a transaction, and drops the log lines of a previous one that was not committed. */
   begin(): void {
     const jobs = [...this.context.clusterState.jobs.live.values()];
     this.#longestSaveS = jobs.reduce((longestS, { spec }) => Math.max(longestS, spec.saveS), 0);
@@ -176,13 +176,13 @@
     this.#machinesInFlight = [];
   }
 
-  /** The transaction was committed. */
+  /** Writes the log lines of the transaction, which has been committed. */
   stored(): void {
     for (const { detail, message } of this.#pendingLines) this.context.log.info(detail, message);
     this.#pendingLines = [];
   }
 
-  /** Adds the changes of state that are due, and the removal of records whose job is no group or is over. */
+  /** Adds the state changes that are due, and removes the records of jobs that have ended or are not groups. */
   addChanges(batch: JobBatch): void {
     const { clusterState } = this.context;
     for (const job of clusterState.jobs.live.values()) {
@@ -195,22 +195,22 @@
     }
   }
 
-  /** False: the transaction has no space left. */
+  /** Returns false if the transaction has no space left. */
   #addChange(batch: JobBatch, job: Job): boolean {
     const stored = this.#stored(job);
     const next = nextRecord(job, stored?.record ?? null, this.#contextOf(job));
     if (next === null || batch.jobs.has(job.id)) return true;
-    // Members are admitted for the owners that have reserved resources for them: a later owner would start none of
+    // Admission requires the owners that have reserved resources for the members: a later owner would not start
     // them.
     const owners = next.state === 'admitted' ? next.members.map(({ partitionId }) => partitionId) : [];
     if (!batch.requireOwners(this.context.clusterState.owners, owners)) return false;
     const change = { put: KEYS.group(job.id), value: groupRecord.write(next) };
     if (!batch.putIf(change, stored?.version ?? 0, { key: KEYS.job(job.id), version: job.version })) return false;
-    this.#logOnceStored(job, next);
+    this.#logOnceCommitted(job, next);
     return true;
   }
 
-  /** Adds the reservations of groups that were placed; returns what they are going to use of machines. */
+  /** Adds the reservations of groups that were placed. Returns the resources that their members will use. */
   addReservations(batch: JobBatch, placements: readonly GroupPlacement[]): PlannedUse[] {
     const uses: PlannedUse[] = [];
     for (const placement of placements) {
@@ -222,7 +222,7 @@
     return uses;
   }
 
-  /** False: it fits neither the transaction nor the records. */
+  /** Returns false if the transaction or a record has no space for the reservation. */
   #addReservation(batch: JobBatch, { job, members }: GroupPlacement): boolean {
     const { clusterState, clock, log, settings } = this.context;
     if (batch.changes.length + CHANGES_PER_RESERVATION > settings.maxTransactionOps) return false;
@@ -240,24 +240,24 @@
     if (!batch.requireOwners(clusterState.owners, owners)) return false;
     if (!batch.requireVersion({ key: KEYS.group(job.id), version: stored?.version ?? 0 })) return false;
     if (!batch.put(job, record, { put: KEYS.group(job.id), value })) return false;
-    this.#logOnceStored(job, next);
+    this.#logOnceCommitted(job, next);
     return true;
   }
 
-  #logOnceStored(job: Job, { state, generation, reason, failures, avoid, members }: GroupRecord): void {
+  #logOnceCommitted(job: Job, { state, generation, reason, failures, avoid, members }: GroupRecord): void {
     const machines = [...new Set(members.map(({ machine }) => machine))];
     const detail = { job: job.id, team: job.spec.team, members: job.spec.tasks, generation, reason, failures };
     const where = avoid === null ? {} : { machine: avoid };
     this.#pendingLines.push({ detail: { ...detail, ...where, machines }, message: `group ${state}` });
   }
 
-  /** The machine that the group avoids: it needs that one too as long as the others are too few. */
+  /** The machine that the group avoids, if any. The group needs it too while there are too few other machines. */
   #avoidedBy(job: Job): string[] {
     const avoid = this.#stored(job)?.record.avoid ?? null;
     return avoid === null ? [] : [avoid];
   }
 
-  /** What on-call needs to judge the wait: until when the backoff is, and which machines are left out. */
+  /** Details for on-call to judge the wait: when the backoff ends, and which machines are avoided or not chosen. */
   #waitDetail(job: Job): GroupWaitDetail {
     const stored = this.#stored(job)?.record ?? null;
     const { settings, context } = this;
@@ -271,8 +271,8 @@
     };
   }
 
-  /** Takes in which groups the assignment could not place. */
-  noteUnplaced(result: AssignmentResult, now: number): void {
+  /** Records the groups that the assignment could not place, and the machines that they need. */
+  recordUnplaced(result: AssignmentResult, now: number): void {
     const { unschedulable, waitingGroups, partlyFittingMachines, backoffMachines } = result;
     const avoided = waitingGroups.filter(({ why }) => why === 'no machines').map(({ job }) => this.#avoidedBy(job));
     this.#neededMachines.add([...partlyFittingMachines, ...backoffMachines, ...this.#machinesOfMembers()], now);
--- a/packages/daemon/src/leader/leader.ts
+++ b/packages/daemon/src/leader/leader.ts
@@ -1,5 +1,5 @@
-// The leader: assigns waiting tasks to partitions and closes jobs, one transaction after the other, and has the fleet
-// scaled. It commands no worker.
+// The leader: assigns waiting tasks to partitions and closes jobs, one transaction at a time, and scales the fleet. It
+// sends no commands to workers.
 import { type Http, URGENCY } from '@gingerlock/clients';
 import {
   type AssignmentResult,
@@ -29,8 +29,8 @@
 import type { ControllerContext } from '../controller/controller-context';
 import type { ReceivedStatus } from '../peers/partition-statuses';
 
-/** For how many heartbeat intervals a partition's status counts as current. */
-const STATUS_INTERVALS = 2;
+/** Number of heartbeat intervals for which a partition's status counts as current. */
+const STATUS_MAX_AGE_INTERVALS = 2;
 
 /** One term of leadership of this controller. */
 export class Leader {
@@ -39,7 +39,7 @@
   /** The features that are on, in the order in which they change a transaction. */
   readonly #features: readonly LeaderFeature[];
   readonly #pendingAssignments = new PendingAssignments();
-  /** What the autoscaler is to find machines for, by the last transaction. */
+  /** Demand that the last transaction left, for which the autoscaler plans machines. */
   #unschedulable: readonly UnschedulableDemand[] = [];
   #isAssigning = false;
   #isStopped = false;
@@ -79,23 +79,23 @@
     return features;
   }
 
-  /** Ends all work of this term; a transaction that is under way is not repeated. */
+  /** Ends all work of this term. A transaction in progress is not repeated. */
   stop(): void {
     this.#isStopped = true;
     this.#autoscaling.stop();
   }
 
-  /** The event loop has stalled: see `AutoscalingLoop.resumedAfterStall`. */
+  /** Called after the event loop has stalled; see `AutoscalingLoop.resumedAfterStall`. */
   resumedAfterStall(now: number): void {
     this.#autoscaling.resumedAfterStall(now);
   }
 
-  /** Machines that get no more work, and those that are gone. */
+  /** The directives to send to owners now. */
   directives(): MachineDirectives {
     return this.#autoscaling.directives();
   }
 
-  /** Starts to assign tasks, unless that is under way. */
+  /** Starts to assign tasks, unless an assignment is in progress. */
   tick(): void {
     if (!this.#isAssigning) void this.#assignUntilIdle();
   }
@@ -104,13 +104,13 @@
     return this.ownershipTerm.isCurrent && !this.#isStopped;
   }
 
-  /** The statuses that the partitions' current owners sent lately. */
+  /** The recent statuses of the partitions' current owners. */
   #currentStatuses(now: number): PartitionStatus[] {
     const { clusterState, clusterConfig } = this.context;
     return this.statuses()
       .filter(
         ({ at, status }) =>
-          now - at < clusterConfig.heartbeatIntervalMs * STATUS_INTERVALS &&
+          now - at < clusterConfig.heartbeatIntervalMs * STATUS_MAX_AGE_INTERVALS &&
           clusterState.owners.get(String(status.partitionId))?.record.term === status.term,
       )
       .map(({ status }) => status);
@@ -130,21 +130,21 @@
     }
   }
 
-  /** Commits one transaction; false: there was nothing to change, or it was not committed. */
+  /** Commits one transaction. Returns false if there was nothing to change or the transaction was not committed. */
   async #assignOnce(): Promise<boolean> {
     const { context } = this;
     const now = context.clock.now();
     const statuses = this.#currentStatuses(now);
     this.#probes.review(statuses, now);
     const batch = this.#beginBatch();
-    this.#pendingAssignments.dropShown(statuses);
+    this.#pendingAssignments.dropReflected(statuses);
     const result = this.#planAssignments(batch, statuses, now);
     const uses = addAssignments(context, batch, this.#probes, result.assignments, statuses);
     const placements = this.#features.map((feature) => feature.addPlacements(batch, { result, statuses, now }));
-    this.#unschedulable = this.#demandWithout(placements, result, statuses);
+    this.#unschedulable = this.#remainingDemand(placements, result, statuses);
     this.#probes.removeMarks(batch);
     for (const feature of this.#features) feature.addRemovals(batch);
-    if (batch.changes.length === 0 && !this.#addObsoleteKeys(batch)) return false;
+    if (batch.changes.length === 0 && !this.#removeObsoleteKeys(batch)) return false;
     const revision = await context.commitWithRetry(URGENCY.assign, batch.conditions, batch.changes, () =>
       this.#isLeading(),
     );
@@ -155,7 +155,7 @@
     return true;
   }
 
-  /** A transaction with the changes that come before assignments. */
+  /** Begins a transaction with the changes that come before assignments. */
   #beginBatch(): JobBatch {
     const { context } = this;
     const batch = new JobBatch(this.ownershipTerm.condition, context.transactionSizeLimit());
@@ -185,24 +185,24 @@
   }
 
   /** The demand for machines that is left once the transaction is committed. */
-  #demandWithout(
+  #remainingDemand(
     placements: readonly AddedPlacements[],
     { unschedulable }: AssignmentResult,
     statuses: readonly PartitionStatus[],
   ): UnschedulableDemand[] {
-    const placedOf = (jobId: string): number =>
+    const placedCountOf = (jobId: string): number =>
       placements.reduce((sum, { placedCountByJob }) => sum + (placedCountByJob.get(jobId) ?? 0), 0);
     return [
       ...unschedulable
-        .map((entry) => ({ ...entry, count: entry.count - placedOf(entry.job.id) }))
+        .map((entry) => ({ ...entry, count: entry.count - placedCountOf(entry.job.id) }))
         .filter(({ count }) => count > 0),
       ...immovableDemand(this.context, statuses),
       ...this.#features.flatMap((feature) => feature.extraDemand()),
     ];
   }
 
-  /** Adds the removal of records that belong to closed jobs, as many as fit; false: there are none. */
-  #addObsoleteKeys(batch: JobBatch): boolean {
+  /** Adds the removal of as many obsolete records of closed jobs as fit. Returns false if there are none. */
+  #removeObsoleteKeys(batch: JobBatch): boolean {
     const { obsoleteKeys } = this.context.clusterState;
     for (const key of obsoleteKeys) if (!batch.remove(key)) break;
     return obsoleteKeys.size > 0;
--- a/packages/daemon/src/leader/machine-type-catalog.ts
+++ b/packages/daemon/src/leader/machine-type-catalog.ts
@@ -1,8 +1,8 @@
-// The machine types that the cloud offers, as the leader read them last, without what this deployment can't use.
+// The cloud's machine types as the leader last read them, without types and zones that this deployment can't use.
 import type { CloudMachine, MachineType, MachineTypeList } from '@gingerlock/wire';
 import type { Log } from '../controller/log';
 
-/** Validates the cloud's lists of types and machines, and logs each invalid field of them once. */
+/** Validates the cloud's lists of types and machines, and logs each invalid field once. */
 export class MachineTypeCatalog {
   #current: ReadonlyMap<string, MachineType> = new Map();
   readonly #logged = new Set<string>();
@@ -12,25 +12,25 @@
     readonly log: Log,
   ) {}
 
-  /** By name, with prices as they were read last; empty: nothing was read yet. */
+  /** The types by name, with the prices that were read last; empty before the first read. */
   get current(): ReadonlyMap<string, MachineType> {
     return this.#current;
   }
 
   /**
-   * Validates a list of types. Types that were known before, are not offered any more and are still used stay in the
-   * catalog without a price: no machines of them are scaled out, and the existing ones go on working.
+   * Validates a list of types. Previous types that are no longer offered but still used stay in the catalog without a
+   * price: no machines of these types are scaled out, and the existing machines keep working.
    */
   read(
     { types, invalid }: MachineTypeList,
-    before: Iterable<MachineType>,
+    previous: Iterable<MachineType>,
     isUsed: (type: string) => boolean,
   ): MachineType[] {
     for (const { type, field, why } of invalid)
       this.#logOnce(`${type} ${field}`, { type, field, why }, 'invalid machine type');
     const offered = types.map((type) => this.#inKnownZones(type));
     const names = new Set(offered.map(({ name }) => name));
-    const kept = [...before].filter(({ name }) => !names.has(name) && isUsed(name));
+    const kept = [...previous].filter(({ name }) => !names.has(name) && isUsed(name));
     const all = [...offered, ...kept.map((type) => ({ ...type, price: 0, spotPrice: 0 }))];
     this.#current = new Map(all.map((type) => [type.name, type]));
     return all;
@@ -43,8 +43,8 @@
     return { ...type, zones: type.zones.filter((zone) => this.zones.includes(zone)) };
   }
 
-  /** The listed machines whose type and zone belong to this deployment, and those that are known already. */
-  knownKinds(listed: readonly CloudMachine[], isKnown: (machine: string) => boolean): CloudMachine[] {
+  /** The listed machines whose type and zone belong to this deployment, and those for which `isKnown` holds. */
+  acceptedMachines(listed: readonly CloudMachine[], isKnown: (machine: string) => boolean): CloudMachine[] {
     return listed.filter((machine) => {
       const field = this.#unknownField(machine);
       if (field === null || isKnown(machine.name)) return true;
@@ -53,7 +53,7 @@
     });
   }
 
-  /** The cloud's name of the field in which a machine names no type or zone of the deployment; null: there is none. */
+  /** The cloud's name of the field that holds an unknown type or zone; null: both are known. */
   #unknownField({ type, zone }: CloudMachine): 'breed' | 'yard' | null {
     if (this.#current.size > 0 && !this.#current.has(type)) return 'breed';
     return this.zones.includes(zone) ? null : 'yard';
--- a/packages/daemon/src/leader/needed-machines.ts
+++ b/packages/daemon/src/leader/needed-machines.ts
@@ -1,20 +1,20 @@
-// The machines that replica groups need, by the assignments of the last moments.
+// The machines that replica groups needed in recent assignments.
 
 /**
- * Remembers for how long machines are needed after an assignment that needed them. The view of a single assignment has
- * gaps: a group that has just come to wait has no members any more and no machines chosen for it yet, and a partition
- * that has just changed hands shows its machines only once they have sent a heartbeat to its new owner.
+ * Counts machines as needed for a while after an assignment that needed them, because a single assignment may miss
+ * some: a group that has just begun to wait has no members any more and no machines chosen for it yet, and a new owner
+ * of a partition reports a machine only after a heartbeat from it.
  */
 export class NeededMachines {
-  /** By name of the machine: until when it is needed. */
+  /** By machine name: until when the machine counts as needed. */
   readonly #neededUntilByMachine = new Map<string, number>();
 
-  /** @param keptMs for how long machines count as needed after an assignment: a machine unseen for longer is lost */
-  constructor(readonly keptMs: number) {}
+  /** @param retentionMs how long a machine counts as needed after an assignment; a machine unseen for longer is lost */
+  constructor(readonly retentionMs: number) {}
 
-  /** Takes in machines that an assignment needed. */
+  /** Adds machines that an assignment needed. */
   add(machines: Iterable<string>, now: number): void {
-    for (const machine of machines) this.#neededUntilByMachine.set(machine, now + this.keptMs);
+    for (const machine of machines) this.#neededUntilByMachine.set(machine, now + this.retentionMs);
   }
 
   /** The names of the machines that are needed. */
--- a/packages/daemon/src/leader/pending-assignments.ts
+++ b/packages/daemon/src/leader/pending-assignments.ts
@@ -1,8 +1,8 @@
-// Assignments that are committed and that the owners' statuses do not show yet: the free resources that a status gives
-// do not account for them.
+// Committed assignments that the owners' statuses do not reflect yet: the free resources in a status do not account for
+// them.
 import type { PartitionStatus, PendingAssignment } from '@gingerlock/core';
 
-/** The resources that one assigned task is going to use of a machine. */
+/** The resources that one assigned task will use on a machine. */
 export type PlannedUse = Omit<PendingAssignment, 'revision'>;
 
 /** The pending assignments of one leader. */
@@ -13,14 +13,14 @@
     return this.#all;
   }
 
-  /** Keeps those whose partition has a status that is older than the assignment: every later status shows it. */
-  dropShown(statuses: readonly PartitionStatus[]): void {
+  /** Keeps the assignments that are newer than the status of their partition; a later status reflects them. */
+  dropReflected(statuses: readonly PartitionStatus[]): void {
     this.#all = this.#all.filter((pending) =>
       statuses.some((status) => status.partitionId === pending.partitionId && status.revision < pending.revision),
     );
   }
 
-  /** Adds what a transaction that was committed at `revision` has assigned. */
+  /** Adds the assignments of a transaction that was committed at `revision`. */
   add(uses: readonly PlannedUse[], revision: number): void {
     for (const use of uses) this.#all.push({ ...use, revision });
   }
--- a/packages/daemon/src/leader/preferred-zones.ts
+++ b/packages/daemon/src/leader/preferred-zones.ts
@@ -1,20 +1,18 @@
-// In which zone machines are demanded for a replica group that is to be in one zone and fits none now.
+// Chooses the zone to scale out in for a replica group that must run in one zone and does not fit in any zone now.
 import type { GroupChoice, Job } from '@gingerlock/core';
 import type { JobSpec } from '@gingerlock/wire';
 
-/** The machines for a group in the given zones. */
+/** Chooses machines for a group in the given zones. */
 export type ChooseInZones = (zones: readonly string[]) => GroupChoice;
 
-/**
- * Keeps to a zone until the cloud lacks capacity there: machines would be scaled out in each zone by turns otherwise.
- */
+/** Keeps a group's zone until the cloud lacks capacity there; otherwise, each zone would be scaled out in turn. */
 export class PreferredZones {
-  /** By job: the zone that was chosen, until its group is placed. */
+  /** By job id: the zone chosen for its group, until the group can be placed. */
   readonly #zoneByJob = new Map<string, string>();
 
   constructor(readonly lacksCapacityFor: (job: JobSpec, zone: string) => boolean) {}
 
-  /** The zone for the job among `zones`: its own, the one that was chosen before, or the one that lacks the least. */
+  /** The zone for the job: the one in its spec, else the one chosen before, else the one that fits most members. */
   zoneFor(job: Job, zones: readonly string[], chooseIn: ChooseInZones): string {
     const { spec } = job;
     if (spec.zone !== null) return spec.zone;
@@ -27,7 +25,7 @@
     return best;
   }
 
-  /** The group fits: the next time that it does not, a zone is chosen anew. */
+  /** Forgets the zone of a group that fits now. The next time that it does not fit, a new zone is chosen. */
   forget(job: Job): void {
     this.#zoneByJob.delete(job.id);
   }
--- a/packages/daemon/src/leader/waiting-groups.ts
+++ b/packages/daemon/src/leader/waiting-groups.ts
@@ -1,33 +1,33 @@
-// Since when replica groups wait for machines, and the log lines on what each lacks.
+// Tracks since when replica groups wait for machines, and logs what each of them lacks.
 import type { UnschedulableDemand } from '@gingerlock/core';
 import type { ControllerContext } from '../controller/controller-context';
 
 /** A group that did not fit at the last assignment. */
 interface WaitingGroup {
   readonly since: number;
-  /** When the log last said so; at first, when the wait began. */
+  /** Time of the last log line; before the first line, the start of the wait. */
   loggedAt: number;
 }
 
-/** The groups that could have been placed but for lack of machines. */
+/** The groups that were not placed for lack of machines. */
 export class WaitingGroups {
   #waitingByJob = new Map<string, WaitingGroup>();
 
   constructor(readonly context: ControllerContext) {}
 
-  /** How long the job's group has been waiting, in milliseconds; null: it is not. */
+  /** How long the job's group has been waiting, in milliseconds; null: it is not waiting. */
   waitedMs(job: string, now: number): number | null {
     const waiting = this.#waitingByJob.get(job);
     return waiting === undefined ? null : now - waiting.since;
   }
 
-  /** Takes in what the last assignment found unschedulable, and logs of each group from time to time what it lacks. */
+  /** Takes the unschedulable demand of the last assignment, and logs once per worker lease what each group lacks. */
   update(unschedulable: readonly UnschedulableDemand[], now: number): void {
-    const before = this.#waitingByJob;
+    const previous = this.#waitingByJob;
     this.#waitingByJob = new Map();
     for (const demand of unschedulable) {
       if (!demand.job.isGroup) continue;
-      const waiting = before.get(demand.job.id) ?? { since: now, loggedAt: now };
+      const waiting = previous.get(demand.job.id) ?? { since: now, loggedAt: now };
       this.#waitingByJob.set(demand.job.id, waiting);
       if (now - waiting.loggedAt < this.context.clusterConfig.workerLeaseMs) continue;
       waiting.loggedAt = now;
--- a/packages/daemon/test/machine-type-catalog.test.ts
+++ b/packages/daemon/test/machine-type-catalog.test.ts
@@ -4,7 +4,7 @@
 import { SILENT } from '../src/index';
 import { MachineTypeCatalog } from '../src/leader/machine-type-catalog';
 
-const box = (sku: string, yards: readonly string[] = ['a', 'b']): unknown => ({
+const typeEntry = (sku: string, yards: readonly string[] = ['a', 'b']): unknown => ({
   sku,
   cores: 8,
   accelerators: 4,
@@ -17,17 +17,17 @@
   yards,
 });
 
-function offersWithLog(): { offers: MachineTypeCatalog; logged: string[] } {
+function catalogWithLog(): { catalog: MachineTypeCatalog; logged: string[] } {
   const logged: string[] = [];
   const error = (fields: unknown, message: string): void => void logged.push(`${message} ${JSON.stringify(fields)}`);
-  return { offers: new MachineTypeCatalog(['a', 'b'], { ...SILENT, error }), logged };
+  return { catalog: new MachineTypeCatalog(['a', 'b'], { ...SILENT, error }), logged };
 }
 
-test('a type that is gone from a later list is kept without a price while machines of it run', () => {
-  const { offers } = offersWithLog();
-  const first = offers.read(readMachineTypes({ breeds: [box('one'), box('two')] }), [], () => true);
-  const later = readMachineTypes({ breeds: [box('one')] });
-  const kept = offers.read(later, first, (type) => type === 'two');
+test('a type that a later list lacks stays in the catalog without a price while machines of it run', () => {
+  const { catalog } = catalogWithLog();
+  const first = catalog.read(readMachineTypes({ breeds: [typeEntry('one'), typeEntry('two')] }), [], () => true);
+  const later = readMachineTypes({ breeds: [typeEntry('one')] });
+  const kept = catalog.read(later, first, (type) => type === 'two');
   assert.deepEqual(
     kept.map((type) => [type.name, type.gpus, isRentable(type)]),
     [
@@ -36,16 +36,16 @@
     ],
   );
   assert.deepEqual(
-    offers.read(later, kept, () => false).map(({ name }) => name),
+    catalog.read(later, kept, () => false).map(({ name }) => name),
     ['one'],
   );
 });
 
-test('unknown zones of a type and odd machines are left out and logged once', () => {
-  const { offers, logged } = offersWithLog();
-  const list = readMachineTypes({ breeds: [box('one', ['a', 'moon'])] });
-  for (let i = 0; i < 3; i++) offers.read(list, [], () => true);
-  assert.deepEqual(offers.current.get('one')!.zones, ['a']);
+test('unknown zones of a type and machines of an unknown type or zone are dropped and logged once', () => {
+  const { catalog, logged } = catalogWithLog();
+  const list = readMachineTypes({ breeds: [typeEntry('one', ['a', 'moon'])] });
+  for (let i = 0; i < 3; i++) catalog.read(list, [], () => true);
+  assert.deepEqual(catalog.current.get('one')!.zones, ['a']);
   assert.equal(logged.length, 1);
   const machine = (name: string, type: string, zone: string): CloudMachine => ({
     name,
@@ -59,7 +59,7 @@
   const listed = [machine('m-1', 'one', 'a'), machine('m-2', 'none', 'a'), machine('m-3', 'one', 'moon')];
   for (let i = 0; i < 3; i++) {
     assert.deepEqual(
-      offers.knownKinds(listed, (name) => name === 'm-3').map(({ name }) => name),
+      catalog.acceptedMachines(listed, (name) => name === 'm-3').map(({ name }) => name),
       ['m-1', 'm-3'],
     );
   }
