--- a/packages/borrowing/src/planner.ts
+++ b/packages/borrowing/src/planner.ts
@@ -188,7 +188,7 @@
     while (placements.length < tasks.length) {
       const choice = this.#mayPlace(job, status.zone, zones) ? this.#choose(job, remaining) : null;
       if (choice === null || this.#isScaleOutSooner(job, choice)) break;
-      placements.push({ partitionId, zone: zones.take(status.zone), term });
+      placements.push({ partitionId, zone: zones.placeTask(status.zone), term });
       victims.push(...choice.victims);
       reason = choice.reason === 'guarantee' ? 'guarantee' : (reason ?? choice.reason);
       loss = loss === null ? choice.loss : addLoss(loss, choice.loss);
--- a/packages/borrowing/test/execution.test.ts
+++ b/packages/borrowing/test/execution.test.ts
@@ -39,7 +39,7 @@
       partitionId: 0,
       term: TERM,
       fencedUntil: 0,
-      openedAt: 0,
+      acquiredAt: 0,
       jobs: this.jobs,
       types: () => new Map([[BOX.name, BOX]]),
       membership: [],
--- a/packages/core/src/claims/claim-queries.ts
+++ b/packages/core/src/claims/claim-queries.ts
@@ -119,8 +119,8 @@
  * many machines. If this lasts, the partition is cut off: its tasks count as missing early enough that new machines
  * have booted when the fencing period ends, and no earlier, because a short outage may end before.
  */
-export function missingServices(table: ClaimView, now: number): Resources {
-  const { clusterConfig, machines, unconfirmedMachines, openedAt, fencedUntil } = table;
+export function missingServiceResources(table: ClaimView, now: number): Resources {
+  const { clusterConfig, machines, unconfirmedMachines, acquiredAt: openedAt, fencedUntil } = table;
   if (table.isFencingOver) return NO_RESOURCES;
   const confirmedMachines = [...machines.values()].filter((machine) => machine.hasCurrentToken).length;
   if (unconfirmedMachines.size > confirmedMachines) {
--- a/packages/core/src/claims/claim-table-options.ts
+++ b/packages/core/src/claims/claim-table-options.ts
@@ -15,7 +15,7 @@
   /** When the fencing period ends at the latest; machines that this owner has answered itself can prolong it. */
   readonly fencedUntil: number;
   /** When this owner acquired the partition. */
-  readonly openedAt: number;
+  readonly acquiredAt: number;
   readonly jobs: JobTable;
   /** The machine types that are known now, by name. */
   readonly types: () => ReadonlyMap<string, MachineType>;
--- a/packages/core/src/claims/claim-table.ts
+++ b/packages/core/src/claims/claim-table.ts
@@ -11,7 +11,7 @@
 import { AttemptNumbers } from './attempt-numbers';
 import { type ClaimTableOptions, withDefaults } from './claim-table-options';
 import type { ClaimView } from './claim-view';
-import { missingServices, returnableTasks, runningTasks, tasksToFinish } from './claim-queries';
+import { missingServiceResources, returnableTasks, runningTasks, tasksToFinish } from './claim-queries';
 import { type JobEvidence, FailureAttribution } from './failure-attribution';
 import { marksCrashLoop, mayStartTask } from './crash-loops';
 import { evidenceOn } from './job-evidence';
@@ -47,7 +47,7 @@
   /** Number of the ownership term. */
   readonly term: number;
   /** When this owner acquired the partition. */
-  readonly openedAt: number;
+  readonly acquiredAt: number;
   readonly log: (message: string, detail: Record<string, unknown>) => void;
   /** Called on an event that contradicts the safety argument, and so is never expected. */
   readonly alarm: (message: string, detail: Record<string, unknown>) => void;
@@ -74,7 +74,7 @@
     this.clusterConfig = clusterConfig;
     this.partitionId = partitionId;
     this.term = term;
-    this.openedAt = resolvedOptions.openedAt;
+    this.acquiredAt = resolvedOptions.acquiredAt;
     this.log = log;
     this.alarm = alarm;
     this.reservations = resolvedOptions.reservations;
@@ -381,8 +381,8 @@
   }
 
   /** The total resources of service tasks that no machine has reported; see `missingServices`. */
-  missingServices(now: number): Resources {
-    return missingServices(this, now);
+  missingServiceResources(now: number): Resources {
+    return missingServiceResources(this, now);
   }
 
   /** How many tasks of each job run here, for display. */
--- a/packages/core/src/claims/claim-view.ts
+++ b/packages/core/src/claims/claim-view.ts
@@ -33,7 +33,7 @@
   /** Whether the fencing period is over: no machine can hold an unreported task of an earlier owner any more. */
   readonly isFencingOver: boolean;
   /** When this owner acquired the partition. */
-  readonly openedAt: number;
+  readonly acquiredAt: number;
   /** When the fencing period ends at the latest; machines that this owner has answered itself can prolong it. */
   readonly fencedUntil: number;
   readonly log: (message: string, detail: Record<string, unknown>) => void;
--- a/packages/core/src/claims/failure-attribution.ts
+++ b/packages/core/src/claims/failure-attribution.ts
@@ -64,7 +64,7 @@
   constructor(readonly clusterConfig: ClusterConfig) {}
 
   /** Records that a task of the job ended with an error on the machine after it had been seen running for `ranMs`. */
-  failed(job: string, machine: string, ranMs: number, now: number): void {
+  recordFailure(job: string, machine: string, ranMs: number, now: number): void {
     const known = this.#failedJobs.get(job) ?? {
       verdict: 'unproven' as const,
       failedAt: new Map(),
@@ -81,7 +81,7 @@
    * failures. Failures of other jobs on the machine still count against those jobs; otherwise a broken array would be
    * restarted again and again on machines where other jobs complete.
    */
-  completed(job: string, machine: string, now: number): void {
+  recordCompletion(job: string, machine: string, now: number): void {
     this.#failedJobsByMachine.delete(machine);
     this.#completedAt.set(machine, now);
     const failures = this.#failedJobs.get(job);
--- a/packages/core/src/claims/heartbeat-reconciler.ts
+++ b/packages/core/src/claims/heartbeat-reconciler.ts
@@ -122,7 +122,7 @@
     if (reported.cause === 'done' && task.job.spec.kind === 'array') {
       if (task.state === 'finishing') return 'keep';
       if (task.claim !== null && !isOwnAttempt) return 'forget';
-      this.failures.completed(task.job.id, machine.name, now);
+      this.failures.recordCompletion(task.job.id, machine.name, now);
       this.tasks.transition(task, 'finishing', now);
       return 'keep';
     }
@@ -143,7 +143,7 @@
     if (task.job.isGroup && cause !== 'no_room') return;
     if (cause === 'error' || cause === 'unknown' || cause === 'unrecognised') {
       const runningSince = task.claim?.runningSince ?? now;
-      if (cause === 'error') this.failures.failed(task.job.id, machine.name, now - runningSince, now);
+      if (cause === 'error') this.failures.recordFailure(task.job.id, machine.name, now - runningSince, now);
       task.failures++;
       task.notBefore = now + this.#backoffMs(task.failures);
     } else if (cause === 'no_room') {
--- a/packages/core/src/claims/task-entry.ts
+++ b/packages/core/src/claims/task-entry.ts
@@ -76,7 +76,7 @@
   /** Version of the job's record on which the write that returns this task to the leader is conditional. */
   returningVersion: number;
   /** The generation in which a member of a replica group was started here; 0 if it was not. */
-  startedIn: number;
+  startedGeneration: number;
   /** Whether the newest record does not assign it here any more; it is kept only until its claim ends. */
   isWithdrawn: boolean;
 }
--- a/packages/core/src/claims/task-granter.ts
+++ b/packages/core/src/claims/task-granter.ts
@@ -48,7 +48,7 @@
       stopGraceS: null,
     });
     task.isRelocating = false;
-    task.startedIn = this.view.members.generationOf(task.job);
+    task.startedGeneration = this.view.members.generationOf(task.job);
     this.view.log('task granted', { task: task.name, machine: machine.name, attempt, cached, waitedMs });
     this.reconciler.useImage(machine, task.job);
     return { op: 'start', task: task.name, attempt };
--- a/packages/core/src/claims/task-table.ts
+++ b/packages/core/src/claims/task-table.ts
@@ -125,7 +125,7 @@
       plan: null,
       isRelocating: false,
       returningVersion: 0,
-      startedIn: 0,
+      startedGeneration: 0,
       isWithdrawn: false,
     };
     tasksByIndex.set(index, task);
--- a/packages/core/src/scheduling/assignment.ts
+++ b/packages/core/src/scheduling/assignment.ts
@@ -165,7 +165,7 @@
     const bin = this.#probeBin(job, zones);
     if (bin === undefined) return;
     this.#capacity.allocate(bin, job);
-    const placement = { partitionId: bin.partitionId, zone: zones.take(bin.machine.zone), term: bin.term };
+    const placement = { partitionId: bin.partitionId, zone: zones.placeTask(bin.machine.zone), term: bin.term };
     this.#capacity.countUse(job, 1);
     this.#assignments.push({
       job,
@@ -202,7 +202,11 @@
         }
         this.#capacity.allocate(bin, job);
         found.indices.push(index);
-        found.placements.push({ partitionId: bin.partitionId, zone: zones.take(bin.machine.zone), term: bin.term });
+        found.placements.push({
+          partitionId: bin.partitionId,
+          zone: zones.placeTask(bin.machine.zone),
+          term: bin.term,
+        });
         found.intended.push({ machine: bin.machine.name, need: job.spec });
       }
     }
--- a/packages/core/src/scheduling/immovable-demand.ts
+++ b/packages/core/src/scheduling/immovable-demand.ts
@@ -18,7 +18,7 @@
   /** All zones. */
   readonly zones: readonly string[];
   /** Whether the key-value store would reject the job's record even without the ranges of any one partition. */
-  readonly isFrozen: (job: Job) => boolean;
+  readonly isRecordTooLarge: (job: Job) => boolean;
 }
 
 /**
@@ -29,7 +29,7 @@
 export function findImmovableDemand(input: ImmovableDemandInput): UnschedulableDemand[] {
   const immovable: UnschedulableDemand[] = [];
   for (const job of input.jobs) {
-    if (job.isCancelled || job.assignedRanges.length === 0 || !input.isFrozen(job)) continue;
+    if (job.isCancelled || job.assignedRanges.length === 0 || !input.isRecordTooLarge(job)) continue;
     for (const status of input.statuses) {
       const count = waitingIn(job, status);
       if (count <= 0 || status.machines.some((machine) => couldTake(machine, job, input.types))) continue;
--- a/packages/core/src/scheduling/placement-planner.ts
+++ b/packages/core/src/scheduling/placement-planner.ts
@@ -104,7 +104,7 @@
 }
 
 /** The machines on which waiting tasks could start and whose next heartbeat would come sooner if requested. */
-export function machinesToSolicit(claimTable: ClaimView, now: number): Set<Machine> {
+export function machinesToRequestHeartbeatsFrom(claimTable: ClaimView, now: number): Set<Machine> {
   const machines = new Set<Machine>();
   for (const job of claimTable.wakes()) {
     for (const task of claimTable.waitingTasks(job)) {
--- a/packages/core/src/scheduling/probe-schedule.ts
+++ b/packages/core/src/scheduling/probe-schedule.ts
@@ -62,7 +62,7 @@
    * Notes that the job's record no longer marks it as crash-looping. If the job fails again, its next probe has to run
    * for longer.
    */
-  recordMarkRemoved(job: string): void {
+  crashLoopMarkRemoved(job: string): void {
     const probe = this.#probesByJob.get(job);
     if (probe === undefined) return;
     probe.provenAfterMs = Math.min(
--- a/packages/core/src/scheduling/zone-choice.ts
+++ b/packages/core/src/scheduling/zone-choice.ts
@@ -35,7 +35,7 @@
   }
 
   /** Counts one more task in the zone of a machine; returns the zone that the task is bound to, null for any. */
-  take(machineZone: string): string | null {
+  placeTask(machineZone: string): string | null {
     const zone = boundZone(this.job, machineZone);
     // `bestZone` finds no zone if the job fits in none without preemption: then the first placed task binds the rest.
     if (this.job.spec.oneZone) this.#onlyZone = zone;
--- a/packages/core/test/claim-table.test.ts
+++ b/packages/core/test/claim-table.test.ts
@@ -31,7 +31,7 @@
     partitionId: 0,
     term: 2,
     fencedUntil,
-    openedAt: 0,
+    acquiredAt: 0,
     jobs,
     types: () => new Map([[type.name, type]]),
     membership: membership.map((name) => [name, `${name}:1`] as const),
@@ -75,24 +75,24 @@
 
 test('tasks that no machine has reported count as missing once most machines of the partition have sent a heartbeat', () => {
   const claimTable = tableOfNewOwner();
-  assert.equal(claimTable.missingServices(3500).gpus, 0);
+  assert.equal(claimTable.missingServiceResources(3500).gpus, 0);
   for (const name of ['m-1', 'm-2']) {
     // The first answer tells the machine the new term; its next heartbeat proves that it has received the term.
     claimTable.handleHeartbeat(heartbeat(name, 1, TOKENS_PER_TERM), 3500, true);
-    assert.equal(claimTable.missingServices(3600).gpus, 0);
+    assert.equal(claimTable.missingServiceResources(3600).gpus, 0);
     claimTable.handleHeartbeat(heartbeat(name, 2, 2 * TOKENS_PER_TERM), 3700, true);
   }
-  assert.equal(claimTable.missingServices(3800).gpus, 4);
+  assert.equal(claimTable.missingServiceResources(3800).gpus, 4);
 });
 
 // If the tasks of a zone that is cut off count as missing only after the fencing period, new machines boot only then.
 test('tasks of a partition without any heartbeat count as missing from one boot time before its fencing period ends', () => {
   const claimTable = tableOfNewOwner();
   const bootMs = type.bootS * 1000;
-  assert.equal(claimTable.missingServices(claimTable.fencedUntil - bootMs - 1).gpus, 0);
-  assert.equal(claimTable.missingServices(claimTable.fencedUntil - bootMs).gpus, 4);
+  assert.equal(claimTable.missingServiceResources(claimTable.fencedUntil - bootMs - 1).gpus, 0);
+  assert.equal(claimTable.missingServiceResources(claimTable.fencedUntil - bootMs).gpus, 4);
   claimTable.tick(claimTable.fencedUntil);
-  assert.equal(claimTable.missingServices(claimTable.fencedUntil).gpus, 0);
+  assert.equal(claimTable.missingServiceResources(claimTable.fencedUntil).gpus, 0);
 });
 
 // A worker that never accepts the token is refused after some answers, because each answer may renew its lease. A
--- a/packages/core/test/cost.test.ts
+++ b/packages/core/test/cost.test.ts
@@ -42,7 +42,7 @@
     partitionId: 0,
     term: 2,
     fencedUntil: 0,
-    openedAt: 0,
+    acquiredAt: 0,
     jobs,
     types: () => {
       looks++;
--- a/packages/core/test/failure-attribution.test.ts
+++ b/packages/core/test/failure-attribution.test.ts
@@ -17,8 +17,8 @@
 test('a job that failed on two machines and runs on none is crash-looping, and neither machine is held responsible', () => {
   const failures = new FailureAttribution(CLUSTER_CONFIG);
   for (const machine of ['m-1', 'm-2']) {
-    failures.failed('j-1', machine, 0, 100);
-    failures.failed('j-2', machine, 0, 100);
+    failures.recordFailure('j-1', machine, 0, 100);
+    failures.recordFailure('j-2', machine, 0, 100);
   }
   failures.updateVerdicts(() => UNKNOWN);
   assert.equal(failures.verdictOn('j-1'), 'crash-looping');
@@ -28,8 +28,8 @@
 
 test('a machine gets no new work for a while when two jobs failed there, and is quarantined once both run elsewhere', () => {
   const failures = new FailureAttribution(CLUSTER_CONFIG);
-  failures.failed('j-1', 'm-1', 0, 100);
-  failures.failed('j-2', 'm-1', 0, 100);
+  failures.recordFailure('j-1', 'm-1', 0, 100);
+  failures.recordFailure('j-2', 'm-1', 0, 100);
   failures.updateVerdicts(() => UNKNOWN);
   assert.equal(failures.isQuarantined('m-1'), false);
   assert.equal(failures.isOnProbation('m-1', 200), true);
@@ -44,7 +44,7 @@
 
 test('a job that takes long to fail has to run longer elsewhere before a machine is held responsible', () => {
   const failures = new FailureAttribution(CLUSTER_CONFIG);
-  for (const job of ['j-1', 'j-2']) failures.failed(job, 'm-1', 20_000, 100);
+  for (const job of ['j-1', 'j-2']) failures.recordFailure(job, 'm-1', 20_000, 100);
   failures.updateVerdicts(() => ({ ...UNKNOWN, runningMachineCount: 1, longestRunMs: 40_000 }));
   assert.equal(failures.isQuarantined('m-1'), false);
   failures.updateVerdicts(() => ({ ...UNKNOWN, runningMachineCount: 1, longestRunMs: 44_000 }));
@@ -54,36 +54,36 @@
 test('a completed task clears its machine, and makes the machines on which its job failed responsible', () => {
   const failures = new FailureAttribution(CLUSTER_CONFIG);
   for (const job of ['j-1', 'j-2']) {
-    failures.failed(job, 'm-1', 0, 100);
-    failures.failed(job, 'm-2', 0, 100);
+    failures.recordFailure(job, 'm-1', 0, 100);
+    failures.recordFailure(job, 'm-2', 0, 100);
   }
-  failures.completed('j-1', 'm-3', 200);
-  failures.completed('j-2', 'm-3', 200);
+  failures.recordCompletion('j-1', 'm-3', 200);
+  failures.recordCompletion('j-2', 'm-3', 200);
   assert.equal(failures.isQuarantined('m-1'), true);
-  failures.completed('j-3', 'm-2', 300);
+  failures.recordCompletion('j-3', 'm-2', 300);
   assert.equal(failures.isQuarantined('m-2'), false);
 });
 
 // If completions of other jobs on a machine erase a broken job's failures there, the job is retried there each time.
 test('completions of other jobs on a machine do not let a broken job start there again', () => {
   const failures = new FailureAttribution(CLUSTER_CONFIG);
-  failures.failed('j-1', 'm-1', 0, 100);
-  failures.completed('j-9', 'm-1', 200);
+  failures.recordFailure('j-1', 'm-1', 0, 100);
+  failures.recordCompletion('j-9', 'm-1', 200);
   failures.updateVerdicts(() => UNKNOWN);
   assert.equal(failures.isExcluded('j-1', 'm-1', 300), true);
-  failures.failed('j-1', 'm-2', 0, 400);
+  failures.recordFailure('j-1', 'm-2', 0, 400);
   failures.updateVerdicts(() => UNKNOWN);
   assert.equal(failures.verdictOn('j-1'), 'crash-looping');
   // The machine is not held responsible either if the job proves able to run.
-  failures.failed('j-2', 'm-1', 0, 150);
-  for (const job of ['j-1', 'j-2']) failures.completed(job, 'm-3', 500);
+  failures.recordFailure('j-2', 'm-1', 0, 150);
+  for (const job of ['j-1', 'j-2']) failures.recordCompletion(job, 'm-3', 500);
   assert.equal(failures.isQuarantined('m-1'), false);
 });
 
 test('a job that is over is forgotten, and machines are held responsible for its failures only if it completed', () => {
   for (const hasCompleted of [true, false]) {
     const failures = new FailureAttribution(CLUSTER_CONFIG);
-    for (const job of ['j-1', 'j-2']) failures.failed(job, 'm-1', 0, 100);
+    for (const job of ['j-1', 'j-2']) failures.recordFailure(job, 'm-1', 0, 100);
     failures.updateVerdicts(() => ({ ...UNKNOWN, isOver: true, hasCompleted }));
     assert.equal(failures.isQuarantined('m-1'), hasCompleted);
     assert.equal(failures.verdictOn('j-1'), null);
@@ -108,12 +108,12 @@
         const failed = new Map<string, Set<string>>();
         starts.forEach(({ job, machine }, i) => {
           if (faulty.includes(machine) || broken.includes(job)) {
-            failures.failed(job, machine, 0, i * 100);
+            failures.recordFailure(job, machine, 0, i * 100);
             failed.set(machine, (failed.get(machine) ?? new Set()).add(job));
           } else {
             completed.add(job);
             failed.delete(machine);
-            failures.completed(job, machine, i * 100);
+            failures.recordCompletion(job, machine, i * 100);
           }
           failures.updateVerdicts((id) => ({ ...UNKNOWN, hasCompleted: completed.has(id) }));
         });
--- a/packages/core/test/immovable-demand.test.ts
+++ b/packages/core/test/immovable-demand.test.ts
@@ -57,7 +57,7 @@
     types: new Map([[box.name, box]]),
     partitioner: new Partitioner(HOME_ZONES.length, HOME_ZONES),
     zones: box.zones,
-    isFrozen: () => isFrozen,
+    isRecordTooLarge: () => isFrozen,
   });
   return found.map(({ count, zones }) => ({ count, zones }));
 }
--- a/packages/core/test/probe-schedule.test.ts
+++ b/packages/core/test/probe-schedule.test.ts
@@ -96,12 +96,12 @@
   const first = timeUntilProven(1000);
   const { assignments } = assign(9000);
   assert.ok(assignments.flatMap((a) => a.added).reduce((n, range) => n + range.count, 0) > 1);
-  probes.recordMarkRemoved(spec.id);
+  probes.crashLoopMarkRemoved(spec.id);
   reviewWithRunning(10_000, 0);
   assert.equal(probes.isProven(spec.id), false);
   assert.ok(timeUntilProven(11_000) >= first * 2);
   // The run time of an interrupted probe starts again from zero.
-  probes.recordMarkRemoved(spec.id);
+  probes.crashLoopMarkRemoved(spec.id);
   reviewWithRunning(60_000, 1);
   reviewWithRunning(61_000, 0);
   reviewWithRunning(62_000, 1);
--- a/packages/daemon/src/leader/crash-loop-probes.ts
+++ b/packages/daemon/src/leader/crash-loop-probes.ts
@@ -53,6 +53,6 @@
       if (!batch.jobs.has(job.id) || !job.isMarkedCrashLooping) continue;
       if (this.mustBeProbed(job)) this.schedule.probeStarted(job.id, added[0]!.partitionId, now);
     }
-    for (const id of batch.jobs) if (this.schedule.isProven(id)) this.schedule.recordMarkRemoved(id);
+    for (const id of batch.jobs) if (this.schedule.isProven(id)) this.schedule.crashLoopMarkRemoved(id);
   }
 }
--- a/packages/daemon/src/leader/immovable-demand.ts
+++ b/packages/daemon/src/leader/immovable-demand.ts
@@ -20,12 +20,12 @@
     types: clusterState.types,
     partitioner: clusterState.partitioner,
     zones: clusterConfig.zones,
-    isFrozen: (job) => isFrozen(context, job),
+    isRecordTooLarge: (job) => isRecordTooLarge(context, job),
   });
 }
 
 /** Whether the job's record stays too large to be written whichever partition's assigned ranges are removed from it. */
-function isFrozen(context: ControllerContext, job: Job): boolean {
+function isRecordTooLarge(context: ControllerContext, job: Job): boolean {
   if (job.assignedRanges.length * LARGEST_RANGE_BYTES < context.settings.valueBytes) return false;
   return [...new Set(job.assignedRanges.map(({ partitionId }) => partitionId))].every((partitionId) => {
     const assignedRanges = job.assignedRanges.filter((range) => range.partitionId !== partitionId);
--- a/packages/daemon/src/leader/leader-groups.ts
+++ b/packages/daemon/src/leader/leader-groups.ts
@@ -109,17 +109,17 @@
 
   #contextOf(job: Job): GroupContext {
     const { clusterState, clusterConfig, clock } = this.context;
-    const stored = this.#stored(job);
+    const committed = this.#stored(job);
     return {
       settings: this.settings,
       clusterConfig,
       types: clusterState.types,
       wallNow: clock.wallNow(),
-      storedForMs: stored === null ? 0 : clock.now() - this.#knownSince(job.id, stored.version),
+      storedForMs: committed === null ? 0 : clock.now() - this.#knownSince(job.id, committed.version),
       longestSaveS: this.#longestSaveS,
       reportOf: (partitionId) => {
         const term = clusterState.owners.get(String(partitionId))?.record.term ?? 0;
-        return this.reports.of(partitionId, term, job.id, stored?.version ?? Infinity);
+        return this.reports.of(partitionId, term, job.id, committed?.version ?? Infinity);
       },
     };
   }
--- a/packages/daemon/src/owner/partition-owner.ts
+++ b/packages/daemon/src/owner/partition-owner.ts
@@ -3,7 +3,7 @@
 import {
   ClaimTable,
   type Machine,
-  machinesToSolicit,
+  machinesToRequestHeartbeatsFrom,
   type MachineStatus,
   maxGrantContactAgeMs,
   type OwnershipTerm,
@@ -83,7 +83,7 @@
       partitionId,
       term: ownershipTerm.term,
       fencedUntil: ownershipTerm.fencedUntil,
-      openedAt: ownershipTerm.acquiredAt,
+      acquiredAt: ownershipTerm.acquiredAt,
       jobs: clusterState.jobs,
       types: () => clusterState.types,
       membership: clusterState.membership(partitionId),
@@ -138,7 +138,8 @@
     if (this.mayGrant(now)) stopped.push(...relocateReplicas(this.claimTable, freeByMachine, spareCapacity, now));
     this.#sendStops(stopped);
     if (!this.mayGrant(now)) return;
-    for (const machine of machinesToSolicit(this.claimTable, now)) this.#commandSender.requestHeartbeat(machine, now);
+    for (const machine of machinesToRequestHeartbeatsFrom(this.claimTable, now))
+      this.#commandSender.requestHeartbeat(machine, now);
   }
 
   #sendStops(stopped: readonly TaskEntry[]): void {
--- a/packages/daemon/src/owner/partition-status.ts
+++ b/packages/daemon/src/owner/partition-status.ts
@@ -34,7 +34,7 @@
     term: claimTable.term,
     revision,
     machines,
-    missing: claimTable.missingServices(now),
+    missing: claimTable.missingServiceResources(now),
     running: [...claimTable.runningTasks()],
   };
 }
--- a/packages/replica-groups/src/partition-groups.ts
+++ b/packages/replica-groups/src/partition-groups.ts
@@ -75,7 +75,7 @@
    * it was assigned.
    */
   #isSpent(task: TaskEntry, { generation }: GroupRecord): boolean {
-    return task.startedIn === generation || task.term !== this.table!.term;
+    return task.startedGeneration === generation || task.term !== this.table!.term;
   }
 
   // --- members -----------------------------------------------------------------------------------------------------
@@ -170,7 +170,7 @@
     if (task.claim !== null) return threat ?? this.#whyClaimLost(task, member);
     const isLost = table.isGone(member.machine) || (machine !== undefined && machine.answeredAt === null);
     if (isLost) return 'machine lost';
-    if (task.startedIn === record.generation || task.state !== 'waiting') return 'member ended';
+    if (task.startedGeneration === record.generation || task.state !== 'waiting') return 'member ended';
     if (task.term !== table.term) return 'partition changed hands';
     return record.state === 'serving' ? 'member ended' : threat;
   }
--- a/packages/testkit/src/audits/group-audit.ts
+++ b/packages/testkit/src/audits/group-audit.ts
@@ -85,7 +85,8 @@
       const task = owner?.claimTable.tasksByJob.get(job)?.get(rank);
       if (owner === undefined || task === undefined || task.job.isCancelled) continue;
       const isHeld =
-        owner.claimTable.reservations.reservedMachineFor(task.name) === machine && task.startedIn !== generation;
+        owner.claimTable.reservations.reservedMachineFor(task.name) === machine &&
+        task.startedGeneration !== generation;
       if (!isHeld) this.world.reportViolation('member_unheld', `${task.name} is admitted and not kept on ${machine}`);
     }
   }
--- a/packages/testkit/test/support/group-mutants.ts
+++ b/packages/testkit/test/support/group-mutants.ts
@@ -115,7 +115,7 @@
         'mayStart',
         (original) =>
           function (this: PartitionGroups, task, machine) {
-            task.startedIn = 0;
+            task.startedGeneration = 0;
             return original.call(this, task, machine);
           },
       ),
--- a/packages/testkit/test/support/placement-mutants.ts
+++ b/packages/testkit/test/support/placement-mutants.ts
@@ -115,7 +115,7 @@
       beforeTick((claimTable) => {
         claimTable.fencedUntil = Math.min(
           claimTable.fencedUntil,
-          claimTable.openedAt + claimTable.clusterConfig.heartbeatIntervalMs,
+          claimTable.acquiredAt + claimTable.clusterConfig.heartbeatIntervalMs,
         );
       }),
   },
