--- a/packages/core/src/autoscaling/autoscaler-types.ts
+++ b/packages/core/src/autoscaling/autoscaler-types.ts
@@ -1,13 +1,13 @@
-// What the autoscaler is given and what it plans.
+// Input and output of the autoscaler.
 import type { MachineType } from '@gingerlock/wire';
 import type { Partitioner } from '../cluster/partitioner';
 import type { UnschedulableDemand } from '../scheduling/assignment-types';
 import type { PartitionStatus } from '../scheduling/partition-status';
 import type { PlannedScaleOut } from './scale-out-plan';
 
-/** What the operators have set. */
+/** The autoscaler's settings. */
 export interface AutoscalerLimits {
-  /** GPUs kept free on ordinary machines, as a share of those in use. */
+  /** GPUs kept available to services on ordinary machines, as a share of the GPUs that services use there. */
   readonly headroom: number;
   readonly maxOrdinaryMachines: number;
   readonly maxSpotMachines: number;
@@ -15,23 +15,23 @@
 
 /** The state of the cluster that a plan is made for. */
 export interface AutoscalerInput {
-  /** On the leader's clock, in milliseconds. */
+  /** Time on the leader's clock, in milliseconds. */
   readonly now: number;
   /** Machine types by name. */
   readonly types: ReadonlyMap<string, MachineType>;
   readonly statuses: readonly PartitionStatus[];
-  /** Tasks that fit nowhere, the most urgent first. */
+  /** Tasks that fit on no machine, the most urgent first. */
   readonly unschedulable: readonly UnschedulableDemand[];
   readonly partitioner: Partitioner;
-  /** Names of machines that are neither emptied nor returned while idle. */
+  /** Names of machines that are neither consolidated nor returned while idle. */
   readonly pinned?: ReadonlySet<string>;
 }
 
-/** What is to be rented, returned and drained now. */
+/** The machines to rent, return and drain now. */
 export interface AutoscalerPlan {
   readonly scaleOut: PlannedScaleOut[];
-  /** Names of machines to be returned. */
+  /** Names of the machines to return. */
   readonly scaleIn: string[];
-  /** Names of machines that are to get no more work. */
+  /** Names of the machines that get no more work. */
   readonly drain: string[];
 }
--- a/packages/core/src/autoscaling/autoscaler.ts
+++ b/packages/core/src/autoscaling/autoscaler.ts
@@ -1,5 +1,5 @@
-// What the leader rents, drains and returns. It only plans; the leader's autoscaling loop talks to the cloud and to the
-// owners.
+// Plans which machines the leader rents, drains and returns. The leader's autoscaling loop sends the plan to the cloud
+// and to the owners.
 import { type CloudMachine, type JobSpec, type MachineType, type RentRequest } from '@gingerlock/wire';
 import { type ClusterConfig, SUSPECT_INTERVALS, workerLeaseBoundMs } from '../cluster/cluster-config';
 import { bootMsOf } from '../cluster/machine-boot-time';
@@ -18,32 +18,33 @@
 import { freeServiceGpus, headroomGpus } from './service-capacity';
 import { type ZoneMachine, ZoneSilence } from './zone-silence';
 
-/** A machine that takes longer than this many usual boot times counts as late: another is rented in its place. */
+/** A machine that boots for longer than this many usual boot times is late: another one is rented in its place. */
 const LATE_BOOTS = 2;
 
-/** One that takes longer than this many is returned. */
+/** A machine that boots for longer than this many usual boot times is returned. */
 const FAILED_BOOTS = 4;
 
-/** A running machine that has been silent for longer than so many worker leases is returned. */
+/** A running machine that has sent no heartbeat for longer than this many worker leases is returned. */
 const SILENT_LEASES = 2;
 
 /**
- * A suspect machine is replaced until it has been silent for so many worker leases: then its tasks wait as others do.
+ * Capacity is planned for the tasks of a suspect machine until it has been silent for this many worker leases. After
+ * that, its tasks are waiting tasks.
  */
 const REPLACED_LEASES = 2;
 
-/** One review of the cluster: its input, and what has been derived from that. */
+/** One review of the cluster: its input, and the state derived from the input. */
 interface Review {
   readonly input: AutoscalerInput;
   readonly statusByName: ReadonlyMap<string, MachineStatus>;
   readonly headroomGpus: number;
-  /** Machines that are on their way and not late. */
+  /** Machines that are booting and not late. */
   readonly booting: KnownMachine[];
   readonly scaleIn: string[];
   readonly drain: Set<string>;
 }
 
-/** Plans how many machines the cluster has; one for each term of the leader. */
+/** Plans the size of the cluster. Each term of the leader has its own autoscaler. */
 export class Autoscaler {
   readonly #inventory: MachineInventory;
   readonly #owners = new OwnerHistory();
@@ -64,42 +65,42 @@
     this.#consolidator = new Consolidator(clusterConfig);
   }
 
-  /** The cloud has rented these machines, maybe fewer than were asked for. */
+  /** Records machines that the cloud has rented for a request; they may be fewer than requested. */
   recordScaleOut(names: readonly string[], request: RentRequest, now: number): void {
     this.#backoff.clear(request);
     this.#inventory.recordScaleOut(names, request, now);
     if (names.length < request.count) this.recordCapacityRefusal(request, now);
   }
 
-  /** The cloud has rented none of what was asked for, or not all. */
+  /** Records that the cloud has rented fewer machines than requested, or none. */
   recordCapacityRefusal(request: RentRequest, now: number): void {
     this.#backoff.recordRefusal(request, now);
   }
 
-  /** Whether the cloud lately had no more of any type and kind that the job may run on in the zone. */
+  /** Whether the cloud has recently refused every type and kind of machine that the job may run on in the zone. */
   lacksCapacityFor(spec: JobSpec, zone: string, types: ReadonlyMap<string, MachineType>, now: number): boolean {
     return rentableOptions(types)
       .filter((option) => option.zone === zone && canRunOnOption(spec, option))
       .every((option) => this.#backoff.wasRefused(option, now));
   }
 
-  /** The cloud has taken these machines back. */
+  /** Records machines that have been returned to the cloud. */
   recordScaleIn(names: readonly string[], now: number): void {
     this.#inventory.recordScaleIn(names, now);
     for (const name of names) this.#draining.delete(name);
   }
 
-  /** Takes a whole list of the cloud's machines. Returns the names of those that have certainly failed. */
+  /** Applies the cloud's complete list of machines. Returns the names of the machines that have certainly failed. */
   applyCloudList(machines: readonly CloudMachine[], now: number): { failed: string[] } {
     return this.#inventory.applyCloudList(machines, now);
   }
 
-  /** Whether the owners' statuses show every machine that is listed as up, of which there is one at least. */
+  /** Whether the cloud lists at least one running machine and the owners' statuses contain all running ones. */
   hasStatusOfAll(statuses: readonly PartitionStatus[]): boolean {
     return this.#inventory.hasStatusOfAll(statuses);
   }
 
-  /** Whether there is a machine of that type. */
+  /** Whether a known machine is of the type. */
   hasMachineOfType(type: string): boolean {
     return [...this.machines.values()].some((machine) => machine.type === type);
   }
@@ -109,22 +110,22 @@
     return this.#inventory.machines;
   }
 
-  /** The figures of all machines, for the log. */
+  /** Counts of machines and GPUs of the cluster, for the log. */
   figures(statuses: readonly PartitionStatus[], types: ReadonlyMap<string, MachineType>): ClusterFigures {
     const machines = statuses.flatMap((status) => status.machines);
     return clusterFigures(this.machines.values(), machines, types);
   }
 
   /**
-   * How long until an ordinary machine that is rented now could run a task of the job, in milliseconds; Infinity:
-   * none can.
+   * How long an ordinary machine that can run a task of the job takes to boot if it is rented now, in milliseconds.
+   * Infinity if no machine type can run it.
    */
   scaleOutMs(spec: JobSpec, types: ReadonlyMap<string, MachineType>): number {
     const options = rentableOptions(types).filter((option) => !option.spot && canRunOnOption(spec, option));
     return Math.min(Infinity, ...options.map(({ type }) => bootMsOf(type)));
   }
 
-  /** Plans what is to be rented, returned and drained now, and remembers what it drains. */
+  /** Plans which machines to rent, return and drain now, and remembers which ones it drains. */
   plan(input: AutoscalerInput): AutoscalerPlan {
     const review = this.#newReview(input);
     this.#inventory.observe(review.statusByName.values(), input.now);
@@ -132,7 +133,7 @@
     this.#observeZones(review);
     for (const machine of this.machines.values()) this.#reviewMachine(machine, review);
     const plan = this.#planScaleOut(review);
-    // Names are never reused: they carry the leader's term.
+    // Request names are unique across leaders because they contain the leader's term.
     const scaleOut = plan.requests(() => `r-${this.term}-${++this.#requestCount}`);
     this.#planScaleIn(review, scaleOut, plan.kept);
     this.#draining = review.drain;
@@ -153,7 +154,7 @@
     };
   }
 
-  /** Notes the zones of which most running machines have fallen silent. */
+  /** Records the zones in which most running machines send no heartbeats. */
   #observeZones({ input, statusByName }: Review): void {
     const { now, types, partitioner } = input;
     const { heartbeatIntervalMs, cloudListLagMs } = this.clusterConfig;
@@ -169,7 +170,7 @@
     this.#zones.observe(machines, now + longestBootMs * LATE_BOOTS + cloudListLagMs);
   }
 
-  /** Finds out whether one machine is to be returned or drained whatever the rest does, or is on its way. */
+  /** Decides from a machine's own state whether it is returned or drained, or counts as booting. */
   #reviewMachine(machine: KnownMachine, { input, statusByName, booting, scaleIn, drain }: Review): void {
     const { now, types, partitioner } = input;
     const { name, state, createdAt } = machine;
@@ -183,8 +184,8 @@
       now - this.#owners.silentSince(machine, partitioner) >
       SILENT_LEASES * workerLeaseBoundMs(this.clusterConfig)
     ) {
-      // Up, and silent for longer than any lease. The cloud's answer proves it gone, before its partition's fencing
-      // period would end.
+      // The machine is up and has been silent for longer than any worker lease. The cloud's answer to the return proves
+      // that it is gone, which is sooner than the end of its partition's fencing period.
       scaleIn.push(name);
     } else if (status?.isQuarantined === true) drain.add(name);
   }
@@ -193,8 +194,8 @@
     const { input, statusByName } = review;
     const plan = this.#newScaleOutPlan(review);
     for (const machine of this.#machinesToReplace(statusByName)) plan.replace(machine);
-    // Capacity for what comes next, on top of what is asked for now, and for what new owners still await the heartbeats
-    // of: a boot takes longer than most objectives allow.
+    // Spare capacity for new services, and for services whose heartbeats new owners still wait for, is rented in
+    // advance: a boot takes longer than most objectives allow.
     const freeGpus = freeServiceGpus(statusByName.values());
     plan.serve(input.unschedulable, review.headroomGpus - freeGpus);
     plan.keepSpare(freeGpus, review.headroomGpus);
@@ -220,8 +221,8 @@
   }
 
   /**
-   * The machines that have fallen silent: what runs there will most likely be wanted elsewhere once their leases are
-   * over, so a boot begins now. None if they are half of all or more: then the fault is not theirs.
+   * The suspect machines, for which replacements are booted before their worker leases expire. Empty if half of all
+   * machines or more are suspect: then the fault is probably not in the machines.
    */
   #machinesToReplace(statusByName: ReadonlyMap<string, MachineStatus>): readonly MachineStatus[] {
     const suspects = [...statusByName.values()].filter(
@@ -231,7 +232,7 @@
     return suspects.length * 2 < statusByName.size ? suspects : [];
   }
 
-  /** Whether the machine gets no more work, and is to be returned, for being idle alone. */
+  /** Whether the machine is being drained only because it is idle. */
   #isDrainingForIdleness(machine: MachineStatus): boolean {
     return (
       this.#draining.has(machine.name) &&
@@ -243,7 +244,7 @@
     );
   }
 
-  /** Adds the idle machines that can be spared to the review, and those that are to be emptied. */
+  /** Adds to the review the idle machines that can be spared, and the nearly empty ones to consolidate. */
   #planScaleIn(review: Review, scaleOut: readonly PlannedScaleOut[], kept: ReadonlySet<string>): void {
     const { input, statusByName, drain, scaleIn } = review;
     const isScalingOut = scaleOut.length > 0;
@@ -279,9 +280,9 @@
   }
 
   /**
-   * Whether spot machines alone are rented for the job: that is work of a team without a guarantee which may run on
-   * them. It takes what is free on ordinary machines, and none are rented or kept for it: long idle work would make
-   * the whole cluster more expensive.
+   * Whether only spot machines are rented for the job: its team has no guarantee, and it may run on spot machines.
+   * It uses free resources of ordinary machines, but none are rented or kept for it: long jobs of low urgency would
+   * make the whole cluster more expensive.
    */
   #waitsForSpot({ team: name, spot }: JobSpec): boolean {
     const team = this.clusterConfig.teams.get(name);
--- a/packages/core/src/autoscaling/capacity-backoff.ts
+++ b/packages/core/src/autoscaling/capacity-backoff.ts
@@ -1,27 +1,24 @@
-// Which machines are not asked for for a while, since the cloud had no more of them.
+// Backoff for machine options that the cloud has refused for lack of capacity.
 import type { RentRequest } from '@gingerlock/wire';
 import type { ClusterConfig } from '../cluster/cluster-config';
 import { type MachineOption, machineOptionKey } from './machine-option';
 
-/**
- * The longest time for which an option is not asked for, and how long after that it counts as refused, in heartbeat
- * intervals.
- */
+/** The longest backoff of an option, and how long after its backoff it counts as refused, in heartbeat intervals. */
 const MAX_BACKOFF_INTERVALS = 16;
 
 interface Refusal {
-  /** The option is not asked for before. */
+  /** End of the backoff, on the leader's clock, in milliseconds. */
   readonly until: number;
   readonly backoffMs: number;
 }
 
-/** The cloud's refusals for lack of capacity: each one in a row doubles the time for which the option is left out. */
+/** Tracks the cloud's refusals for lack of capacity. Each consecutive refusal doubles the option's backoff. */
 export class CapacityBackoff {
   readonly #refusalByOption = new Map<string, Refusal>();
 
   constructor(readonly clusterConfig: ClusterConfig) {}
 
-  /** The cloud had fewer machines than were asked for. */
+  /** Records that the cloud rented fewer machines than requested, or none. */
   recordRefusal({ type, zone, spot }: RentRequest, now: number): void {
     const key = machineOptionKey(type, zone, spot);
     const lastMs = this.#refusalByOption.get(key)?.backoffMs ?? this.clusterConfig.heartbeatIntervalMs;
@@ -29,18 +26,18 @@
     this.#refusalByOption.set(key, { until: now + backoffMs, backoffMs });
   }
 
-  /** The cloud has rented machines of the kind. */
+  /** Removes the backoff of the option after the cloud has rented a machine of it. */
   clear({ type, zone, spot }: RentRequest): void {
     this.#refusalByOption.delete(machineOptionKey(type, zone, spot));
   }
 
-  /** Whether the option is not to be asked for yet. */
+  /** Whether no machine of the option may be requested yet. */
   isBackingOff(option: MachineOption, now: number): boolean {
     const refusal = this.#refusalOf(option);
     return refusal !== undefined && refusal.until > now;
   }
 
-  /** Whether the cloud lately had no more of the option: it may be full still. */
+  /** Whether the cloud has recently refused the option, so that it may still lack capacity for it. */
   wasRefused(option: MachineOption, now: number): boolean {
     const refusal = this.#refusalOf(option);
     return refusal !== undefined && now - refusal.until < this.#maxBackoffMs;
--- a/packages/core/src/autoscaling/cluster-figures.ts
+++ b/packages/core/src/autoscaling/cluster-figures.ts
@@ -1,28 +1,29 @@
-// The figures of all machines that the leader logs.
+// Counts of machines and GPUs that the leader logs.
 import type { MachineType } from '@gingerlock/wire';
 import type { MachineStatus } from '../scheduling/partition-status';
 import type { KnownMachine } from './machine-inventory';
 import { machineUse } from './machine-use';
 import { BATCH_PRIORITY } from './service-capacity';
 
-/** Counts of machines, and GPUs of the ordinary ones. */
+/** Counts of all machines, and of the GPUs of ordinary machines. */
 export interface ClusterFigures {
-  /** Machines that are known, by kind. */
+  /** Known ordinary machines. */
   ordinary: number;
+  /** Known spot machines. */
   spot: number;
-  /** Machines that are known and in no owner's status. */
+  /** Known machines that no owner's status contains. */
   unheardMachines: number;
-  /** Machines that hold nothing and for which nothing is planned. */
+  /** Machines that hold no tasks and for which no waiting task is planned. */
   idle: number;
   /** GPUs that services use. */
   used: number;
   /** GPUs that batch work uses. */
   batch: number;
-  /** GPUs that are free. */
+  /** Free GPUs. */
   free: number;
 }
 
-/** Sums up the known machines and their statuses. */
+/** Computes the counts from the known machines and their statuses. */
 export function clusterFigures(
   known: Iterable<KnownMachine>,
   machines: readonly MachineStatus[],
--- a/packages/core/src/autoscaling/consolidation-budget.ts
+++ b/packages/core/src/autoscaling/consolidation-budget.ts
@@ -1,19 +1,19 @@
-// What may be spared for emptying machines: GPUs in all, free GPUs of the same zone, and one machine a partition.
+// Limits on consolidation: spare GPUs in the cluster, free GPUs in the zone, and one ordinary machine per partition.
 import type { Partitioner } from '../cluster/partitioner';
 import type { MachineStatus } from '../scheduling/partition-status';
 
-/** A machine that could be emptied. */
+/** A machine that could be consolidated. */
 export interface ConsolidationCandidate {
   readonly machine: MachineStatus;
-  /** GPUs of the tasks that would have to go elsewhere. */
+  /** GPUs of the tasks that would have to move to other machines. */
   readonly usedGpus: number;
-  /** GPUs that a machine of the type has. */
+  /** GPUs of a machine of this type. */
   readonly totalGpus: number;
   /** Price per hour and GPU. */
   readonly price: number;
 }
 
-/** The GPUs that can be spared while machines are chosen for emptying. */
+/** Tracks the GPUs that can be spared while machines are chosen for consolidation. */
 export class ConsolidationBudget {
   readonly #busyPartitions = new Set<number>();
 
@@ -25,7 +25,10 @@
     readonly freeGpusByZone: Map<string, number>,
   ) {}
 
-  /** Counts the machine as emptied; false: its resources can't be spared, or what it holds fits nowhere in its zone. */
+  /**
+   * Deducts the machine from the budget. Returns false, and deducts nothing, if its resources cannot be spared or its
+   * replicas cannot move.
+   */
   spend(candidate: ConsolidationCandidate): boolean {
     const { machine } = candidate;
     const kind = machine.spot ? 'spot' : 'ordinary';
@@ -37,7 +40,8 @@
   }
 
   /**
-   * Counts the replicas of a machine as moved to others of its zone, if they fit and its partition empties no other.
+   * Counts the replicas of a machine as moved within its zone. Returns false if they do not fit there, or if another
+   * machine of its partition is already being consolidated.
    */
   #moveWithinZone({ machine, usedGpus }: ConsolidationCandidate): boolean {
     const { name, zone, takesWork, free } = machine;
@@ -51,8 +55,8 @@
 }
 
 /**
- * GPUs fewer to spare once the machine is emptied. What is free on one that takes no more work is not among the spare
- * ones.
+ * How many spare GPUs the cluster loses if the machine is consolidated. The free GPUs of a machine that takes no more
+ * work are not counted as spare.
  */
 function costOf({ machine, usedGpus, totalGpus }: ConsolidationCandidate): number {
   if (machine.takesWork) return totalGpus;
--- a/packages/core/src/autoscaling/consolidation.ts
+++ b/packages/core/src/autoscaling/consolidation.ts
@@ -1,4 +1,4 @@
-// Consolidation: which machines that are nearly empty are emptied, because their resources can be spared.
+// Consolidation: drains nearly empty machines whose resources can be spared.
 import type { MachineType } from '@gingerlock/wire';
 import type { ClusterConfig } from '../cluster/cluster-config';
 import { bootMsOf } from '../cluster/machine-boot-time';
@@ -10,47 +10,47 @@
 import { machineUse } from './machine-use';
 import { BATCH_PRIORITY } from './service-capacity';
 
-/** So many boot times a machine has to become empty. */
+/** The longest time that the consolidation of a machine may take, in boot times of its type. */
 const MAX_CONSOLIDATION_BOOTS = 2;
 
-/** A machine that could not be emptied is tried again after so many times as long as it had, counted from the start. */
+/** A failed consolidation is retried after this many times its longest duration, counted from its start. */
 const RETRY_FACTOR = 4;
 
-/** GPUs for coming batch work that are kept free on spot machines, as a share of those in use there. */
+/** GPUs kept free on spot machines for new batch work, as a share of the GPUs in use there. */
 const SPOT_SPARE = 0.25;
 
-/** What the choice of machines to empty depends on. */
+/** Input of the choice of machines to consolidate. */
 export interface ConsolidationInput {
   readonly now: number;
   readonly types: ReadonlyMap<string, MachineType>;
   readonly partitioner: Partitioner;
-  /** Names of machines that are not to be emptied. */
+  /** Names of machines that must not be consolidated. */
   readonly pinned: ReadonlySet<string> | undefined;
   readonly machines: Iterable<MachineStatus>;
   /** Names of the machines that are being drained already. */
   readonly draining: ReadonlySet<string>;
-  /** GPUs that ordinary machines have for services beyond the headroom. */
+  /** GPUs of ordinary machines that are available to services beyond the headroom. */
   readonly spareOrdinaryGpus: number;
 }
 
-/** What is free and used on the machines that are well. */
+/** Free and used GPUs of the healthy machines, and the machines that could be consolidated. */
 interface Survey {
   readonly candidates: ConsolidationCandidate[];
   readonly freeOrdinaryGpusByZone: Map<string, number>;
   readonly spot: { freeGpus: number; usedGpus: number };
 }
 
-/** Chooses the machines to be emptied, review after review. */
+/** Chooses the machines to consolidate in each review. */
 export class Consolidator {
-  /** By name of each machine that is being emptied, or could not be lately: when that began. */
+  /** When consolidation started, by name of each machine that is being consolidated or where it recently failed. */
   #startedAtByMachine: ReadonlyMap<string, number> = new Map();
 
   constructor(readonly clusterConfig: ClusterConfig) {}
 
   /**
-   * The names of machines that are to get no more work since they are nearly empty and can be spared. Batch work on
-   * spot machines ends soon; replicas last for minutes, so the owner moves them to where they are up again at once,
-   * if it can.
+   * Returns the names of the nearly empty machines that can be spared and get no more work. Batch tasks on spot
+   * machines end soon. Replicas run for minutes, so the owner moves them to machines that can start them quickly, if
+   * there are any.
    */
   plan(input: ConsolidationInput): string[] {
     const { now, types, partitioner, draining } = input;
@@ -86,7 +86,7 @@
 
 function candidateOf(machine: MachineStatus, types: ReadonlyMap<string, MachineType>): ConsolidationCandidate {
   const type = types.get(machine.type);
-  // Replicas alone have to be moved off an ordinary machine; off a spot machine, nothing is.
+  // Only replicas have to be moved off an ordinary machine; nothing is moved off a spot machine.
   const using = machine.spot ? machine.byPriority : machine.byPriority.slice(0, BATCH_PRIORITY);
   return {
     machine,
@@ -117,7 +117,8 @@
 }
 
 /**
- * What is being emptied goes on being emptied; then the most expensive, and of those that cost the same the emptiest.
+ * Orders machines for consolidation: those already being drained, then the most expensive, then those with the fewest
+ * GPUs in use.
  */
 function compareCandidates(
   draining: ReadonlySet<string>,
--- a/packages/core/src/autoscaling/idle-scale-in.ts
+++ b/packages/core/src/autoscaling/idle-scale-in.ts
@@ -1,4 +1,4 @@
-// Which idle machines are drained, and returned once their owners have confirmed that.
+// Drains idle machines, and returns them once their owners have confirmed the drain.
 import type { MachineType } from '@gingerlock/wire';
 import type { ClusterConfig } from '../cluster/cluster-config';
 import { bootMsOf } from '../cluster/machine-boot-time';
@@ -7,43 +7,43 @@
 import { machineUse } from './machine-use';
 import { freeServiceGpus } from './service-capacity';
 
-/**
- * An idle machine is kept for this many boot times, and always for a few heartbeat intervals: where machines boot at
- * once, it would otherwise be returned before its first task could be assigned to it, and rented again.
- */
+/** An idle machine is kept for at least this many boot times. */
 const IDLE_BOOTS = 0.5;
 
-/** The heartbeat intervals for which an idle machine is always kept. */
+/**
+ * An idle machine is kept for at least this many heartbeat intervals: a machine with a very short boot time would
+ * otherwise be returned before its first task is assigned, and rented again.
+ */
 const MIN_IDLE_INTERVALS = 5;
 
-/** What the choice of idle machines depends on. */
+/** Input of the choice of idle machines. */
 export interface IdleScaleInInput {
   readonly clusterConfig: ClusterConfig;
   readonly types: ReadonlyMap<string, MachineType>;
   readonly machines: Iterable<MachineStatus>;
-  /** Whether the machine was returned: an owner may still show it. */
+  /** Whether the machine was returned; an owner's status may still contain it. */
   readonly isReturned: (name: string) => boolean;
-  /** Whether the machine is not to be drained, or to be returned for another reason. */
+  /** Whether the machine must not be drained, or is returned for another reason. */
   readonly isExempt: (name: string) => boolean;
-  /** Whether the machine was being drained already, or is to be. */
+  /** Whether the machine is already being drained, or is drained for another reason. */
   readonly isDraining: (name: string) => boolean;
-  /** Whether more idle machines may be drained than are already. */
+  /** Whether further idle machines may be drained. */
   readonly mayDrainMore: boolean;
-  /** GPUs that ordinary machines should have free for services. */
+  /** GPUs of ordinary machines that are kept available for services. */
   readonly headroomGpus: number;
 }
 
-/** The idle machines to drain and to return, by name. */
+/** The names of the idle machines to drain and to return. */
 export interface IdleScaleIn {
   readonly drain: readonly string[];
   readonly scaleIn: readonly string[];
-  /** GPUs that ordinary machines then have for services beyond the headroom. */
+  /** GPUs of ordinary machines that remain available to services beyond the headroom. */
   readonly spareGpus: number;
 }
 
 /**
- * Chooses machines that have been idle for about a boot time, the most expensive first, if enough is free without
- * them.
+ * Chooses machines that have been idle for long enough, the most expensive first, as long as the headroom is kept
+ * without them.
  */
 export function planIdleScaleIn(input: IdleScaleInInput): IdleScaleIn {
   const present = [...input.machines].filter(
@@ -60,13 +60,13 @@
     if (!input.isDraining(machine.name) && !mayStart) continue;
     if (!machine.spot && machine.takesWork) ordinaryGpus -= gpus;
     drain.push(machine.name);
-    // Its owner has confirmed that it starts nothing there any more and that nothing is there.
+    // The owner has confirmed that the machine is empty and that it starts no more tasks there.
     if (machine.draining) scaleIn.push(machine.name);
   }
   return { drain, scaleIn, spareGpus: ordinaryGpus - input.headroomGpus };
 }
 
-/** The idle machines, the most expensive first, and of those that cost the same the one that has been idle longest. */
+/** The idle machines, the most expensive first; among equal prices, the one that has been idle longest first. */
 function idleMachines(
   machines: readonly MachineStatus[],
   types: ReadonlyMap<string, MachineType>,
--- a/packages/core/src/autoscaling/machine-inventory.ts
+++ b/packages/core/src/autoscaling/machine-inventory.ts
@@ -1,43 +1,47 @@
-// The machines that the leader knows of: from what it rented, from the cloud's lists and from the owners' statuses.
+// The machines that the leader knows from its own requests, from the cloud's lists and from the owners' statuses.
 import type { CloudMachine, RentRequest } from '@gingerlock/wire';
 import type { ClusterConfig } from '../cluster/cluster-config';
 import type { MachineStatus, PartitionStatus } from '../scheduling/partition-status';
 
-/** What is known of one machine. Moments are on the leader's clock, in milliseconds. */
+/** A known machine. Times are on the leader's clock, in milliseconds. */
 export interface KnownMachine {
   readonly name: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   /**
-   * When it was rented, at the latest: known for what this leader rented, otherwise bounded by each list that shows it.
+   * Latest time at which it can have been rented: when this leader recorded the rental or first saw the machine. Each
+   * list that contains the machine can tighten it.
    */
   createdAt: number;
-  /** vanished: not listed any more. Returned once more, for the answer to that is proof. */
+  /** vanished: lists no longer contain it. It is returned again, because the cloud's answer proves that it is gone. */
   state: 'booting' | 'running' | 'failed' | 'vanished';
-  /** The latest time that a list describes in which it was; null: it was in none. */
+  /** Latest time described by a list that contained it; null if no list did. */
   listedAsOf: number | null;
-  /** Since when it is up, as far as lists and heartbeats show. */
+  /** When lists or heartbeats first showed it as up; null if none has. */
   upSince: number | null;
-  /** When it sent the last heartbeat that a status shows; null: none shows any. */
+  /** Time of the last heartbeat reported in a status; null if none has been reported. */
   lastHeartbeatAt: number | null;
-  /** Since when lists that should show it do not; null: none lacks it. */
+  /** Since when it has been missing from lists that should contain it; null if it is not missing. */
   missingSince: number | null;
 }
 
-/** What tells one machine from others, and when it was rented at the latest. */
+/** Identity of a machine, and the latest time at which it can have been rented. */
 type MachineOrigin = Pick<KnownMachine, 'name' | 'type' | 'zone' | 'spot' | 'createdAt'>;
 
-/** How long a machine that was listed before has to be missing, in list lags: lists may go back in time. */
+/**
+ * How long a machine that was listed has to be missing to count as vanished, in list lags: a list may describe an
+ * earlier time than the list before it.
+ */
 const MISSING_LAGS = 2;
 
-/** How long a machine that was never listed has to be missing, in list lags. */
+/** How long a machine that was never listed has to be missing to count as vanished, in list lags. */
 const NEVER_LISTED_LAGS = 6;
 
-/** How long a returned machine is remembered, in list lags: lists and owners may still show it. */
+/** How long a returned machine is remembered, in list lags: lists and owners' statuses may still contain it. */
 const RETURNED_LAGS = 20;
 
-/** The known machines, and those that were returned lately. */
+/** Tracks the known machines and the recently returned ones. */
 export class MachineInventory {
   /** By name. */
   readonly machines = new Map<string, KnownMachine>();
@@ -46,14 +50,14 @@
 
   constructor(readonly clusterConfig: ClusterConfig) {}
 
-  /** The cloud has rented these machines. */
+  /** Adds machines that the cloud has rented for a request. */
   recordScaleOut(names: readonly string[], { type, zone, spot }: RentRequest, now: number): void {
     for (const name of names) {
       if (!this.isReturned(name)) this.#knownOrNew({ name, type, zone, spot, createdAt: now });
     }
   }
 
-  /** The cloud has taken these machines back. */
+  /** Removes machines that have been returned to the cloud. */
   recordScaleIn(names: readonly string[], now: number): void {
     for (const name of names) {
       this.machines.delete(name);
@@ -61,12 +65,12 @@
     }
   }
 
-  /** Whether the machine was returned lately: lists and owners may still show it. */
+  /** Whether the machine was recently returned; lists and owners' statuses may still contain it. */
   isReturned(name: string): boolean {
     return this.#returnedAtByName.has(name);
   }
 
-  /** Takes the owners' statuses of their machines. */
+  /** Applies the owners' statuses of their machines. */
   observe(statuses: Iterable<MachineStatus>, now: number): void {
     for (const { name, type, zone, spot, silentMs } of statuses) {
       if (this.isReturned(name)) continue;
@@ -77,11 +81,11 @@
     }
   }
 
-  /** Takes a whole list of the cloud's machines. Returns the names of those that have certainly failed. */
+  /** Applies the cloud's complete list of machines. Returns the names of the machines that have certainly failed. */
   applyCloudList(listed: readonly CloudMachine[], now: number): { failed: string[] } {
     const describedAt = this.#describedAt(listed, now);
     for (const machine of listed) {
-      // A list may be older than the return.
+      // The list may be older than the return.
       if (!this.isReturned(machine.name)) this.#applyListed(machine, describedAt, now);
     }
     this.#hasAppliedList = true;
@@ -96,14 +100,14 @@
     known.listedAsOf = Math.max(known.listedAsOf ?? -Infinity, describedAt);
     known.missingSince = null;
     if (known.state !== 'failed') known.state = state;
-    // When a machine of the first list came up is not known: it may have been up all the time.
+    // For a machine of the first list, the time since when it is up is unknown: it may have been up since its creation.
     if (state === 'running') known.upSince ??= this.#hasAppliedList ? now : createdAt;
   }
 
   /**
-   * Marks machines as vanished that lists lack for long enough and that send no heartbeat. They are not just
-   * forgotten: their partitions would show them as silent for ever, and a zone of such machines would count as cut
-   * off and get no machine.
+   * Marks machines as vanished that have been missing from lists for long enough and send no heartbeats. If they were
+   * only removed here, their partitions would report them as silent forever, and a zone with only such machines
+   * would count as unreachable and get no machines.
    */
   #markMissing(listedNames: ReadonlySet<string>, describedAt: number, now: number): void {
     const { cloudListLagMs, workerLeaseMs } = this.clusterConfig;
@@ -122,9 +126,9 @@
   }
 
   /**
-   * The time that a list describes, at the latest; it may be long ago. The age of a machine in it is as of then, and
-   * when it was created is known or bounded: the machine with the tightest bound decides. Tightens the bounds of the
-   * machines.
+   * Returns the latest time that a list can describe; the list may be far out of date. A machine's age in the list
+   * refers to that time, so the creation time (or its upper bound) plus the age bounds it; the tightest bound is
+   * used. Also tightens the upper bounds of the machines' creation times.
    */
   #describedAt(listed: readonly CloudMachine[], now: number): number {
     let earliest = Infinity;
@@ -137,7 +141,7 @@
     return Math.min(now, earliest);
   }
 
-  /** Whether the owners' statuses show every machine that is listed as up, of which there is one at least. */
+  /** Whether at least one machine is running and the owners' statuses contain all running ones. */
   hasStatusOfAll(statuses: readonly PartitionStatus[]): boolean {
     const shown = new Set(statuses.flatMap(({ machines }) => machines.map(({ name }) => name)));
     const running = [...this.machines.values()].filter(({ state }) => state === 'running');
@@ -166,8 +170,8 @@
 }
 
 /**
- * Whether a list that describes that time shows the machine if it is not gone. An older list proves nothing: machines
- * would be returned for it while they boot.
+ * Whether a list that describes the given time contains the machine if it still exists. If older lists counted,
+ * machines would be returned while they boot.
  */
 function shouldBeListed({ listedAsOf, createdAt }: KnownMachine, describedAt: number): boolean {
   return describedAt > (listedAsOf ?? createdAt);
--- a/packages/core/src/autoscaling/machine-silence.ts
+++ b/packages/core/src/autoscaling/machine-silence.ts
@@ -1,19 +1,19 @@
-// For how long machines have sent no heartbeat that their owners could have received.
+// How long machines have been silent, that is, how long their owners have received no heartbeat from them.
 import { type ClusterConfig, SUSPECT_INTERVALS } from '../cluster/cluster-config';
 import type { Partitioner } from '../cluster/partitioner';
 import type { MachineStatus, PartitionStatus } from '../scheduling/partition-status';
 import type { KnownMachine } from './machine-inventory';
 
-/** Whether the machine has been silent for so long that what it holds will most likely be wanted elsewhere. */
+/** Whether the machine has been silent for so long that its tasks will probably have to run elsewhere. */
 export function isSuspect(machine: MachineStatus, clusterConfig: ClusterConfig): boolean {
   return machine.silentMs > clusterConfig.heartbeatIntervalMs * SUSPECT_INTERVALS;
 }
 
-/** Since when each partition's owner has published its status to this leader. */
+/** Tracks since when each partition's current owner has published its status to this leader. */
 export class OwnerHistory {
   readonly #byPartition = new Map<number, { readonly term: number; readonly since: number }>();
 
-  /** Takes the statuses of all partitions that have an owner now. */
+  /** Applies the statuses of all partitions that have an owner now. */
   observe(statuses: readonly PartitionStatus[], now: number): void {
     for (const { partitionId, term } of statuses) {
       if (this.#byPartition.get(partitionId)?.term !== term) this.#byPartition.set(partitionId, { term, since: now });
@@ -24,9 +24,9 @@
   }
 
   /**
-   * Since when the machine's heartbeats could have been received and were not; Infinity: its partition has no owner.
-   * A new owner or a new leader has to be given the time to receive one first: silence from before proves nothing,
-   * and healthy machines would be returned for it.
+   * Returns since when the owner could have received a heartbeat of the machine and has not; Infinity if its partition
+   * has no owner. Earlier time is not counted: a new owner or leader has not received any heartbeats yet, and
+   * healthy machines would be returned.
    */
   silentSince({ name, zone, lastHeartbeatAt, upSince }: KnownMachine, partitioner: Partitioner): number {
     const owner = this.#byPartition.get(partitioner.partitionOf(name, zone));
--- a/packages/core/src/autoscaling/scale-out-choice.ts
+++ b/packages/core/src/autoscaling/scale-out-choice.ts
@@ -1,4 +1,5 @@
-// Which machine to rent: the one objective for waiting tasks, for spare capacity and for what runs on suspect machines.
+// Chooses which machine to rent, with one cost function for waiting tasks, spare capacity and replacements of suspect
+// machines.
 import { isRentable, type MachineType } from '@gingerlock/wire';
 import type { ClusterConfig } from '../cluster/cluster-config';
 import { bootMsOf } from '../cluster/machine-boot-time';
@@ -8,46 +9,46 @@
 import { capacityOf, type MachineOption } from './machine-option';
 import type { ScaleOutDemand } from './scale-out-demand';
 
-/** What an option costs, and of what that is made. */
+/** The cost of an option and its components. */
 export interface ScaleOutCost {
   readonly option: MachineOption;
-  /** How soon a task could run there, in milliseconds: boot and fetch of its image. */
+  /** Time until a task could run there, in milliseconds: boot and image fetch. */
   readonly startMs: number;
-  /** Its price per hour against the least that any type asks for the waiting tasks that it would hold. */
+  /** Ratio of its price per hour to the least price per hour for the waiting tasks that it would hold. */
   readonly costRatio: number;
-  /** The cost ratio weighted by the time to start. The least is chosen. */
+  /** The cost ratio weighted by the time to start; the option with the lowest cost is chosen. */
   readonly cost: number;
 }
 
-/** The option that serves a demand best, and what it was compared with. */
+/** The option chosen for a demand, and the next best one. */
 export interface ScaleOutChoice {
   readonly chosen: ScaleOutCost;
-  /** The best option of another type or kind; null: there is none. */
+  /** The best option of another type or kind; null if there is none. */
   readonly nextBest: ScaleOutCost | null;
 }
 
-/** What a choice depends on. */
+/** Input of a choice. */
 export interface ScaleOutContext {
   readonly clusterConfig: ClusterConfig;
   /** Machine types by name. */
   readonly types: ReadonlyMap<string, MachineType>;
-  /** By zone: how many machines it has, those to be rented now included. */
+  /** Number of machines by zone, including those planned for this scale-out. */
   readonly machinesIn: ReadonlyMap<string, number>;
-  /** The tasks to be served, and after them what else waits: it could share the machine. */
+  /** The demand that needs a machine, followed by other demands that could share the machine. */
   readonly demands: readonly ScaleOutDemand[];
-  /** What may be rented. */
+  /** The options that may be rented. */
   readonly options: readonly MachineOption[];
-  /** Whether the cloud lately had no more of the option: it may be full still. */
+  /** Whether the cloud has recently refused the option, so that it may still lack capacity for it. */
   readonly wasRefused: (option: MachineOption) => boolean;
 }
 
-/** The time until a task starts is paid for, and it is waited for. */
+/** Weight of the time until a task starts: it costs rent, and it delays the task. */
 const START_WEIGHT = 2;
 
-/** A service is expected to run for so many worker leases: its job does not say how long it does. */
+/** Expected run time of a service in worker leases; its job specification has no estimate. */
 const SERVICE_LEASES = 10;
 
-/** The option that serves the first demand best; null: nothing may be rented. */
+/** Chooses the option with the lowest cost for the first demand; null if no option may be rented. */
 export function chooseMachineOption(context: ScaleOutContext): ScaleOutChoice | null {
   const costByType = new Map<MachineType, TypeCost>();
   const costs = context.options.map((option) => {
@@ -63,10 +64,10 @@
   return { chosen, nextBest: costs.find(isOtherKind) ?? null };
 }
 
-/** What the options of one type have in common. */
+/** The part of the cost that all options of one type share. */
 interface TypeCost {
   readonly startMs: number;
-  /** What the tasks that would share the machine are worth per hour, at the least price for each. */
+  /** Least price per hour, over all types, for the tasks that would share the machine. */
   readonly worth: number;
 }
 
@@ -97,7 +98,7 @@
   return { option, startMs, costRatio, cost: costRatio * slowness };
 }
 
-/** The least price per hour of what one task needs, on any type and kind that it may run on; 0: it may run on none. */
+/** The least price per hour for one task on any type and kind that it may run on; 0 if it may run on none. */
 function leastPrice(demand: ScaleOutDemand, types: ReadonlyMap<string, MachineType>): number {
   let least = Infinity;
   for (const type of types.values()) {
@@ -110,8 +111,8 @@
 }
 
 /**
- * The order of options that cost the same, whatever order they come in: those that were not refused lately first,
- * then the zone with the fewest machines, then as the settings list the zones.
+ * Orders options of equal cost, independently of their order in the input: options that were not recently refused
+ * first, then by the number of machines in the zone, then by the order of the zones in the settings.
  */
 function compareOptions(context: ScaleOutContext, a: MachineOption, b: MachineOption): number {
   const { clusterConfig, machinesIn, wasRefused } = context;
--- a/packages/core/src/autoscaling/scale-out-plan.ts
+++ b/packages/core/src/autoscaling/scale-out-plan.ts
@@ -1,4 +1,5 @@
-// What one review of the cluster rents: for what runs on suspect machines, for waiting tasks, and for spare capacity.
+// Plans what to rent in one review of the cluster: replacements of suspect machines, machines for waiting tasks, and
+// spare capacity.
 import type { JobSpec, MachineType, RentRequest } from '@gingerlock/wire';
 import type { ClusterConfig } from '../cluster/cluster-config';
 import { allowsMachine } from '../cluster/placement-constraints';
@@ -23,44 +24,44 @@
   readonly reason: ScaleOutReason;
 }
 
-/** What a plan depends on. */
+/** Input of a plan. */
 export interface ScaleOutPlanInput {
   readonly clusterConfig: ClusterConfig;
   /** Machine types by name. */
   readonly types: ReadonlyMap<string, MachineType>;
-  /** Machines that are on their way. */
+  /** Machines that are booting and not late. */
   readonly booting: readonly { readonly type: string; readonly zone: string; readonly spot: boolean }[];
-  /** Idle machines that were to be returned: using them takes no boot, so they are kept before others are rented. */
+  /** Machines drained only because they are idle; they need no boot, so they are kept before others are rented. */
   readonly drainingIdleMachines: readonly MachineStatus[];
-  /** All machines that are rented. */
+  /** All rented machines. */
   readonly known: Iterable<{ readonly zone: string; readonly spot: boolean }>;
   readonly maxOrdinaryMachines: number;
   readonly maxSpotMachines: number;
-  /** Whether the option is likely to be had, and its machines to be reached. */
+  /** Whether machines of the option may be requested: it is not backing off, and its zone is not silent. */
   readonly isOpen: (option: MachineOption) => boolean;
-  /** Whether most machines of the zone have fallen silent. */
+  /** Whether most machines of the zone are silent. */
   readonly isSilent: (zone: string) => boolean;
-  /** Whether the cloud lately had no more of the option. */
+  /** Whether the cloud has recently refused the option. */
   readonly wasRefused: (option: MachineOption) => boolean;
-  /** Whether spot machines alone are rented for the job. */
+  /** Whether only spot machines are rented for the job. */
   readonly onlySpot: (spec: JobSpec) => boolean;
 }
 
-/** A machine that is on its way, is kept, or is to be rented. */
+/** A machine that is booting, is kept, or is to be rented. */
 interface PlannedMachine {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
-  /** What the plan has not given to tasks yet. */
+  /** Resources that the plan has not yet reserved for tasks. */
   free: Resources;
-  /** Null: it is rented already. */
+  /** Why it is rented; null if it is already rented. */
   readonly reason: ScaleOutReason | null;
 }
 
 /** The most machines that one request may ask for (PROTOCOL). */
 const MACHINES_PER_REQUEST = 50;
 
-/** The machines to be rented and kept, added up demand after demand, the most urgent first. */
+/** Builds up the machines to rent and to keep; demands have to be added in order of urgency, the most urgent first. */
 export class ScaleOutPlan {
   readonly #plannedMachines: PlannedMachine[] = [];
   readonly #machineCountByZone = new Map<string, number>();
@@ -79,12 +80,12 @@
     this.#options = rentableOptions(input.types).filter((option) => input.isOpen(option));
   }
 
-  /** Names of the machines that were to be returned and are of use after all. */
+  /** Names of the draining idle machines that are kept because the plan uses them. */
   get kept(): ReadonlySet<string> {
     return this.#kept;
   }
 
-  /** Plans machines for all that runs on a machine that will most likely be gone. */
+  /** Plans machines for all tasks on a suspect machine. */
   replace(machine: MachineStatus): void {
     const need = machine.byPriority.reduce((sum, resources) => addResources(sum, resources), NO_RESOURCES);
     if (need.cpus <= 0 && need.gpus <= 0) return;
@@ -96,7 +97,7 @@
     else planned.free = subtractResources(planned.free, need);
   }
 
-  /** The jobs of the tasks are not known here: a type that holds less than all of them takes a share. */
+  /** Plans machines that each hold a share of the resources: the jobs of the tasks are unknown here. */
   #scaleOutInShares(need: Resources, spot: boolean): void {
     let remaining = need;
     while (remaining.cpus > 0 || remaining.gpus > 0) {
@@ -110,8 +111,8 @@
   }
 
   /**
-   * Plans machines for tasks that fit nowhere. `spareGpus`: GPUs that the headroom lacks; they could share the
-   * machines.
+   * Plans machines for tasks that fit on no machine. `spareGpus` is the number of GPUs missing from the headroom, which
+   * could share the machines.
    */
   serve(unschedulable: readonly UnschedulableDemand[], spareGpus: number): void {
     const spare = spareDemand(spareGpus);
@@ -124,7 +125,7 @@
     });
   }
 
-  /** Finds a machine for one task, or plans one; false: none can be had. */
+  /** Reserves resources for one task on a planned machine, or on a new one; false if no machine may be rented. */
   #serveOne(
     { job: { spec }, zones }: UnschedulableDemand,
     demand: ScaleOutDemand,
@@ -145,7 +146,7 @@
     return true;
   }
 
-  /** Plans ordinary machines until `targetGpus` are free, given that `freeGpus` are on the machines that are up. */
+  /** Plans ordinary machines until `targetGpus` GPUs are free, counting `freeGpus` on the machines that are up. */
   keepSpare(freeGpus: number, targetGpus: number): void {
     let free = this.#plannedMachines.reduce((sum, planned) => sum + (planned.spot ? 0 : planned.free.gpus), freeGpus);
     const isAllowed = (option: MachineOption): boolean => !option.spot;
@@ -157,7 +158,7 @@
     }
   }
 
-  /** One request for each type, zone and kind; `nameOf` gives each a name of its own. */
+  /** Returns one request per type, zone and kind; `nameOf` returns a unique name for each request. */
   requests(nameOf: () => string): PlannedScaleOut[] {
     const requestByOption = new Map<string, PlannedScaleOut>();
     for (const { type, zone, spot, reason } of this.#plannedMachines) {
@@ -170,7 +171,7 @@
     return [...requestByOption.values()].map((scaleOut) => ({ ...scaleOut, request: nameOf() }));
   }
 
-  /** Keeps a machine that was to be returned; null: none is of use. */
+  /** Keeps a draining idle machine that fits the demand; null if none does. */
   #keep({ need }: ScaleOutDemand, isAllowed: (option: MachineOption) => boolean): PlannedMachine | null {
     for (const machine of this.#drainingIdleMachines) {
       const type = this.input.types.get(machine.type);
@@ -184,7 +185,7 @@
     return null;
   }
 
-  /** Plans the machine that serves the first demand best; null: none may be rented. */
+  /** Plans the machine with the lowest cost for the first demand; null if none may be rented. */
   #scaleOut(
     purpose: ScaleOutReason['for'],
     demands: readonly ScaleOutDemand[],
--- a/packages/core/src/autoscaling/service-capacity.ts
+++ b/packages/core/src/autoscaling/service-capacity.ts
@@ -1,16 +1,16 @@
-// What machines have for services, in GPUs: batch work makes way for them.
+// GPUs that are available to services; services may preempt batch work.
 import { type MachineType, PRIORITIES } from '@gingerlock/wire';
 import type { MachineStatus, PartitionStatus } from '../scheduling/partition-status';
 
-/** Work of this priority and of less urgent ones makes way for services. */
+/** Work of this priority or a less urgent one is batch work, which services may preempt. */
 export const BATCH_PRIORITY = PRIORITIES.indexOf('normal');
 
-/** GPUs that a machine has for new services: those that are free, and those of batch work. */
+/** GPUs of a machine that are available to new services: the free ones and those that batch work uses. */
 export function gpusForServices({ byPriority, free }: MachineStatus): number {
   return byPriority.reduce((sum, { gpus }, priority) => sum + (priority >= BATCH_PRIORITY ? gpus : 0), free.gpus);
 }
 
-/** GPUs that ordinary machines that take work have for new services. */
+/** GPUs available to new services on the ordinary machines that take work. */
 export function freeServiceGpus(machines: Iterable<MachineStatus>): number {
   let gpus = 0;
   for (const machine of machines) if (!machine.spot && machine.takesWork) gpus += gpusForServices(machine);
@@ -18,8 +18,8 @@
 }
 
 /**
- * How many GPUs ordinary machines should have free: for new services, as a share of what is in use, and for the
- * services whose heartbeats new owners still await.
+ * How many GPUs should be available to services on ordinary machines: a share of those that services use, and the GPUs
+ * of services that no machine has reported to the new owner of their partition (`missing`).
  */
 export function headroomGpus(
   share: number,
--- a/packages/core/src/autoscaling/zone-silence.ts
+++ b/packages/core/src/autoscaling/zone-silence.ts
@@ -1,6 +1,6 @@
-// Zones of which most machines have fallen silent: what is rented there could not be reached either.
+// Silent zones: most of their machines send no heartbeats, so new machines there would probably be unreachable too.
 
-/** One running machine, as far as its heartbeats are concerned. */
+/** The zone of a running machine, and whether it sends heartbeats. */
 export interface ZoneMachine {
   readonly zone: string;
   readonly state: 'responsive' | 'silent' | 'unknown';
@@ -12,31 +12,31 @@
 }
 
 /**
- * The silent zones. Their silent machines are returned in time, so a zone stays silent until one of its machines is
- * heard from again, or a new one should have been.
+ * Tracks the silent zones. A zone's silent machines are eventually returned, so it stays silent until a machine there
+ * is responsive, or until a newly rented machine would have sent a heartbeat.
  */
 export class ZoneSilence {
   readonly #silentUntilByZone = new Map<string, number>();
 
-  /** Takes all running machines; zones that are found silent stay so until `silentUntil`. */
+  /** Applies the states of all running machines; zones that are now silent remain so until `silentUntil`. */
   observe(machines: Iterable<ZoneMachine>, silentUntil: number): void {
     const countsByZone = countByZone(machines);
     const silentZones = [...countsByZone].filter(([, counts]) => isSilentZone(counts)).map(([zone]) => zone);
-    // Silence from everywhere is a fault of this controller's own.
+    // If all zones are silent, the fault is in this controller.
     if (silentZones.length === countsByZone.size) return;
     for (const [zone, { responsive }] of countsByZone) if (responsive > 0) this.#silentUntilByZone.delete(zone);
     for (const zone of silentZones) this.#silentUntilByZone.set(zone, silentUntil);
   }
 
-  /** Whether nothing is to be rented in the zone. */
+  /** Whether the zone is silent; nothing is rented there. */
   isSilent(zone: string, now: number): boolean {
     return (this.#silentUntilByZone.get(zone) ?? 0) > now;
   }
 }
 
 /**
- * A zone without a responsive machine is silent at once: a new leader knows nothing of one that was cut off before
- * its term.
+ * Whether a zone is silent. A zone without a responsive machine is silent even if the states of its machines are
+ * unknown: a new leader has no statuses from a zone that was cut off before its term.
  */
 function isSilentZone({ responsive, silent }: ZoneCounts): boolean {
   return silent > responsive || responsive === 0;
--- a/packages/core/src/cluster/cluster-config.ts
+++ b/packages/core/src/cluster/cluster-config.ts
@@ -1,61 +1,56 @@
-// What the platform's settings say of the cluster, and the bounds that follow from them.
+// The cluster's configuration from the platform's settings, and the bounds derived from it.
 
-/** A team with its guarantee and its limit. */
+/** A team with its guarantees and limits. */
 export interface Team {
   readonly name: string;
-  /** CPUs that are guaranteed; 0: none are. */
+  /** Guaranteed CPUs; 0 if none. */
   readonly cpus: number;
-  /** GPUs that are guaranteed; 0: none are. */
+  /** Guaranteed GPUs; 0 if none. */
   readonly gpus: number;
-  /** CPUs that its tasks may use at most; 0: there is no limit. */
+  /** Maximum CPUs that its tasks may use; 0 if unlimited. */
   readonly cpusMax: number;
-  /** GPUs that its tasks may use at most; 0: there is no limit. */
+  /** Maximum GPUs that its tasks may use; 0 if unlimited. */
   readonly gpusMax: number;
 }
 
-/** What the platform's settings say, times in milliseconds. Every bound in the code is a ratio to one of these. */
+/** The cluster's settings, with times in milliseconds. Every bound in the code is derived from one of these. */
 export interface ClusterConfig {
   readonly controllerCount: number;
   readonly zones: readonly string[];
-  /** By name. */
+  /** Teams by name. */
   readonly teams: ReadonlyMap<string, Team>;
   /** How often a worker sends a heartbeat. */
   readonly heartbeatIntervalMs: number;
-  /** A worker kills its tasks once the last heartbeat that was answered was sent longer ago than this. */
+  /** A worker kills its tasks if it sent the last answered heartbeat longer ago than this. */
   readonly workerLeaseMs: number;
-  /** The tasks of a cancelled job have to be gone within this time. */
+  /** The tasks of a cancelled job have to end within this time. */
   readonly cancellationBoundMs: number;
-  /** How far the wall clocks of two hosts may differ. */
+  /** Maximum difference between the wall clocks of two hosts. */
   readonly maxClockSkewMs: number;
-  /** How far the cloud's list of machines usually lags behind; at times it is up to twice this. */
+  /** Usual lag of the cloud's list of machines; sometimes it lags by up to twice this. */
   readonly cloudListLagMs: number;
 }
 
-/** A machine that has been silent for so many heartbeat intervals is suspect: DESIGN's grant lease. */
+/** A machine that has been silent for this many heartbeat intervals is suspect (the grant lease in DESIGN). */
 export const SUSPECT_INTERVALS = 3;
 
-/**
- * How far two steady clocks drift apart at most, as a share of the time: PROTOCOL's bound for each of both, rounded
- * up.
- */
+/** Maximum drift between two steady clocks, as a share of the time: twice PROTOCOL's bound per clock, rounded up. */
 export const MAX_CLOCK_DRIFT = 0.001;
 
-/**
- * Slack for timers and for answers under way, on top of drift, in milliseconds: a small part of a heartbeat interval.
- */
+/** Margin for timers and for answers in flight, in addition to clock drift, in milliseconds. */
 export function timerMarginMs(clusterConfig: ClusterConfig): number {
   return clusterConfig.heartbeatIntervalMs / 5;
 }
 
-/** How long after the answer to its last heartbeat a worker has certainly killed its tasks, in milliseconds. */
+/** Time after the answer to its last heartbeat by which a worker has certainly killed its tasks, in milliseconds. */
 export function workerLeaseBoundMs(clusterConfig: ClusterConfig): number {
   return clusterConfig.workerLeaseMs * (1 + MAX_CLOCK_DRIFT) + timerMarginMs(clusterConfig);
 }
 
 /**
  * How long after its last contact with the key-value store an owner may still answer workers, in milliseconds. The
- * worker's lease counts from when it sent the heartbeat, before the answer: a margin for its timer is all that is
- * left to allow for.
+ * worker lease starts when the worker sends the heartbeat, which is before the answer, so only clock drift and a timer
+ * margin are deducted.
  */
 export function maxAnswerContactAgeMs(clusterConfig: ClusterConfig): number {
   return (
@@ -64,7 +59,7 @@
   );
 }
 
-/** How old a controller's view of the jobs may be for it to start tasks, in milliseconds. */
+/** Maximum age of a controller's view of the jobs at which it may still start tasks, in milliseconds. */
 export function maxGrantContactAgeMs(clusterConfig: ClusterConfig): number {
   return clusterConfig.cancellationBoundMs / 10;
 }
--- a/packages/core/src/cluster/partitioner.ts
+++ b/packages/core/src/cluster/partitioner.ts
@@ -1,16 +1,16 @@
-// Which partition a machine belongs to. All controllers have to come to the same answer, also in a rolling upgrade: the
-// hash must not change.
+// Assigns machines to partitions. All controllers have to compute the same partition, also during a rolling upgrade, so
+// the hash must not change.
 
 const FNV_OFFSET_BASIS = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
-/** An odd constant that spreads low bits over the high ones. */
+/** An odd factor that spreads the low bits over the high ones. */
 const MIX_FACTOR = 0x2c1b3c6d;
 
-/** A stable hash of a text, below 2^32: FNV-1a with its bits mixed. */
+/** A stable 32-bit hash of a text: FNV-1a with its bits mixed. */
 export function hashName(text: string): number {
   let hash = FNV_OFFSET_BASIS;
   for (let i = 0; i < text.length; i++) hash = Math.imul(hash ^ text.charCodeAt(i), FNV_PRIME);
-  // Names that count up differ in their last characters, which change few bits: mixing spreads them.
+  // Numbered names differ only in their last characters, which change few bits; mixing spreads these.
   hash ^= hash >>> 15;
   hash = Math.imul(hash, MIX_FACTOR);
   hash ^= hash >>> 12;
@@ -18,18 +18,18 @@
 }
 
 /**
- * Which partition each machine belongs to: by a hash of its name, among the partitions that have their home in its
- * zone, so that a zone that is cut off has an owner inside which goes on answering. In a zone that is home to none,
- * all partitions share the machines.
+ * Assigns each machine to a partition by a hash of its name, among the partitions whose home is the machine's zone: in
+ * a zone that is cut off, an owner inside the zone can continue to answer. The machines of a zone that is home to no
+ * partition are shared among all partitions.
  */
 export class Partitioner {
   readonly #allPartitionIds: readonly number[];
   readonly #partitionIdsByZone = new Map<string, number[]>();
 
   constructor(
-    /** How many partitions there are. */
+    /** Number of partitions. */
     readonly count: number,
-    /** By partition: its home zone. A partition without one has no home. */
+    /** Home zones by partition id; partitions beyond the end of the array have none. */
     readonly zones: readonly string[] = [],
   ) {
     this.#allPartitionIds = Array.from({ length: count }, (_, partitionId) => partitionId);
--- a/packages/core/src/cluster/placement-constraints.ts
+++ b/packages/core/src/cluster/placement-constraints.ts
@@ -4,17 +4,17 @@
 import { countWithinLimit } from './quota';
 import { fitsIn, NO_RESOURCES } from './resources';
 
-/** Whether the job may run on machines of the type, in the zone, and of the kind, whatever is free there. */
+/** Whether the job may run on machines of the type and kind in the zone, regardless of their free resources. */
 export function allowsMachine(job: JobSpec, type: string, zone: string, spot: boolean): boolean {
   return allowsType(job, type) && (job.zone === null || job.zone === zone) && (!spot || job.spot);
 }
 
-/** Whether the tasks may run on machines of the type: those that name no types may run on any. */
+/** Whether the tasks may run on machines of the type; a null `types` allows all. */
 export function allowsType({ types }: Pick<JobSpec, 'types'>, type: string): boolean {
   return types === null || types.includes(type);
 }
 
-/** Why a job can never run, as users are told; null: it can. */
+/** The error text, sent to users, that says why a job can never run; null if it can run. */
 export function unschedulableReason(
   job: JobSpec,
   clusterConfig: ClusterConfig,
--- a/packages/core/src/cluster/quota.ts
+++ b/packages/core/src/cluster/quota.ts
@@ -1,13 +1,13 @@
-// What a team's limit and guarantee allow.
+// How many tasks a team's limit and guarantee allow.
 import type { Team } from './cluster-config';
 import { countFittingAmount, type Resources } from './resources';
 
-/** Whether nothing is guaranteed to the team: its work uses what others leave. */
+/** Whether the team has no guarantee, so that its work only uses resources that other teams leave. */
 export function hasNoGuarantee({ cpus, gpus }: Team): boolean {
   return cpus <= 0 && gpus <= 0;
 }
 
-/** How many more tasks of this size a team's limit allows, given what it uses; Infinity: as many as there are. */
+/** How many more tasks of this size a team's limit allows, given what it uses; Infinity if unlimited. */
 export function countWithinLimit(team: Team, used: Resources, need: Resources): number {
   return Math.max(
     0,
@@ -19,8 +19,8 @@
 }
 
 /**
- * How many more tasks of this size fit into a team's guarantee, given what it uses. A kind of which nothing is
- * guaranteed does not count; a task that needs nothing of the others is within no guarantee.
+ * How many more tasks of this size fit into a team's guarantee, given what it uses. Resources without a guarantee are
+ * ignored; the result is 0 for a task that needs none of the guaranteed resources.
  */
 export function countWithinGuarantee(team: Team, used: Resources, need: Resources): number {
   const count = Math.min(
@@ -30,9 +30,7 @@
   return count === Infinity ? 0 : Math.max(0, count);
 }
 
-/**
- * How many more times `need` goes into what is left of one kind; Infinity: nothing is set for it, or none is needed.
- */
+/** How many more times `need` fits into the rest of one resource; Infinity if `total` is not set or `need` is 0. */
 function countWithinAmount(total: number, used: number, need: number): number {
   return total <= 0 ? Infinity : countFittingAmount(need, total - used);
 }
--- a/packages/core/src/cluster/resources.ts
+++ b/packages/core/src/cluster/resources.ts
@@ -1,21 +1,21 @@
 // Arithmetic on the resources of machines and tasks.
 
-/** An amount of each kind of resource. */
+/** Amounts of all resources. */
 export interface Resources {
-  /** Cores; may be a fraction. */
+  /** CPU cores; may be a fraction. */
   readonly cpus: number;
   /** Accelerators. */
   readonly gpus: number;
   readonly memoryGb: number;
 }
 
-/** Nothing of any kind. */
+/** Zero of each resource. */
 export const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
 
-/** Sums of decimal amounts are compared with this much slack. */
+/** Tolerance for comparing sums of decimal amounts. */
 export const EPSILON = 1e-6;
 
-/** Whether `need` is covered by `available`, kind by kind. */
+/** Whether `available` covers `need` for each resource. */
 export function fitsIn(need: Resources, available: Resources): boolean {
   return (
     need.cpus <= available.cpus + EPSILON &&
@@ -24,17 +24,17 @@
   );
 }
 
-/** `a` and `count` times `b`. */
+/** Returns `a` plus `count` times `b`. */
 export function addResources(a: Resources, b: Resources, count = 1): Resources {
   return { cpus: a.cpus + b.cpus * count, gpus: a.gpus + b.gpus * count, memoryGb: a.memoryGb + b.memoryGb * count };
 }
 
-/** What is left of `a` without `count` times `b`; may be below zero. */
+/** Returns `a` minus `count` times `b`; amounts may be negative. */
 export function subtractResources(a: Resources, b: Resources, count = 1): Resources {
   return { cpus: a.cpus - b.cpus * count, gpus: a.gpus - b.gpus * count, memoryGb: a.memoryGb - b.memoryGb * count };
 }
 
-/** Of each kind the lesser amount. */
+/** The smaller amount of each resource. */
 export function minResources(a: Resources, b: Resources): Resources {
   return {
     cpus: Math.min(a.cpus, b.cpus),
@@ -43,7 +43,7 @@
   };
 }
 
-/** How many times `need` goes into `available`; Infinity: it needs nothing. */
+/** How many times `need` fits into `available`; Infinity if `need` is zero. */
 export function countFitting(need: Resources, available: Resources): number {
   return Math.max(
     0,
@@ -55,7 +55,10 @@
   );
 }
 
-/** How many times an amount of one kind goes into another, below zero if that is; Infinity: nothing is needed. */
+/**
+ * How many times `need` of one resource fits into `available`; negative if `available` is negative, Infinity if `need`
+ * is zero.
+ */
 export function countFittingAmount(need: number, available: number): number {
   return need <= 0 ? Infinity : Math.floor((available + EPSILON) / need);
 }
--- a/packages/core/src/jobs/assigned-ranges.ts
+++ b/packages/core/src/jobs/assigned-ranges.ts
@@ -1,7 +1,7 @@
-/** Arithmetic on the ranges of a job's tasks that are assigned to partitions, as its record keeps them. */
+/** Operations on assigned ranges: the ranges of a job's tasks that its record assigns to partitions. */
 import type { AssignedRange } from '@gingerlock/wire';
 
-/** Cuts the given tasks out of the ranges of one partition; what is left keeps its partition, zone and term. */
+/** Removes the given tasks from the ranges of one partition; other tasks keep their partition, zone and term. */
 export function withoutTasks(
   assignedRanges: readonly AssignedRange[],
   partitionId: number,
@@ -30,8 +30,9 @@
 }
 
 /**
- * Joins neighbours that are assigned alike, so that a record stays small. Finished tasks need no assignment: ranges are
- * joined across them, and a range of finished tasks alone is dropped. The result is sorted by task index.
+ * Merges adjacent ranges with the same partition, zone and term, so that a record stays small. Finished tasks need no
+ * assignment: ranges are merged across them, and ranges with only finished tasks are dropped. The result is sorted by
+ * task index.
  */
 export function mergeRanges(
   assignedRanges: readonly AssignedRange[],
@@ -61,7 +62,7 @@
   return merged;
 }
 
-/** The tasks of a job with `taskCount` tasks that are in no range, as [from, count] and in their order. */
+/** The tasks of a job with `taskCount` tasks that are in no range, as [from, count] pairs sorted by `from`. */
 export function unassignedRanges(assignedRanges: readonly AssignedRange[], taskCount: number): [number, number][] {
   const gaps: [number, number][] = [];
   let next = 0;
@@ -74,9 +75,9 @@
 }
 
 /**
- * One range per partition that covers all of its tasks, for a cancelled job whose exact ranges outgrow a stored value.
- * The ranges may overlap: nothing of the job is started any more, and each partition removes its own range once none
- * of the job's tasks is left there. Until then too much is counted against the team's limit, never too little.
+ * Returns one range per partition that covers all of its tasks, for a cancelled job whose exact ranges exceed the limit
+ * of a stored value. The ranges may overlap: no task of the job is started any more, and each partition removes its
+ * range once it holds no task of the job. Until then, the team's limit may count too many tasks, but never too few.
  */
 export function coverPerPartition(assignedRanges: readonly AssignedRange[]): AssignedRange[] {
   const coverByPartition = new Map<number, AssignedRange>();
@@ -84,7 +85,7 @@
     const cover = coverByPartition.get(range.partitionId) ?? range;
     const from = Math.min(cover.from, range.from);
     const end = Math.max(cover.from + cover.count, range.from + range.count);
-    // With the higher term an owner would grant tasks at once that a machine may still run since the earlier one.
+    // With the higher term, an owner would immediately grant tasks that a machine may still run from the earlier term.
     const term = Math.min(cover.term, range.term);
     coverByPartition.set(range.partitionId, {
       from,
--- a/packages/core/src/jobs/assigned-usage.ts
+++ b/packages/core/src/jobs/assigned-usage.ts
@@ -1,9 +1,9 @@
-/** What jobs use by their records: tasks that are assigned to partitions count against limits before they run. */
+/** Resource usage of jobs by their records: tasks that are assigned to partitions count as used before they run. */
 import type { AssignedRange } from '@gingerlock/wire';
 import { type Resources, NO_RESOURCES, addResources } from '../cluster/resources';
 import type { Job } from './jobs';
 
-/** By team: the resources of all tasks that are assigned and not finished. Teams without any are left out. */
+/** The resources of all assigned, unfinished tasks by team; teams without such tasks are omitted. */
 export function teamUse(jobs: Iterable<Job>): Map<string, Resources> {
   const useByTeam = new Map<string, Resources>();
   for (const job of jobs) {
@@ -35,11 +35,11 @@
   return Math.ceil(job.spec.tasks / 2);
 }
 
-/** What the record says of one unfinished task that is assigned to a partition. */
+/** The assignment of an unfinished task to a partition, according to the job's record. */
 export interface AssignedTask {
-  /** Where it is to run; null: anywhere. */
+  /** Zone that the task has to run in; null if any. */
   readonly zone: string | null;
-  /** Term of the partition's owner at the assignment. */
+  /** Term of the partition's owner at the time of the assignment. */
   readonly term: number;
 }
 
--- a/packages/core/src/jobs/dependencies.ts
+++ b/packages/core/src/jobs/dependencies.ts
@@ -1,34 +1,31 @@
 /**
- * Which jobs depend on which others: what the end or the cancellation of one means for those after it, and what the
- * deadline at the end of a pipeline means for those before it. Pure: kept up to date by each job that comes, changes or
- * ends.
+ * Dependencies between jobs. Ends and cancellations are propagated to dependents; priorities and deadlines are
+ * propagated to dependencies. The caller reports each job that is added, changes or ends; there is no I/O.
  */
 import type { Job } from './jobs';
 
-/** How a job has ended, by its final record. */
+/** How a job has ended, according to its final record. */
 export type JobOutcome = 'done' | 'cancelled';
 
-/** The jobs that the graph reads; `JobTable` keeps them. */
+/** The jobs that the graph reads; `JobTable` provides them. */
 export interface JobIndex {
-  /** By id: jobs that are not over. */
+  /** Jobs that have not ended, by id. */
   readonly live: ReadonlyMap<string, Job>;
-  /** By id: how the jobs that are over have ended. */
+  /** Outcomes of the jobs that have ended, by id. */
   readonly finals: ReadonlyMap<string, JobOutcome>;
 }
 
 const NO_DEPENDENTS: ReadonlySet<string> = new Set();
 
 /**
- * The dependencies between live jobs, as a DAG. Derives `ready`, `cancelled`, `effectivePriority` and `startBy` of each
- * job from those it depends on or is needed by.
+ * The dependencies between live jobs, as a DAG. Derives `isReady`, `isCancelled`, `effectivePriority` and `startBy` of
+ * each job from its dependencies and dependents.
  */
 export class DependencyGraph {
-  /** By job: the live jobs that name it as a dependency. */
+  /** The live jobs that name a job as a dependency, by that job's id. */
   readonly #dependents = new Map<string, Set<string>>();
 
-  /**
-   * `onDerived` is called with each job whose readiness, cancellation or urgency has changed because of another job.
-   */
+  /** `onDerived` is called with each job whose readiness, cancellation or urgency changed because of another job. */
   constructor(
     readonly jobs: JobIndex,
     readonly onDerived: (id: string) => void,
@@ -39,7 +36,7 @@
     return this.#dependents.get(id) ?? NO_DEPENDENTS;
   }
 
-  /** Takes in a job that is new, or of which the record has changed. */
+  /** Adds a new job, or applies a change of a job's record. */
   update(job: Job): void {
     for (const dependency of job.spec.awaits) {
       const dependents = this.#dependents.get(dependency);
@@ -53,7 +50,7 @@
     this.#passUrgencyOn(job.spec.awaits);
   }
 
-  /** Takes out a job that is over; `outcome` null: its record was removed without one. */
+  /** Removes a job that has ended; `outcome` is null if its record was removed without a final record. */
   remove(job: Job, outcome: JobOutcome | null): void {
     for (const dependency of job.spec.awaits) {
       const dependents = this.#dependents.get(dependency);
@@ -64,7 +61,7 @@
     if (outcome !== null) this.ended(job.id, outcome);
   }
 
-  /** Passes the end of a job on to its dependents. */
+  /** Propagates the outcome of a job to its dependents. */
   ended(id: string, outcome: JobOutcome): void {
     if (outcome === 'cancelled') {
       this.cancelDependents(id);
@@ -78,7 +75,7 @@
     }
   }
 
-  /** Cancels every job that needs this one, directly or through others. Iterative, for chains of jobs can be long. */
+  /** Cancels all direct and indirect dependents of the job. Not recursive, because chains of jobs can be long. */
   cancelDependents(id: string): void {
     const cancelledIds = [id];
     for (let nextId = cancelledIds.pop(); nextId !== undefined; nextId = cancelledIds.pop()) {
@@ -94,19 +91,19 @@
   }
 
   /**
-   * Whether all dependencies are done. Only a final record shows that: counts of finished tasks may be ahead of a
-   * cancellation.
+   * Whether all dependencies are done. Only final records count: a job whose tasks have all finished can still be
+   * cancelled.
    */
   #isReady(job: Job): boolean {
     return job.spec.awaits.every((id) => this.jobs.finals.get(id) === 'done');
   }
 
-  /** Whether the job is cancelled, be it over or not. */
+  /** Whether the job is cancelled, whether or not it has ended. */
   #isCancelled(id: string): boolean {
     return this.jobs.finals.get(id) === 'cancelled' || this.jobs.live.get(id)?.isCancelled === true;
   }
 
-  /** Derives the urgency of the dependencies anew and, where it has changed, of what they depend on in turn. */
+  /** Recomputes the urgency of the given jobs and, where it has changed, of their dependencies in turn. */
   #passUrgencyOn(dependencyIds: readonly string[]): void {
     const pendingIds = [...dependencyIds];
     for (let id = pendingIds.pop(); id !== undefined; id = pendingIds.pop()) {
@@ -117,9 +114,7 @@
     }
   }
 
-  /**
-   * Derives priority and latest start from the job itself and from what needs it; returns whether they have changed.
-   */
+  /** Derives priority and latest start from the job and its dependents; returns whether they have changed. */
   #deriveUrgency(job: Job): boolean {
     const { spec } = job;
     const estimateMs = spec.estimateS * 1000;
@@ -133,7 +128,7 @@
       priority = Math.min(priority, dependent.effectivePriority);
       endBy = Math.min(endBy, dependent.startBy);
     }
-    // Outside pipelines jobs of one priority keep their order of arrival.
+    // Jobs outside pipelines have no latest start, so that those of one priority keep their order of arrival.
     const startBy = isInPipeline ? endBy - estimateMs : Infinity;
     if (priority === job.effectivePriority && startBy === job.startBy) return false;
     job.effectivePriority = priority;
--- a/packages/core/src/jobs/finished-pages.ts
+++ b/packages/core/src/jobs/finished-pages.ts
@@ -1,37 +1,37 @@
-/** The pages in which the numbers of finished tasks are stored, and which of them a newly finished task goes into. */
+/** The pages that store the indices of finished tasks, and the choice of the page for a newly finished task. */
 import { KEYS } from '@gingerlock/wire';
 import { BitSet } from './bit-set';
 
-/** One stored value of finished tasks of one job at one partition. */
+/** A stored value that holds finished tasks of one job at one partition. */
 export interface FinishedPage {
   readonly key: string;
-  /** The task of the first bit. */
+  /** Task index of the first bit. */
   readonly first: number;
   readonly bits: BitSet;
   /** Version of the stored value. */
   readonly version: number;
 }
 
-/** What a page's value takes beside its base64 text. */
+/** Bytes of a page's value in addition to its base64 text. */
 const PAGE_OVERHEAD_BYTES = 16;
 
-/** Bytes that the padding of base64 may take. */
+/** Maximum bytes of base64 padding. */
 const BASE64_PADDING_BYTES = 4;
 
-/** A page has at least so many tasks, however small the limit on values is. */
+/** A page holds at least this many tasks, however small the limit on values is. */
 const MIN_PAGE_TASKS = 64;
 
-/** How many tasks fit into one page of at most `valueBytes`: six bits in each character of base64. */
+/** How many tasks fit into a page of at most `valueBytes` bytes, with six bits per base64 character. */
 export function pageCapacity(valueBytes: number): number {
   const tasks = Math.max(MIN_PAGE_TASKS, Math.floor(valueBytes - PAGE_OVERHEAD_BYTES - BASE64_PADDING_BYTES) * 6);
   return tasks - (tasks % 8);
 }
 
 /**
- * The page into which a finished task is written, with the bits that it has now. Pages are as long as the first
- * controller of the deployment fixed them in `meta`, maybe by a larger limit on values than there is now. Tasks of a
- * page that lie beyond what fits now, and all further tasks of a page that was stored larger, go into pages that begin
- * at any task.
+ * Returns the page into which a finished task is written, with its current bits. The first controller of a deployment
+ * stores the length of regular pages in `meta`; it may have had a larger limit on values. If a task lies beyond the
+ * current capacity of its regular page, or the stored page is already larger than the capacity, the task goes into an
+ * overflow page, which can begin at any multiple of the capacity.
  */
 export function finishedPageFor(
   job: { readonly id: string; readonly pages: ReadonlyMap<string, FinishedPage> },
--- a/packages/core/src/jobs/job-table.ts
+++ b/packages/core/src/jobs/job-table.ts
@@ -1,30 +1,30 @@
-/** The jobs in this controller's watch cache: what their records say, and what follows from them. */
+/** The jobs in this controller's watch cache, with the data of their records and the state derived from them. */
 import { finishedRecord, jobRecord, type JobRecord, type JobSpec, KEYS, type ParsedKey } from '@gingerlock/wire';
 import { BitSet } from './bit-set';
 import { DependencyGraph, type JobOutcome } from './dependencies';
 import type { FinishedPage } from './finished-pages';
 import { Job } from './jobs';
 
-/** The record of a job that is not over. */
+/** The record of a job that has not ended. */
 type LiveJobRecord = Extract<JobRecord, { readonly final: null }>;
 
-/** Key of a stored page of finished tasks: of the regular pages, or of one that begins at any task. */
+/** Key of a stored page of finished tasks: a regular page, or an overflow page. */
 type FinishedKey = Extract<ParsedKey, { kind: 'finished' | 'finishedFrom' }>;
 
-/** The jobs in this controller's watch cache, kept up to date by each change of a key. */
+/** The jobs in this controller's watch cache, updated with each change of a key. */
 export class JobTable {
-  /** By id: jobs that are not over. */
+  /** Jobs that have not ended, by id. */
   readonly live = new Map<string, Job>();
-  /** By id: how the jobs that are over have ended. */
+  /** Outcomes of the jobs that have ended, by id. */
   readonly finals = new Map<string, JobOutcome>();
   readonly dependencies: DependencyGraph;
-  /** Is called with each job for which something has changed because of another job. */
+  /** Called with each job whose derived state has changed because of another job. */
   onDerived: (id: string) => void = () => undefined;
-  /** By job: finished pages that were read before its record. */
+  /** Pages of finished tasks that were read before the record of their job, by job id. */
   readonly #earlyPagesByJob = new Map<string, FinishedPage[]>();
 
   constructor(
-    /** How many tasks a regular page of finished tasks has, as the deployment has stored it. */
+    /** Number of tasks in a regular page of finished tasks, as stored for the deployment. */
     readonly pageTasks: () => number,
     /** Whether the tasks of a job are the members of a replica group. */
     readonly isGroup: (spec: JobSpec) => boolean = () => false,
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Applies one change of a job's key; `value` undefined: the key was removed. Returns the record, or null if there is
-   * none any more. Throws if the value is not a job record.
+   * Applies a change of a job's key; `value` is undefined if the key was removed. Returns the record, or null if the
+   * key was removed. Throws if the value is not a job record.
    */
   applyJob(id: string, value: unknown, version: number): JobRecord | null {
     if (value === undefined) {
@@ -82,7 +82,10 @@
     else if (outcome !== null) this.dependencies.ended(id, outcome);
   }
 
-  /** A peer that has confirmed the cancellation to a user reports it; our watch cache may not show it yet. */
+  /**
+   * Marks a job as cancelled after a peer has reported that it confirmed the cancellation to a user. The watch cache
+   * may not contain the cancellation yet.
+   */
   markCancelled(id: string): void {
     const job = this.live.get(id);
     if (job === undefined) return;
@@ -92,11 +95,11 @@
   }
 
   /**
-   * Applies one change of a page of finished tasks; `value` undefined: the key was removed. Throws if it is not such a
-   * page.
+   * Applies a change of a page of finished tasks; `value` is undefined if the key was removed. Throws if the value is
+   * not a page of finished tasks.
    */
   applyFinished(key: FinishedKey, value: unknown, version: number): void {
-    // A page is removed only together with its whole job, whose own change says the rest.
+    // Pages are removed only together with their job, and the change of the job's own key removes the rest.
     if (value === undefined) {
       this.#earlyPagesByJob.delete(key.id);
       return;
--- a/packages/core/src/jobs/jobs.ts
+++ b/packages/core/src/jobs/jobs.ts
@@ -1,50 +1,49 @@
-/** One job as its record and the jobs that depend on it have it, and the order in which jobs are served. */
+/** A job with its stored and derived state, and the order in which jobs are scheduled. */
 import { type AssignedRange, type JobSpec, PRIORITIES } from '@gingerlock/wire';
 import { unassignedRanges } from './assigned-ranges';
 import type { FinishedPage } from './finished-pages';
 
 /**
- * A job that is neither done nor wholly cancelled, as the key-value store has it. `JobTable` keeps its fields up to
- * date; of these `ready`, `cancelled`, `effectivePriority` and `startBy` depend on other jobs, too, and are derived by
- * `DependencyGraph`.
+ * A job in the key-value store without a final record. `JobTable` keeps its fields up to date; `DependencyGraph`
+ * derives `isReady`, `isCancelled`, `effectivePriority` and `startBy`, which also depend on other jobs.
  */
 export class Job {
   /** What the user submitted. */
   spec!: JobSpec;
   /** Time of day (ms) at which the job was accepted. */
   acceptedAt = 0;
-  /** Cancelled itself, or with a job that it needs. */
+  /** Whether the job is cancelled, either itself or because a dependency is. */
   isCancelled = false;
-  /** A peer has reported it as cancelled: true for ever, though the record in our watch cache may not say so yet. */
+  /** Whether a peer has reported it as cancelled. Never reset; the record in the watch cache may lag behind. */
   isCancelledElsewhere = false;
-  /** Marked in its record: it failed on several machines and was not seen to run. */
+  /** Whether its record marks it as crash-looping: it failed on several machines and was never seen running. */
   isMarkedCrashLooping = false;
-  /** Its tasks are the members of a replica group: they run all together or not at all. */
+  /** Whether its tasks are the members of a replica group, which run all together or not at all. */
   isGroup = false;
-  /** Whether all jobs that it needs are done; until then it waits and nothing of it is assigned. */
+  /** Whether all its dependencies are done; until then none of its tasks are assigned. */
   isReady = true;
-  /** Which of its tasks are assigned to which partitions. */
+  /** The ranges of its tasks that are assigned to partitions. */
   assignedRanges: readonly AssignedRange[] = [];
   /** Version of its record. */
   version = 0;
-  /** Priority class as a number, 0 goes first: its own or that of the most urgent job that needs it. */
+  /** Priority class as a number, 0 being the most urgent: its own or that of its most urgent dependent. */
   effectivePriority = Infinity;
-  /** Latest start (time of day, ms) by which the pipeline that it is part of keeps its deadline; Infinity: none. */
+  /** Latest start (time of day, ms) at which its pipeline can meet its deadline; Infinity if there is no deadline. */
   startBy = Infinity;
-  /** By key: the stored pages of its finished tasks. */
+  /** The stored pages of its finished tasks, by key. */
   readonly pages = new Map<string, FinishedPage>();
   readonly #finishedTasks = new Set<number>();
 
   constructor(readonly id: string) {}
 
-  /** Priority class of its own, whatever needs it: by it alone it may preempt others. */
+  /** Its own priority class, regardless of its dependents; only this one allows it to preempt other jobs. */
   get ownPriority(): number {
     return PRIORITIES.indexOf(this.spec.priority);
   }
 
-  /** Whether at most one task at a time is started as a probe, because the job failed wherever it was started. */
+  /** Whether at most one task at a time is started, as a probe, because the job failed wherever it was started. */
   get isCrashLooping(): boolean {
-    // A group is tried again as a whole, on a schedule of its own.
+    // A replica group is retried as a whole, with its own backoff.
     return this.isMarkedCrashLooping && this.finishedCount === 0 && !this.isGroup;
   }
 
@@ -61,22 +60,22 @@
     return this.#finishedTasks.size >= this.spec.tasks;
   }
 
-  /** Takes over a stored page; tasks only ever become finished. */
+  /** Sets a stored page and adds its finished tasks; a finished task never becomes unfinished. */
   setPage(page: FinishedPage): void {
     this.pages.set(page.key, page);
     const { bits, first } = page;
     for (let bit = 0; bit < bits.bytes.length * 8; bit++) if (bits.has(bit)) this.#finishedTasks.add(first + bit);
   }
 
-  /** Ranges of tasks that are assigned to no partition, as [from, count]. */
+  /** Ranges of tasks that are not assigned to a partition, as [from, count] pairs. */
   unassigned(): [number, number][] {
     return unassignedRanges(this.assignedRanges, this.spec.tasks);
   }
 }
 
 /**
- * Order for sorting: the most urgent first; of these pipelines by the time that is left to them, all others as they
- * came.
+ * Compares jobs for sorting: by priority, the most urgent first, then by latest start for jobs in pipelines with a
+ * deadline and by time of acceptance for all others.
  */
 export function jobOrder(a: Job, b: Job): number {
   return a.effectivePriority - b.effectivePriority || orderTime(a) - orderTime(b) || (a.id < b.id ? -1 : 1);
--- a/packages/core/test/assigned-ranges.test.ts
+++ b/packages/core/test/assigned-ranges.test.ts
@@ -11,7 +11,7 @@
 );
 type Placement = Omit<AssignedRange, 'from' | 'count'>;
 
-/** Where each task is assigned; null: nowhere. */
+/** The placement of each task; null if the task is not assigned. */
 const assignment = fc.array(fc.option(place, { nil: null }), { minLength: TASKS, maxLength: TASKS });
 const tasks = fc.uniqueArray(fc.nat({ max: TASKS - 1 })).map((list) => new Set(list));
 
@@ -30,7 +30,7 @@
   return placements;
 }
 
-test('merged ranges assign every unfinished task as before, and no range could be merged with the next', () => {
+test('merging ranges keeps the placement of every unfinished task and leaves no ranges to merge', () => {
   fc.assert(
     fc.property(assignment, tasks, (places, finished) => {
       const isFinished = (task: number): boolean => finished.has(task);
@@ -45,7 +45,7 @@
   );
 });
 
-test('tasks are taken out of the ranges of their own partition only', () => {
+test('tasks are removed only from the ranges of the given partition', () => {
   fc.assert(
     fc.property(assignment, tasks, fc.nat({ max: 2 }), (places, removed, partitionId) => {
       const left = placesOf(withoutTasks(mergeRanges(assignedRangesOf(places)), partitionId, removed));
@@ -58,7 +58,7 @@
   );
 });
 
-test('the tasks that are in no range are exactly the unassigned tasks', () => {
+test('the unassigned ranges contain exactly the tasks that are in no assigned range', () => {
   fc.assert(
     fc.property(assignment, (places) => {
       const ranges = unassignedRanges(mergeRanges(assignedRangesOf(places)), TASKS);
@@ -70,7 +70,7 @@
   );
 });
 
-test('one range per partition covers all that the partition may run, under no higher a term', () => {
+test('the covering range of a partition contains all its tasks and has no higher term than their ranges', () => {
   fc.assert(
     fc.property(assignment, (places) => {
       const covers = coverPerPartition(assignedRangesOf(places));
--- a/packages/core/test/autoscaler.test.ts
+++ b/packages/core/test/autoscaler.test.ts
@@ -33,7 +33,7 @@
   return { name, addr: '', type: 'box', zone: 'a', spot: false, state: 'running', ageS };
 }
 
-/** A machine on which replicas use so many GPUs. */
+/** The status of a machine on which replicas use `gpus` GPUs. */
 function used(name: string, gpus: number, over: Partial<MachineStatus> = {}): MachineStatus {
   const usedResources = { cpus: gpus * 2, gpus, memoryGb: gpus * 8 };
   return machineStatusOf(name, {
@@ -64,13 +64,13 @@
       .scaleIn;
   assert.deepEqual(plan(100, [], 1), []);
   assert.deepEqual(plan(10_000, [machineStatusOf('m-1')], 1), []);
-  // Its partition has a new owner: that one, too, is given the time.
+  // The partition has a new owner, which also gets the time to receive a heartbeat.
   assert.deepEqual(plan(13_000, [machineStatusOf('m-1')], 2), []);
   assert.deepEqual(plan(20_000, [machineStatusOf('m-1')], 2), []);
   assert.deepEqual(plan(26_000, [machineStatusOf('m-1')], 2), ['m-2']);
 });
 
-test('machines that boot at once are kept until work can be assigned to them', () => {
+test('idle machines with a very short boot time are kept until tasks can be assigned to them', () => {
   const autoscaler = new Autoscaler(clusterConfig, 1, limits);
   const quick = new Map([['box', { ...type, bootS: 0.1 }]]);
   const machines = [machineStatusOf('m-1', { empty: true, emptyMs: 1500 }), used('m-2', 3), used('m-3', 3)];
@@ -85,7 +85,7 @@
   assert.deepEqual(plan.drain, []);
 });
 
-test('a machine is returned only once its owner says that it is drained and empty', () => {
+test('a machine is returned only once its owner reports it as draining and empty', () => {
   const autoscaler = new Autoscaler(clusterConfig, 1, limits);
   const others = [used('m-2', 3), used('m-3', 3)];
   autoscaler.applyCloudList(
@@ -113,7 +113,7 @@
   assert.deepEqual(second.scaleIn, ['m-1']);
 });
 
-/** A machine that holds nothing and for which waiting batch work is planned. */
+/** The status of a machine that holds no tasks and for which a waiting batch task is planned. */
 function planned(name: string, over: Partial<MachineStatus> = {}): MachineStatus {
   const plannedResources = { cpus: 2, gpus: 1, memoryGb: 8 };
   return used(name, 1, {
@@ -124,9 +124,9 @@
   });
 }
 
-// If it counted as empty it would be returned, and if it counted as in use it would be emptied: its tasks would wait
-// for the next machine, and so on.
-test('a machine for which waiting tasks are planned is neither returned nor emptied', () => {
+// If such a machine counted as idle, it would be returned; if it counted as in use, it would be consolidated. Its tasks
+// would then wait for another machine, where the same would happen.
+test('a machine for which waiting tasks are planned is neither returned nor consolidated', () => {
   assert.equal(machineUse(planned('m-1')), 'planned');
   assert.equal(machineUse(planned('m-1', { empty: false })), 'in use');
   assert.equal(machineUse(machineStatusOf('m-1', { empty: true })), 'idle');
@@ -150,7 +150,7 @@
   assert.deepEqual(plan.scaleIn, []);
 });
 
-test('an idle machine that was to be returned is kept, and none rented, when a task comes that fits it', () => {
+test('a draining idle machine is kept, and none is rented, if a waiting task fits on it', () => {
   const autoscaler = new Autoscaler(clusterConfig, 1, limits);
   const others = [used('m-2', 4), used('m-3', 4)];
   autoscaler.applyCloudList(
@@ -172,17 +172,17 @@
   assert.deepEqual(planWith(100, idle, 0).drain, ['m-1']);
   const kept = planWith(200, drained, 4);
   assert.deepEqual([kept.scaleOut, kept.scaleIn, kept.drain], [[], [], []]);
-  // More than it holds: for the rest a machine is rented.
+  // One task more than fits on the machine: another machine is rented for it.
   assert.deepEqual(planWith(300, idle, 0).drain, ['m-1']);
   const both = planWith(400, drained, 5);
   assert.deepEqual([both.scaleIn, both.scaleOut.map(({ count }) => count)], [[], [1]]);
-  // Of no use to what waits, it goes.
+  // The waiting task cannot run on the machine, so it is returned.
   job.spec = specOf('j-1', { zone: 'b' });
   assert.deepEqual(planWith(500, idle, 0).drain, ['m-1']);
   assert.deepEqual(planWith(600, drained, 1).scaleIn, ['m-1']);
 });
 
-test('a machine that never comes up is returned, one that is only late is rented once more', () => {
+test('a booting machine that is late is kept, and one that has failed to boot is returned', () => {
   const autoscaler = new Autoscaler(clusterConfig, 1, limits);
   autoscaler.recordScaleOut(['m-9'], { request: 'r', type: 'box', zone: 'a', spot: false, count: 1 }, 0);
   const plan = (now: number): readonly string[] =>
@@ -192,7 +192,7 @@
   assert.deepEqual(plan(41_000), ['m-9']);
 });
 
-test('nothing is rented in a zone that fell silent, also by a leader that never had a heartbeat from it', () => {
+test('nothing is rented in a silent zone, even by a new leader that never had a status from it', () => {
   const silent = { zone: 'b', silentMs: 4000 };
   const responsive = [used('m-1', 4), used('m-2', 4)];
   const cutOff = ['m-3', 'm-4'].map((n) => used(n, 4, silent));
@@ -214,17 +214,17 @@
   const fresh = new Autoscaler(clusterConfig, 2, wanted);
   fresh.applyCloudList(list, 0);
   assert.deepEqual(zones(fresh, 100, responsive), ['a']);
-  // Its silent machines are returned in time: the zone counts as silent for longer.
+  // The zone still counts as silent after its silent machines have been returned.
   fresh.recordScaleIn(['m-3', 'm-4'], 200);
   assert.deepEqual(zones(fresh, 300, responsive), ['a']);
-  // A heartbeat from there.
+  // A machine of the zone sends heartbeats again.
   const back = [...responsive, used('m-5', 4, { zone: 'b' })];
   assert.ok(zones(fresh, 400, back).includes('b'));
 });
 
-// If machines that the cloud has taken stayed in their partitions' tables as silent ones, a zone in which all are of
-// that kind would count as cut off, and jobs that have to run there would wait for ever.
-test('a silent machine that is listed no more is returned, so that its partition forgets it and its zone is served', () => {
+// If machines that the cloud has taken back stayed silent in their owners' statuses, a zone with only such machines
+// would count as unreachable, and jobs that have to run there would wait forever.
+test('a silent machine that is no longer listed is returned, so that its partition removes it', () => {
   const autoscaler = new Autoscaler(clusterConfig, 1, limits);
   autoscaler.applyCloudList([listed('m-1', 500)], 0);
   const gone = { ...used('m-1', 2), silentMs: 1e9 };
@@ -236,12 +236,12 @@
   }
   autoscaler.applyCloudList([], 6000);
   assert.deepEqual(plan(6000), ['m-1']);
-  // A list that is newer than the one it was missing from.
+  // A newer list contains the machine again.
   autoscaler.applyCloudList([listed('m-1', 500)], 7000);
   assert.deepEqual(plan(7000), []);
 });
 
-test('a machine that fell silent, or sends a new owner no heartbeat, is replaced before its lease is over', () => {
+test('capacity for silent machines and missing services is rented before their worker leases expire', () => {
   const plan = (machines: readonly MachineStatus[], missing = NO_RESOURCES): number => {
     const autoscaler = new Autoscaler(clusterConfig, 1, limits);
     autoscaler.applyCloudList(
@@ -256,16 +256,16 @@
   const well = [used('m-1', 4), used('m-2', 4), used('m-3', 4)];
   assert.equal(plan(well), 0);
   assert.equal(plan([...well, used('m-4', 4, { silentMs: 4000 })]), 1);
-  // An empty one is not missed, and silence from most machines is a fault of this controller's own.
+  // An empty machine needs no replacement; if most machines are silent, the fault is probably in this controller.
   assert.equal(plan([...well, machineStatusOf('m-4', { silentMs: 4000, empty: true })]), 0);
   assert.equal(plan([well[0]!, ...['m-2', 'm-3', 'm-4'].map((n) => used(n, 4, { silentMs: 4000 }))]), 0);
   const missing = { cpus: 12, gpus: 6, memoryGb: 48 };
   assert.equal(plan(well, missing), 2);
-  // What is free already need not be rented.
+  // Free GPUs reduce the number of machines to rent.
   assert.equal(plan([...well, machineStatusOf('m-4')], missing), 1);
 });
 
-test('a nearly empty machine is emptied only while what is there fits elsewhere and enough stays free', () => {
+test('a nearly empty machine is drained only if its tasks fit elsewhere in the zone and the headroom is kept', () => {
   const plan = (machines: readonly MachineStatus[]): readonly string[] => {
     const autoscaler = new Autoscaler(clusterConfig, 1, { ...limits, headroom: 0.1 });
     return autoscaler.plan({
@@ -286,9 +286,9 @@
   );
 });
 
-// The cloud's list may be far older than usual. Machines that it does not show yet, or not any more as it has gone
-// back in time, would count as gone, and would be returned while they boot and rented again.
-test('a list that describes the past has no machine returned that was rented after that time', () => {
+// The cloud's list may be far out of date, or older than the previous one. If machines that such a list lacks counted as
+// gone, they would be returned while they boot, and rented again.
+test('a machine that was rented after the time that a list describes is not returned if the list lacks it', () => {
   const autoscaler = new Autoscaler(clusterConfig, 1, limits);
   const plan = (now: number): readonly string[] =>
     autoscaler.plan({
@@ -302,14 +302,15 @@
   autoscaler.applyCloudList([listed('m-1', 100)], 0);
   autoscaler.recordScaleOut(['m-2'], { request: 'r', type: 'box', zone: 'a', spot: false, count: 1 }, 1000);
   autoscaler.applyCloudList([listed('m-1', 103), booting('m-2', 2)], 3000);
-  // From now on the list stands at its first second, or describes an earlier one than the list before.
+  // From now on, each list describes a time before the rental of m-2, and every other one is older than the one before.
   for (let now = 4000; now <= 1000 + 3 * type.bootS * 1000; now += 1000) {
     autoscaler.applyCloudList([listed('m-1', now % 2000 === 0 ? 100 : 100.5)], now);
     assert.deepEqual(plan(now), [], `at ${now}`);
   }
 });
 
-test('a machine that a list of a later time lacks is returned once more, for the answer proves it gone', () => {
+// The cloud's answer to the return proves that the machine is gone.
+test('a machine that is missing from a list of a later time is returned', () => {
   const autoscaler = new Autoscaler(clusterConfig, 1, limits);
   const plan = (now: number): readonly string[] =>
     autoscaler.plan({
@@ -326,8 +327,9 @@
   assert.deepEqual(plan(6000), ['m-2']);
 });
 
-// Otherwise long idle work of guests has machines rented at the ordinary price, and keeps the leader from emptying any.
-test('for work of a team without a guarantee that may run on spot only spot is rented, and machines are emptied all the same', () => {
+// Otherwise, long jobs of teams without a guarantee would cause ordinary machines to be rented, and would prevent
+// consolidation.
+test('spot jobs of a team without a guarantee neither rent ordinary machines nor prevent consolidation', () => {
   const teams = new Map([
     ['red', { name: 'red', cpus: 0, gpus: 4, cpusMax: 0, gpusMax: 0 }],
     ['guests', { name: 'guests', cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 0 }],
@@ -356,8 +358,8 @@
   assert.deepEqual(plan('red', true).drain, []);
 });
 
-// By the time alone for which they have been empty, the type with the higher price for each GPU would be kept.
-test('of machines that can be spared the most expensive for each GPU go first, empty or nearly so', () => {
+// If only the time for which machines have been empty counted, the type with the higher price per GPU would be kept.
+test('of idle and nearly empty machines that can be spared, the most expensive per GPU are drained first', () => {
   const expensive = { ...type, name: 'expensive', gpus: 2, cpus: 4, memoryGb: 16, price: 3, spotPrice: 0.8 };
   const two = new Map([type, expensive].map((t) => [t.name, t]));
   const drained = (machines: readonly MachineStatus[], headroom: number): readonly string[] => {
--- a/packages/core/test/cost.test.ts
+++ b/packages/core/test/cost.test.ts
@@ -1,4 +1,4 @@
-// What a heartbeat and a planning cost, counted in looks at machines: each look asks for the machine's type.
+// The cost of handling a heartbeat and of planning placements, counted in lookups of machine types.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobRecord, type MachineType, type Heartbeat } from '@gingerlock/wire';
@@ -21,8 +21,8 @@
 const TASKS = 6;
 
 /**
- * A partition of so many machines with six replicas on each: looks of one unchanged heartbeat, and of a planning with
- * so many waiting.
+ * Counts the lookups of one unchanged heartbeat and of one planning with `waiting` waiting tasks, in a partition of
+ * `count` machines with six replicas each.
  */
 function costs(count: number, waiting: number): { heartbeat: number; planning: number } {
   let looks = 0;
@@ -89,12 +89,12 @@
   return { heartbeat: ofHeartbeat, planning: looks };
 }
 
-test('an unchanged heartbeat costs the same in a partition of 40 machines and in one of 900', () => {
+test('the cost of an unchanged heartbeat does not depend on the number of machines in the partition', () => {
   assert.equal(costs(900, 0).heartbeat, costs(40, 0).heartbeat);
   assert.equal(costs(900, 50).heartbeat, costs(40, 50).heartbeat);
 });
 
-test('a planning grows no faster than the machines of the partition, nor than the waiting tasks', () => {
+test('the cost of planning grows at most linearly with the machines and with the waiting tasks', () => {
   const small = costs(40, 4).planning;
   assert.ok(costs(900, 4).planning <= small * (900 / 40) * 1.1);
   assert.ok(costs(40, 16).planning <= small * 4 * 1.1);
--- a/packages/core/test/dependencies.test.ts
+++ b/packages/core/test/dependencies.test.ts
@@ -1,4 +1,4 @@
-// Generated graphs of jobs against a plain model that looks at everything anew each time.
+// Compares generated job graphs with a simple model that recomputes everything on each call.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobRecord, type JobRecord, type JobSpec, PRIORITIES } from '@gingerlock/wire';
@@ -14,7 +14,7 @@
   state: State;
 }
 
-/** What has happened to the jobs, with no regard to how it is worked out. */
+/** The expected state of the jobs, computed without incremental updates. */
 class Model {
   readonly jobs = new Map<string, ModelJob>();
 
@@ -31,7 +31,7 @@
     return state === 'cancelled' || (state === 'live' && spec.awaits.some((need) => this.isCancelled(need)));
   }
 
-  /** Unfinished jobs that need this one directly. */
+  /** Direct dependents of the job that are live and not cancelled. */
   needing(id: string): string[] {
     return [...this.jobs.keys()].filter(
       (other) =>
@@ -59,7 +59,7 @@
   }
 }
 
-/** One step of a day: a job comes that needs some of those before it, or something happens to one of them. */
+/** One generated step: a job that depends on earlier jobs is accepted, or an earlier job finishes or is cancelled. */
 const step = fc.record({
   what: fc.constantFrom('accept' as const, 'accept' as const, 'finish' as const, 'cancel' as const),
   which: fc.nat(),
@@ -83,7 +83,7 @@
   }
 }
 
-/** Every job that looks different afterwards; the job itself whose record is applied is reported by the caller. */
+/** Applies a change; returns the jobs that were passed to `onDerived`, and the jobs whose derived state has changed. */
 function derivedBy(table: JobTable, apply: () => void): { notified: Set<string>; changed: Set<string> } {
   const look = (): Map<string, string> =>
     new Map(
@@ -135,14 +135,14 @@
 
 const days = fc.array(step, { minLength: 1, maxLength: 30 });
 
-test('readiness, cancellation and urgency follow every change, and whoever depends on it is notified', () => {
+test('derived state matches the model after every change, and changes of other jobs are notified', () => {
   fc.assert(
     fc.property(days, (steps) => void play(steps)),
     { seed: 391, numRuns: 300 },
   );
 });
 
-test('records read in any order, as after a restart, give the same', () => {
+test('records that are read in any order, as after a restart, give the same derived state', () => {
   fc.assert(
     fc.property(days, fc.infiniteStream(fc.nat()), (steps, order) => {
       const { model } = play(steps);
@@ -158,7 +158,7 @@
   );
 });
 
-test('a controller to which a peer has reported a cancellation passes it on to the jobs after it', () => {
+test('a cancellation that a peer has reported is propagated to the dependents of the job', () => {
   const { model, table } = play([]);
   assert.equal(model.jobs.size, 0);
   const accept = (id: string, awaits: string[]): void => {
@@ -199,7 +199,7 @@
   assert.equal([...table.live.values()].filter((job) => job.isCancelled).length, length - 1);
 });
 
-test('in one urgency the pipeline with the least time left goes first, and other jobs as they came', () => {
+test('jobs of the same priority are ordered by latest start in pipelines and by time of acceptance otherwise', () => {
   const job = (id: string, acceptedAt: number, startBy: number): Job =>
     ({ id, effectivePriority: 1, acceptedAt, startBy }) as unknown as Job;
   const jobs = [job('j-1', 5, Infinity), job('j-2', 1, 30), job('j-3', 2, 20), job('j-4', 25, Infinity)];
--- a/packages/core/test/finished-pages.test.ts
+++ b/packages/core/test/finished-pages.test.ts
@@ -5,7 +5,7 @@
 import { BitSet, finishedPageFor, type Job, JobTable } from '../src/index';
 import { specOf } from './fixtures';
 
-/** Pages as fixed by a first controller under a limit of 16 KiB, and the limit that holds now. */
+/** Length of regular pages, as stored under a limit on values of 16 KiB, and the smaller current limit. */
 const PAGE_TASKS = 49_152;
 const VALUE_BYTES = 2048;
 const PARTITION_ID = 3;
@@ -31,7 +31,7 @@
 
 const task = fc.integer({ min: 0, max: 99_999 });
 
-test('finished tasks are kept under a smaller limit on values, beside pages that were stored under a larger one', () => {
+test('finished tasks are stored within a smaller limit on values even if pages exist from a larger limit', () => {
   fc.assert(
     fc.property(fc.array(task, { maxLength: 30 }), fc.array(task, { maxLength: 60 }), (before, after) => {
       const { table, job } = tableWith(100_000);
@@ -57,7 +57,7 @@
   );
 });
 
-test('tasks that fit into the page of the format of before go there, so that the version before reads them', () => {
+test('tasks that fit into their regular page are stored there, so that the previous version can read them', () => {
   const { job } = tableWith(90);
   for (const taskIndex of [0, 41, 89]) {
     const { key, first } = finishedPageFor(job, PARTITION_ID, taskIndex, {
--- a/packages/core/test/fixtures.ts
+++ b/packages/core/test/fixtures.ts
@@ -1,7 +1,7 @@
 import type { JobSpec } from '@gingerlock/wire';
 import { type ClusterConfig, type MachineStatus, NO_RESOURCES } from '../src/index';
 
-/** Settings of a small deployment; a test says what it needs otherwise. */
+/** Settings of a small deployment; tests override what they need. */
 export const CLUSTER_CONFIG: ClusterConfig = {
   controllerCount: 5,
   zones: ['a'],
@@ -13,7 +13,7 @@
   cloudListLagMs: 2000,
 };
 
-/** The status of a machine that is free. */
+/** The status of a machine without tasks. */
 export function machineStatusOf(name: string, over: Partial<MachineStatus> = {}): MachineStatus {
   return {
     name,
--- a/packages/core/test/machine-types.ts
+++ b/packages/core/test/machine-types.ts
@@ -1,16 +1,16 @@
-// Drawn machine types, and all options of them, for the tests of what is rented.
+// Generated machine types and their options, for the tests of scaling out.
 import fc from 'fast-check';
 import type { MachineType } from '@gingerlock/wire';
 import type { MachineOption } from '../src/index';
 import { CLUSTER_CONFIG } from './fixtures';
 
-/** In the order in which the settings list them. */
+/** Zones in the order of the settings. */
 export const ZONES = ['north', 'south', 'east'];
 
-/** Settings of a cluster in these zones. */
+/** Settings of a cluster with these zones. */
 export const clusterConfig = { ...CLUSTER_CONFIG, zones: ZONES };
 
-/** How the properties are checked. */
+/** Parameters of the property checks. */
 export const RUNS = { numRuns: 500, seed: 31 };
 
 const machineType = (name: string): fc.Arbitrary<MachineType> =>
@@ -34,13 +34,13 @@
       spotPrice: price * spotShare,
     }));
 
-/** From one type up to so many. */
+/** Generates between one and `maxCount` machine types. */
 export const anyTypes = (maxCount: number): fc.Arbitrary<MachineType[]> =>
   fc
     .integer({ min: 1, max: maxCount })
     .chain((count) => fc.tuple(...Array.from({ length: count }, (_, i) => machineType(`t-${i}`))));
 
-/** All that could be rented of the types. */
+/** All options of the types. */
 export function allOptions(all: readonly MachineType[]): MachineOption[] {
   return all.flatMap((type) => type.zones.flatMap((zone) => [false, true].map((spot) => ({ type, zone, spot }))));
 }
--- a/packages/core/test/partition.test.ts
+++ b/packages/core/test/partition.test.ts
@@ -4,7 +4,7 @@
 
 const HOMES = ['north', 'south', 'east'];
 
-/** By partition: how many of so many machines of a zone it has. */
+/** Number of machines that each partition gets if `machines` machines are in the zone. */
 function shares(zone: string, machines: number): number[] {
   const partitioner = new Partitioner(HOMES.length, HOMES);
   const counts = HOMES.map(() => 0);
@@ -16,6 +16,6 @@
   for (const count of shares('west', 900)) assert.ok(Math.abs(count - 300) < 60, `${count} of 900`);
 });
 
-test('machines of a zone with a controller belong to the partition that is at home there', () => {
+test('machines of a zone with a controller belong to the partition whose home is the zone', () => {
   HOMES.forEach((zone, partitionId) => assert.equal(shares(zone, 50)[partitionId], 50));
 });
--- a/packages/core/test/scale-out-choice.test.ts
+++ b/packages/core/test/scale-out-choice.test.ts
@@ -42,7 +42,7 @@
 
 type Choose = (context: ScaleOutContext) => ScaleOutChoice | null;
 
-/** What is wrong with a choice; null: nothing. */
+/** The rule that a choice violates; null if none. */
 function fault(given: ScaleOutContext, choice: ScaleOutChoice | null): string | null {
   if (choice === null) return given.options.length > 0 ? 'nothing chosen though something may be rented' : null;
   const { chosen } = choice;
@@ -56,14 +56,14 @@
   return null;
 }
 
-/** A wrong choice: the least price of a whole machine. */
+/** A mutant that chooses the machine with the lowest price, regardless of its capacity. */
 function cheapestMachine(given: ScaleOutContext): ScaleOutChoice | null {
   const price = ({ type, spot }: MachineOption): number => (spot ? type.spotPrice : type.price);
   const [option] = [...given.options].sort((a, b) => price(a) - price(b));
   return option === undefined ? null : chooseMachineOption({ ...given, options: [option] });
 }
 
-test('what is rented is never more expensive and slower than another allowed choice', () => {
+test('no other allowed option is cheaper without being slower, or faster without being more expensive', () => {
   fc.assert(
     fc.property(context(4), (given) => {
       assert.equal(fault(given, chooseMachineOption(given)), null);
@@ -72,7 +72,7 @@
   );
 });
 
-test('the check of choices finds mutants: the cheapest machine, the first option, none', () => {
+test('the check of choices detects mutants that choose the cheapest machine, the first option or none', () => {
   const mutants: Choose[] = [
     cheapestMachine,
     (given) =>
@@ -88,7 +88,7 @@
   }
 });
 
-test('the order of types, zones and options is of no effect', () => {
+test('the choice does not depend on the order of types, zones and options', () => {
   fc.assert(
     fc.property(context(4), (given) => {
       const turned: ScaleOutContext = {
@@ -103,7 +103,7 @@
   );
 });
 
-test('with one type the cheaper kind is chosen, in the zone with the fewest machines', () => {
+test('with one type, the cheaper kind is chosen in the zone with the fewest machines', () => {
   fc.assert(
     fc.property(context(1), (given) => {
       const price = ({ type, spot }: MachineOption): number => (spot ? type.spotPrice : type.price);
--- a/packages/core/test/scale-out-plan.test.ts
+++ b/packages/core/test/scale-out-plan.test.ts
@@ -6,7 +6,7 @@
 import { specOf } from './fixtures';
 import { allOptions, anyTypes, clusterConfig, RUNS, ZONES } from './machine-types';
 
-// One type is more expensive for each GPU, though cheaper for each machine, and boots and fetches at half the speed.
+// SMALL is more expensive per GPU than LARGE, though cheaper per machine, and it boots and fetches at half the speed.
 const SMALL: MachineType = {
   name: 'small',
   cpus: 16,
@@ -54,21 +54,21 @@
   return { job, count: tasks, zones: null };
 }
 
-/** By type: how many machines the plan asks for. */
+/** Number of machines that the plan requests, by type. */
 function countRented(plan: ScaleOutPlan): Record<string, number> {
   const byType: Record<string, number> = {};
   for (const r of plan.requests(() => 'r')) byType[r.type] = (byType[r.type] ?? 0) + r.count;
   return byType;
 }
 
-// By the least price of a machine all would be of the type that is more expensive for each GPU and half as fast.
-test('a cluster that starts empty gets the type that is cheaper for the same capacity and quicker', () => {
+// If the price per machine decided, all machines would be of the type that costs more per GPU and boots more slowly.
+test('an empty cluster gets the type that is cheaper per capacity and boots faster', () => {
   const plan = planOf();
   plan.serve([waiting(40)], 0);
   assert.deepEqual(countRented(plan), { large: 10 });
 });
 
-test('for a single task a machine of its size is rented, unless spare capacity is wanted too', () => {
+test('a small machine is rented for a single task, unless spare capacity is needed too', () => {
   const alone = planOf();
   alone.serve([waiting(1)], 0);
   assert.deepEqual(countRented(alone), { small: 1 });
@@ -77,7 +77,7 @@
   assert.deepEqual(countRented(withSpare), { large: 1 });
 });
 
-test('a type that is refused gives way to the next best, and comes back', () => {
+test('the next best type is rented while a type is backing off, and the best type afterwards', () => {
   const plan = planOf({ isOpen: ({ type }) => type !== LARGE });
   plan.serve([waiting(8)], 0);
   plan.keepSpare(0, 4);
@@ -87,8 +87,8 @@
   assert.deepEqual(countRented(later), { large: 2 });
 });
 
-// By the number of machines alone, full zones would be asked again and again before one that is not full.
-test('of zones that cost the same one that was not refused lately is asked first', () => {
+// If only the number of machines counted, zones without capacity would be requested repeatedly before the others.
+test('among zones of equal cost, one that was not recently refused is requested first', () => {
   const plan = planOf({
     known: Array.from({ length: 9 }, () => ({ zone: 'east', spot: false })),
     wasRefused: ({ zone }) => zone !== 'east',
@@ -100,7 +100,7 @@
   );
 });
 
-test('a suspect machine is replaced, by smaller machines where no large one can be had', () => {
+test('a suspect machine is replaced, by smaller machines if no large one can be rented', () => {
   const machine = {
     spot: false,
     byPriority: [{ cpus: 16, gpus: 8, memoryGb: 64 }, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES],
@@ -114,7 +114,7 @@
   assert.deepEqual(countRented(refused), { small: 2 });
 });
 
-test('where GPUs are needed no machine without any is rented, however cheap', () => {
+test('a machine without GPUs is not rented for GPUs, however cheap it is', () => {
   const without = { ...SMALL, name: 'without', gpus: 0, price: 0.1, spotPrice: 0.1 };
   const plan = planOf({ types: new Map([SMALL, without].map((t) => [t.name, t])) });
   plan.keepSpare(0, 4);
@@ -125,7 +125,7 @@
   assert.ok(countRented(plan).small! > 0);
 });
 
-test('no demand is left that an open option could serve, and nothing is rented for twice', () => {
+test('all tasks that an available option can run get a machine, and no superfluous machine is rented', () => {
   fc.assert(
     fc.property(
       anyTypes(3),
