--- a/packages/core/src/autoscaling/autoscaler.ts
+++ b/packages/core/src/autoscaling/autoscaler.ts
@@ -135,7 +135,7 @@
     const plan = this.#planScaleOut(review);
     // Request names are unique across leaders because they contain the leader's term.
     const scaleOut = plan.requests(() => `r-${this.term}-${++this.#requestCount}`);
-    this.#planScaleIn(review, scaleOut, plan.kept);
+    this.#planScaleIn(review, scaleOut, plan.keptMachines);
     this.#draining = review.drain;
     return { scaleOut, scaleIn: review.scaleIn, drain: [...review.drain] };
   }
@@ -193,12 +193,12 @@
   #planScaleOut(review: Review): ScaleOutPlan {
     const { input, statusByName } = review;
     const plan = this.#newScaleOutPlan(review);
-    for (const machine of this.#machinesToReplace(statusByName)) plan.replace(machine);
+    for (const machine of this.#machinesToReplace(statusByName)) plan.planReplacement(machine);
     // Spare capacity for new services, and for services whose heartbeats new owners still wait for, is rented in
     // advance: a boot takes longer than most objectives allow.
     const freeGpus = freeServiceGpus(statusByName.values());
     plan.serve(input.unschedulable, review.headroomGpus - freeGpus);
-    plan.keepSpare(freeGpus, review.headroomGpus);
+    plan.planSpareGpus(freeGpus, review.headroomGpus);
     return plan;
   }
 
@@ -213,10 +213,10 @@
       known: this.machines.values(),
       maxOrdinaryMachines: this.limits.maxOrdinaryMachines,
       maxSpotMachines: this.limits.maxSpotMachines,
-      isOpen: (option) => !isSilent(option.zone) && !this.#backoff.isBackingOff(option, now),
+      mayRequest: (option) => !isSilent(option.zone) && !this.#backoff.isBackingOff(option, now),
       wasRefused: (option) => this.#backoff.wasRefused(option, now),
       isSilent,
-      onlySpot: (spec) => this.#waitsForSpot(spec),
+      isSpotOnly: (spec) => this.#isSpotOnly(spec),
     });
   }
 
@@ -245,15 +245,15 @@
   }
 
   /** Adds to the review the idle machines that can be spared, and the nearly empty ones to consolidate. */
-  #planScaleIn(review: Review, scaleOut: readonly PlannedScaleOut[], kept: ReadonlySet<string>): void {
+  #planScaleIn(review: Review, scaleOut: readonly PlannedScaleOut[], keptMachines: ReadonlySet<string>): void {
     const { input, statusByName, drain, scaleIn } = review;
     const isScalingOut = scaleOut.length > 0;
-    const idle = this.#idleScaleIn(review, isScalingOut, kept);
+    const idle = this.#idleScaleIn(review, isScalingOut, keptMachines);
     for (const name of idle.drain) drain.add(name);
     scaleIn.push(...idle.scaleIn);
-    const isShort = input.unschedulable.some(({ job }) => !this.#waitsForSpot(job.spec));
-    if (isScalingOut || isShort) return;
-    const emptied = this.#consolidator.plan({
+    const hasUnmetDemand = input.unschedulable.some(({ job }) => !this.#isSpotOnly(job.spec));
+    if (isScalingOut || hasUnmetDemand) return;
+    const consolidated = this.#consolidator.plan({
       now: input.now,
       types: input.types,
       partitioner: input.partitioner,
@@ -262,17 +262,17 @@
       draining: this.#draining,
       spareOrdinaryGpus: idle.spareGpus,
     });
-    for (const name of emptied) drain.add(name);
+    for (const name of consolidated) drain.add(name);
   }
 
-  #idleScaleIn(review: Review, isScalingOut: boolean, kept: ReadonlySet<string>): IdleScaleIn {
+  #idleScaleIn(review: Review, isScalingOut: boolean, keptMachines: ReadonlySet<string>): IdleScaleIn {
     const { input, statusByName, drain, scaleIn, booting } = review;
     return planIdleScaleIn({
       clusterConfig: this.clusterConfig,
       types: input.types,
       machines: statusByName.values(),
       isReturned: (name) => this.#inventory.isReturned(name),
-      isExempt: (name) => scaleIn.includes(name) || kept.has(name) || input.pinned?.has(name) === true,
+      isExempt: (name) => scaleIn.includes(name) || keptMachines.has(name) || input.pinned?.has(name) === true,
       isDraining: (name) => drain.has(name) || this.#draining.has(name),
       mayDrainMore: !isScalingOut || booting.length > 0,
       headroomGpus: review.headroomGpus,
@@ -284,7 +284,7 @@
    * It uses free resources of ordinary machines, but none are rented or kept for it: long jobs of low urgency would
    * make the whole cluster more expensive.
    */
-  #waitsForSpot({ team: name, spot }: JobSpec): boolean {
+  #isSpotOnly({ team: name, spot }: JobSpec): boolean {
     const team = this.clusterConfig.teams.get(name);
     return spot && team !== undefined && hasNoGuarantee(team);
   }
--- a/packages/core/src/autoscaling/consolidation.ts
+++ b/packages/core/src/autoscaling/consolidation.ts
@@ -87,10 +87,10 @@
 function candidateOf(machine: MachineStatus, types: ReadonlyMap<string, MachineType>): ConsolidationCandidate {
   const type = types.get(machine.type);
   // Only replicas have to be moved off an ordinary machine; nothing is moved off a spot machine.
-  const using = machine.spot ? machine.byPriority : machine.byPriority.slice(0, BATCH_PRIORITY);
+  const usage = machine.spot ? machine.byPriority : machine.byPriority.slice(0, BATCH_PRIORITY);
   return {
     machine,
-    usedGpus: using.reduce((sum, { gpus }) => sum + gpus, 0),
+    usedGpus: usage.reduce((sum, { gpus }) => sum + gpus, 0),
     totalGpus: type?.gpus ?? 0,
     price: type === undefined ? 0 : unitPrice(type, machine.spot),
   };
--- a/packages/core/src/autoscaling/idle-scale-in.ts
+++ b/packages/core/src/autoscaling/idle-scale-in.ts
@@ -56,7 +56,7 @@
     if (input.isExempt(machine.name)) continue;
     const { gpus } = input.types.get(machine.type)!;
     const isSpare = machine.spot || ordinaryGpus - gpus >= input.headroomGpus;
-    const mayStart = hasIdledLong(machine, input) && isSpare && input.mayDrainMore;
+    const mayStart = isIdleLongEnough(machine, input) && isSpare && input.mayDrainMore;
     if (!input.isDraining(machine.name) && !mayStart) continue;
     if (!machine.spot && machine.takesWork) ordinaryGpus -= gpus;
     drain.push(machine.name);
@@ -77,7 +77,7 @@
     .sort((a, b) => priceOf(b) - priceOf(a) || b.emptyMs - a.emptyMs);
 }
 
-function hasIdledLong({ type, emptyMs }: MachineStatus, { clusterConfig, types }: IdleScaleInInput): boolean {
+function isIdleLongEnough({ type, emptyMs }: MachineStatus, { clusterConfig, types }: IdleScaleInInput): boolean {
   const minIdleMs = clusterConfig.heartbeatIntervalMs * MIN_IDLE_INTERVALS;
   return emptyMs > Math.max(bootMsOf(types.get(type)) * IDLE_BOOTS, minIdleMs);
 }
--- a/packages/core/src/autoscaling/machine-inventory.ts
+++ b/packages/core/src/autoscaling/machine-inventory.ts
@@ -53,7 +53,7 @@
   /** Adds machines that the cloud has rented for a request. */
   recordScaleOut(names: readonly string[], { type, zone, spot }: RentRequest, now: number): void {
     for (const name of names) {
-      if (!this.isReturned(name)) this.#knownOrNew({ name, type, zone, spot, createdAt: now });
+      if (!this.isReturned(name)) this.#getOrAdd({ name, type, zone, spot, createdAt: now });
     }
   }
 
@@ -74,7 +74,7 @@
   observe(statuses: Iterable<MachineStatus>, now: number): void {
     for (const { name, type, zone, spot, silentMs } of statuses) {
       if (this.isReturned(name)) continue;
-      const known = this.#knownOrNew({ name, type, zone, spot, createdAt: now });
+      const known = this.#getOrAdd({ name, type, zone, spot, createdAt: now });
       if (known.state === 'booting') known.state = 'running';
       known.upSince ??= now;
       if (silentMs < this.clusterConfig.workerLeaseMs) known.lastHeartbeatAt = now - silentMs;
@@ -96,7 +96,7 @@
 
   #applyListed({ name, type, zone, spot, ageS, state }: CloudMachine, describedAt: number, now: number): void {
     const createdAt = now - ageS * 1000;
-    const known = this.#knownOrNew({ name, type, zone, spot, createdAt });
+    const known = this.#getOrAdd({ name, type, zone, spot, createdAt });
     known.listedAsOf = Math.max(known.listedAsOf ?? -Infinity, describedAt);
     known.missingSince = null;
     if (known.state !== 'failed') known.state = state;
@@ -148,7 +148,7 @@
     return running.length > 0 && running.every(({ name }) => shown.has(name));
   }
 
-  #knownOrNew(origin: MachineOrigin): KnownMachine {
+  #getOrAdd(origin: MachineOrigin): KnownMachine {
     let known = this.machines.get(origin.name);
     if (known === undefined) {
       known = newMachine(origin);
--- a/packages/core/src/autoscaling/scale-out-choice.ts
+++ b/packages/core/src/autoscaling/scale-out-choice.ts
@@ -33,7 +33,7 @@
   /** Machine types by name. */
   readonly types: ReadonlyMap<string, MachineType>;
   /** Number of machines by zone, including those planned for this scale-out. */
-  readonly machinesIn: ReadonlyMap<string, number>;
+  readonly machineCountByZone: ReadonlyMap<string, number>;
   /** The demand that needs a machine, followed by other demands that could share the machine. */
   readonly demands: readonly ScaleOutDemand[];
   /** The options that may be rented. */
@@ -68,34 +68,34 @@
 interface TypeCost {
   readonly startMs: number;
   /** Least price per hour, over all types, for the tasks that would share the machine. */
-  readonly worth: number;
+  readonly referencePrice: number;
 }
 
 function typeCostOf({ types, demands }: ScaleOutContext, type: MachineType): TypeCost {
   const [first] = demands;
-  if (first === undefined) return { startMs: bootMsOf(type), worth: 0 };
+  if (first === undefined) return { startMs: bootMsOf(type), referencePrice: 0 };
   let remaining: Resources = capacityOf(type);
-  let worth = 0;
+  let referencePrice = 0;
   for (const demand of demands) {
     if (demand.spot !== first.spot || !allowsType(demand, type.name)) continue;
     const count = Math.min(demand.count, countFitting(demand.need, remaining));
     if (count <= 0) continue;
-    worth += count * leastPrice(demand, types);
+    referencePrice += count * leastPrice(demand, types);
     remaining = subtractResources(remaining, demand.need, count);
     if (remaining.cpus <= 0 || remaining.gpus <= 0 || remaining.memoryGb <= 0) break;
   }
-  return { startMs: bootMsOf(type) + fetchMs(first.imageGb, false, type), worth };
+  return { startMs: bootMsOf(type) + fetchMs(first.imageGb, false, type), referencePrice };
 }
 
-function costOf(context: ScaleOutContext, option: MachineOption, { startMs, worth }: TypeCost): ScaleOutCost {
+function costOf(context: ScaleOutContext, option: MachineOption, { startMs, referencePrice }: TypeCost): ScaleOutCost {
   const { clusterConfig, demands } = context;
   const price = option.spot ? option.type.spotPrice : option.type.price;
-  const costRatio = worth > 0 ? price / worth : price;
+  const costRatio = referencePrice > 0 ? price / referencePrice : price;
   const runMs = demands[0]?.runMs ?? 0;
   const expectedRunMs = runMs > 0 ? runMs : clusterConfig.workerLeaseMs * SERVICE_LEASES;
   const useMs = Math.max(clusterConfig.heartbeatIntervalMs, expectedRunMs);
-  const slowness = 1 + (START_WEIGHT * startMs) / useMs;
-  return { option, startMs, costRatio, cost: costRatio * slowness };
+  const startFactor = 1 + (START_WEIGHT * startMs) / useMs;
+  return { option, startMs, costRatio, cost: costRatio * startFactor };
 }
 
 /** The least price per hour for one task on any type and kind that it may run on; 0 if it may run on none. */
@@ -115,9 +115,9 @@
  * first, then by the number of machines in the zone, then by the order of the zones in the settings.
  */
 function compareOptions(context: ScaleOutContext, a: MachineOption, b: MachineOption): number {
-  const { clusterConfig, machinesIn, wasRefused } = context;
+  const { clusterConfig, machineCountByZone, wasRefused } = context;
   if (wasRefused(a) !== wasRefused(b)) return Number(wasRefused(a)) - Number(wasRefused(b));
-  const machineCount = ({ zone }: MachineOption): number => machinesIn.get(zone) ?? 0;
+  const machineCount = ({ zone }: MachineOption): number => machineCountByZone.get(zone) ?? 0;
   if (machineCount(a) !== machineCount(b)) return machineCount(a) - machineCount(b);
   if (a.zone !== b.zone) return clusterConfig.zones.indexOf(a.zone) - clusterConfig.zones.indexOf(b.zone);
   if (a.spot !== b.spot) return Number(a.spot) - Number(b.spot);
--- a/packages/core/src/autoscaling/scale-out-plan.ts
+++ b/packages/core/src/autoscaling/scale-out-plan.ts
@@ -38,13 +38,13 @@
   readonly maxOrdinaryMachines: number;
   readonly maxSpotMachines: number;
   /** Whether machines of the option may be requested: it is not backing off, and its zone is not silent. */
-  readonly isOpen: (option: MachineOption) => boolean;
+  readonly mayRequest: (option: MachineOption) => boolean;
   /** Whether most machines of the zone are silent. */
   readonly isSilent: (zone: string) => boolean;
   /** Whether the cloud has recently refused the option. */
   readonly wasRefused: (option: MachineOption) => boolean;
   /** Whether only spot machines are rented for the job. */
-  readonly onlySpot: (spec: JobSpec) => boolean;
+  readonly isSpotOnly: (spec: JobSpec) => boolean;
 }
 
 /** A machine that is booting, is kept, or is to be rented. */
@@ -77,16 +77,16 @@
     }
     for (const { zone, spot } of input.known) this.#countMachine(zone, spot);
     this.#drainingIdleMachines = new Set(input.drainingIdleMachines);
-    this.#options = rentableOptions(input.types).filter((option) => input.isOpen(option));
+    this.#options = rentableOptions(input.types).filter((option) => input.mayRequest(option));
   }
 
   /** Names of the draining idle machines that are kept because the plan uses them. */
-  get kept(): ReadonlySet<string> {
+  get keptMachines(): ReadonlySet<string> {
     return this.#kept;
   }
 
   /** Plans machines for all tasks on a suspect machine. */
-  replace(machine: MachineStatus): void {
+  planReplacement(machine: MachineStatus): void {
     const need = machine.byPriority.reduce((sum, resources) => addResources(sum, resources), NO_RESOURCES);
     if (need.cpus <= 0 && need.gpus <= 0) return;
     const { isSilent } = this.input;
@@ -120,39 +120,41 @@
     unschedulable.forEach((entry, index) => {
       const following = (): ScaleOutDemand[] => [...demands.slice(index + 1), spare];
       for (let remaining = entry.count; remaining > 0; remaining--) {
-        if (!this.#serveOne(entry, { ...demands[index]!, count: remaining }, following)) return;
+        if (!this.#planForTask(entry, { ...demands[index]!, count: remaining }, following)) return;
       }
     });
   }
 
   /** Reserves resources for one task on a planned machine, or on a new one; false if no machine may be rented. */
-  #serveOne(
+  #planForTask(
     { job: { spec }, zones }: UnschedulableDemand,
     demand: ScaleOutDemand,
     following: () => readonly ScaleOutDemand[],
   ): boolean {
-    const onlySpot = this.input.onlySpot(spec);
+    const isSpotOnly = this.input.isSpotOnly(spec);
     const inZones = (zone: string): boolean => zones === null || zones.includes(zone);
     const ready = this.#plannedMachines.find(
       ({ type, zone, spot, free }) =>
-        (spot || !onlySpot) && inZones(zone) && allowsMachine(spec, type.name, zone, spot) && fitsIn(spec, free),
+        (spot || !isSpotOnly) && inZones(zone) && allowsMachine(spec, type.name, zone, spot) && fitsIn(spec, free),
     );
     const isAllowed = (option: MachineOption): boolean =>
-      inZones(option.zone) && canRunOnOption(spec, option) && (option.spot || !onlySpot);
+      inZones(option.zone) && canRunOnOption(spec, option) && (option.spot || !isSpotOnly);
     const planned =
-      ready ?? this.#keep(demand, isAllowed) ?? this.#scaleOut('waiting task', [demand, ...following()], isAllowed);
+      ready ??
+      this.#keepDrainingMachine(demand, isAllowed) ??
+      this.#scaleOut('waiting task', [demand, ...following()], isAllowed);
     if (planned === null) return false;
     planned.free = subtractResources(planned.free, spec);
     return true;
   }
 
   /** Plans ordinary machines until `targetGpus` GPUs are free, counting `freeGpus` on the machines that are up. */
-  keepSpare(freeGpus: number, targetGpus: number): void {
+  planSpareGpus(freeGpus: number, targetGpus: number): void {
     let free = this.#plannedMachines.reduce((sum, planned) => sum + (planned.spot ? 0 : planned.free.gpus), freeGpus);
     const isAllowed = (option: MachineOption): boolean => !option.spot;
     while (free < targetGpus) {
       const demand = spareDemand(targetGpus - free);
-      const planned = this.#keep(demand, isAllowed) ?? this.#scaleOut('spare room', [demand], isAllowed);
+      const planned = this.#keepDrainingMachine(demand, isAllowed) ?? this.#scaleOut('spare room', [demand], isAllowed);
       if (planned === null || planned.type.gpus <= 0) return;
       free += planned.type.gpus;
     }
@@ -172,7 +174,7 @@
   }
 
   /** Keeps a draining idle machine that fits the demand; null if none does. */
-  #keep({ need }: ScaleOutDemand, isAllowed: (option: MachineOption) => boolean): PlannedMachine | null {
+  #keepDrainingMachine({ need }: ScaleOutDemand, isAllowed: (option: MachineOption) => boolean): PlannedMachine | null {
     for (const machine of this.#drainingIdleMachines) {
       const type = this.input.types.get(machine.type);
       if (type === undefined || countFitting(need, type) === 0 || !isAllowed({ ...machine, type })) continue;
@@ -192,15 +194,15 @@
     isAllowed: (option: MachineOption) => boolean,
   ): PlannedMachine | null {
     const { clusterConfig, types, wasRefused } = this.input;
-    const isOfUse = ({ type }: MachineOption): boolean =>
+    const fitsFirstDemand = ({ type }: MachineOption): boolean =>
       demands.slice(0, 1).every(({ need }) => countFitting(need, type) > 0);
     const options = this.#options.filter(
-      (option) => isOfUse(option) && isAllowed(option) && this.#isBelowLimit(option.spot),
+      (option) => fitsFirstDemand(option) && isAllowed(option) && this.#isBelowLimit(option.spot),
     );
     const choice = chooseMachineOption({
       clusterConfig,
       types,
-      machinesIn: this.#machineCountByZone,
+      machineCountByZone: this.#machineCountByZone,
       demands,
       options,
       wasRefused,
--- a/packages/core/src/jobs/dependencies.ts
+++ b/packages/core/src/jobs/dependencies.ts
@@ -47,7 +47,7 @@
     if (!job.isCancelled && job.spec.awaits.some((id) => this.#isCancelled(id))) job.isCancelled = true;
     this.#deriveUrgency(job);
     if (job.isCancelled) this.cancelDependents(job.id);
-    this.#passUrgencyOn(job.spec.awaits);
+    this.#propagateUrgency(job.spec.awaits);
   }
 
   /** Removes a job that has ended; `outcome` is null if its record was removed without a final record. */
@@ -57,12 +57,12 @@
       dependents?.delete(job.id);
       if (dependents?.size === 0) this.#dependents.delete(dependency);
     }
-    this.#passUrgencyOn(job.spec.awaits);
-    if (outcome !== null) this.ended(job.id, outcome);
+    this.#propagateUrgency(job.spec.awaits);
+    if (outcome !== null) this.propagateOutcome(job.id, outcome);
   }
 
   /** Propagates the outcome of a job to its dependents. */
-  ended(id: string, outcome: JobOutcome): void {
+  propagateOutcome(id: string, outcome: JobOutcome): void {
     if (outcome === 'cancelled') {
       this.cancelDependents(id);
       return;
@@ -84,7 +84,7 @@
         if (job === undefined || job.isCancelled) continue;
         job.isCancelled = true;
         cancelledIds.push(dependentId);
-        this.#passUrgencyOn(job.spec.awaits);
+        this.#propagateUrgency(job.spec.awaits);
         this.onDerived(dependentId);
       }
     }
@@ -104,7 +104,7 @@
   }
 
   /** Recomputes the urgency of the given jobs and, where it has changed, of their dependencies in turn. */
-  #passUrgencyOn(dependencyIds: readonly string[]): void {
+  #propagateUrgency(dependencyIds: readonly string[]): void {
     const pendingIds = [...dependencyIds];
     for (let id = pendingIds.pop(); id !== undefined; id = pendingIds.pop()) {
       const job = this.jobs.live.get(id);
--- a/packages/core/src/jobs/job-table.ts
+++ b/packages/core/src/jobs/job-table.ts
@@ -79,7 +79,7 @@
     const job = this.live.get(id);
     this.live.delete(id);
     if (job !== undefined) this.dependencies.remove(job, outcome);
-    else if (outcome !== null) this.dependencies.ended(id, outcome);
+    else if (outcome !== null) this.dependencies.propagateOutcome(id, outcome);
   }
 
   /**
--- a/packages/core/test/assigned-ranges.test.ts
+++ b/packages/core/test/assigned-ranges.test.ts
@@ -5,14 +5,14 @@
 import { coverPerPartition, mergeRanges, unassignedRanges, withoutTasks } from '../src/index';
 
 const TASKS = 40;
-const place = fc.record(
+const placement = fc.record(
   { partitionId: fc.nat({ max: 2 }), zone: fc.constantFrom(null, 'a', 'b'), term: fc.constantFrom(1, 2) },
   { noNullPrototype: true },
 );
 type Placement = Omit<AssignedRange, 'from' | 'count'>;
 
 /** The placement of each task; null if the task is not assigned. */
-const assignment = fc.array(fc.option(place, { nil: null }), { minLength: TASKS, maxLength: TASKS });
+const assignment = fc.array(fc.option(placement, { nil: null }), { minLength: TASKS, maxLength: TASKS });
 const tasks = fc.uniqueArray(fc.nat({ max: TASKS - 1 })).map((list) => new Set(list));
 
 function assignedRangesOf(placements: readonly (Placement | null)[]): AssignedRange[] {
@@ -50,8 +50,8 @@
     fc.property(assignment, tasks, fc.nat({ max: 2 }), (places, removed, partitionId) => {
       const left = placesOf(withoutTasks(mergeRanges(assignedRangesOf(places)), partitionId, removed));
       for (let task = 0; task < TASKS; task++) {
-        const goes = removed.has(task) && places[task]?.partitionId === partitionId;
-        assert.deepEqual(left[task], goes ? null : places[task], `task ${task}`);
+        const isRemoved = removed.has(task) && places[task]?.partitionId === partitionId;
+        assert.deepEqual(left[task], isRemoved ? null : places[task], `task ${task}`);
       }
     }),
     { seed: 391 },
--- a/packages/core/test/autoscaler.test.ts
+++ b/packages/core/test/autoscaler.test.ts
@@ -34,12 +34,12 @@
 }
 
 /** The status of a machine on which replicas use `gpus` GPUs. */
-function used(name: string, gpus: number, over: Partial<MachineStatus> = {}): MachineStatus {
+function used(name: string, gpus: number, overrides: Partial<MachineStatus> = {}): MachineStatus {
   const usedResources = { cpus: gpus * 2, gpus, memoryGb: gpus * 8 };
   return machineStatusOf(name, {
     free: { cpus: 8 - usedResources.cpus, gpus: 4 - gpus, memoryGb: 32 - usedResources.memoryGb },
     byPriority: [usedResources, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES],
-    ...over,
+    ...overrides,
   });
 }
 
@@ -114,13 +114,13 @@
 });
 
 /** The status of a machine that holds no tasks and for which a waiting batch task is planned. */
-function planned(name: string, over: Partial<MachineStatus> = {}): MachineStatus {
+function planned(name: string, overrides: Partial<MachineStatus> = {}): MachineStatus {
   const plannedResources = { cpus: 2, gpus: 1, memoryGb: 8 };
   return used(name, 1, {
     byPriority: [NO_RESOURCES, NO_RESOURCES, plannedResources, NO_RESOURCES],
     empty: true,
     emptyMs: 60_000,
-    ...over,
+    ...overrides,
   });
 }
 
@@ -207,9 +207,9 @@
       .plan({ now, types, statuses: statuses(1, machines), unschedulable: [], partitioner: PARTITIONER })
       .scaleOut.map((r) => r.zone);
 
-  const old = new Autoscaler(clusterConfig, 1, wanted);
-  old.applyCloudList(list, 0);
-  assert.deepEqual(zones(old, 100, [...responsive, ...cutOff]), ['a']);
+  const earlier = new Autoscaler(clusterConfig, 1, wanted);
+  earlier.applyCloudList(list, 0);
+  assert.deepEqual(zones(earlier, 100, [...responsive, ...cutOff]), ['a']);
 
   const fresh = new Autoscaler(clusterConfig, 2, wanted);
   fresh.applyCloudList(list, 0);
@@ -253,16 +253,16 @@
       .plan({ now: 100, types, statuses: current, unschedulable: [], partitioner: PARTITIONER })
       .scaleOut.reduce((sum, { count }) => sum + count, 0);
   };
-  const well = [used('m-1', 4), used('m-2', 4), used('m-3', 4)];
-  assert.equal(plan(well), 0);
-  assert.equal(plan([...well, used('m-4', 4, { silentMs: 4000 })]), 1);
+  const healthy = [used('m-1', 4), used('m-2', 4), used('m-3', 4)];
+  assert.equal(plan(healthy), 0);
+  assert.equal(plan([...healthy, used('m-4', 4, { silentMs: 4000 })]), 1);
   // An empty machine needs no replacement; if most machines are silent, the fault is probably in this controller.
-  assert.equal(plan([...well, machineStatusOf('m-4', { silentMs: 4000, empty: true })]), 0);
-  assert.equal(plan([well[0]!, ...['m-2', 'm-3', 'm-4'].map((n) => used(n, 4, { silentMs: 4000 }))]), 0);
+  assert.equal(plan([...healthy, machineStatusOf('m-4', { silentMs: 4000, empty: true })]), 0);
+  assert.equal(plan([healthy[0]!, ...['m-2', 'm-3', 'm-4'].map((n) => used(n, 4, { silentMs: 4000 }))]), 0);
   const missing = { cpus: 12, gpus: 6, memoryGb: 48 };
-  assert.equal(plan(well, missing), 2);
+  assert.equal(plan(healthy, missing), 2);
   // Free GPUs reduce the number of machines to rent.
-  assert.equal(plan([...well, machineStatusOf('m-4')], missing), 1);
+  assert.equal(plan([...healthy, machineStatusOf('m-4')], missing), 1);
 });
 
 test('a nearly empty machine is drained only if its tasks fit elsewhere in the zone and the headroom is kept', () => {
@@ -286,8 +286,8 @@
   );
 });
 
-// The cloud's list may be far out of date, or older than the previous one. If machines that such a list lacks counted as
-// gone, they would be returned while they boot, and rented again.
+// The cloud's list may be far out of date, or older than the previous one. If machines that such a list lacks counted
+// as gone, they would be returned while they boot, and rented again.
 test('a machine that was rented after the time that a list describes is not returned if the list lacks it', () => {
   const autoscaler = new Autoscaler(clusterConfig, 1, limits);
   const plan = (now: number): readonly string[] =>
@@ -373,8 +373,8 @@
     }).drain;
   };
   const half = { cpus: 4, gpus: 2, memoryGb: 16 };
-  const empty = (name: string, over: Partial<MachineStatus>): MachineStatus =>
-    machineStatusOf(name, { empty: true, ...over });
+  const empty = (name: string, overrides: Partial<MachineStatus>): MachineStatus =>
+    machineStatusOf(name, { empty: true, ...overrides });
   const busy = used('m-1', 4);
   const box = empty('m-2', { emptyMs: 90_000 });
   const expensiveBox = empty('m-3', { type: 'expensive', free: half, emptyMs: 60_000 });
--- a/packages/core/test/cost.test.ts
+++ b/packages/core/test/cost.test.ts
@@ -25,7 +25,7 @@
  * `count` machines with six replicas each.
  */
 function costs(count: number, waiting: number): { heartbeat: number; planning: number } {
-  let looks = 0;
+  let lookups = 0;
   const types = new Map([[type.name, type]]);
   const jobs = new JobTable(() => 64);
   const job = (id: string, tasks: number): void => {
@@ -45,7 +45,7 @@
     openedAt: 0,
     jobs,
     types: () => {
-      looks++;
+      lookups++;
       return types;
     },
     membership: [],
@@ -79,14 +79,14 @@
     job('j-999999', waiting);
     claimTable.syncJob('j-999999', 1);
   }
-  looks = 0;
+  lookups = 0;
   const outcome = claimTable.handleHeartbeat(heartbeat(0, 2), 2, false);
   assert.deepEqual(outcome, { kind: 'answer', fencingToken: 2 * TOKENS_PER_TERM, commands: [] });
-  const ofHeartbeat = looks;
-  looks = 0;
+  const ofHeartbeat = lookups;
+  lookups = 0;
   const { unschedulable } = planPlacements(claimTable, 3);
   assert.equal(unschedulable.length, 0);
-  return { heartbeat: ofHeartbeat, planning: looks };
+  return { heartbeat: ofHeartbeat, planning: lookups };
 }
 
 test('the cost of an unchanged heartbeat does not depend on the number of machines in the partition', () => {
--- a/packages/core/test/dependencies.test.ts
+++ b/packages/core/test/dependencies.test.ts
@@ -32,7 +32,7 @@
   }
 
   /** Direct dependents of the job that are live and not cancelled. */
-  needing(id: string): string[] {
+  dependentsOf(id: string): string[] {
     return [...this.jobs.keys()].filter(
       (other) =>
         this.get(other).spec.awaits.includes(id) && this.get(other).state === 'live' && !this.isCancelled(other),
@@ -41,15 +41,15 @@
 
   effectivePriority(id: string): number {
     const own = PRIORITIES.indexOf(this.get(id).spec.priority);
-    return Math.min(own, ...this.needing(id).map((other) => this.effectivePriority(other)));
+    return Math.min(own, ...this.dependentsOf(id).map((other) => this.effectivePriority(other)));
   }
 
   startBy(id: string): number {
     const { spec, acceptedAt } = this.get(id);
-    const needing = this.needing(id);
-    if (spec.awaits.length === 0 && needing.length === 0) return Infinity;
+    const dependents = this.dependentsOf(id);
+    if (spec.awaits.length === 0 && dependents.length === 0) return Infinity;
     const own = spec.deadlineS === null ? Infinity : acceptedAt + spec.deadlineS * 1000;
-    return Math.min(own, ...needing.map((other) => this.startBy(other))) - spec.estimateS * 1000;
+    return Math.min(own, ...dependents.map((other) => this.startBy(other))) - spec.estimateS * 1000;
   }
 
   recordOf(id: string): JobRecord {
@@ -85,21 +85,21 @@
 
 /** Applies a change; returns the jobs that were passed to `onDerived`, and the jobs whose derived state has changed. */
 function derivedBy(table: JobTable, apply: () => void): { notified: Set<string>; changed: Set<string> } {
-  const look = (): Map<string, string> =>
+  const snapshot = (): Map<string, string> =>
     new Map(
       [...table.live.values()].map((j) => [j.id, [j.isReady, j.isCancelled, j.effectivePriority, j.startBy].join()]),
     );
-  const before = look();
+  const before = snapshot();
   const notified = new Set<string>();
   table.onDerived = (id) => notified.add(id);
   apply();
   const changed = new Set(
-    [...look()].filter(([id, now]) => before.has(id) && before.get(id) !== now).map(([id]) => id),
+    [...snapshot()].filter(([id, now]) => before.has(id) && before.get(id) !== now).map(([id]) => id),
   );
   return { notified, changed };
 }
 
-function play(steps: readonly (typeof step extends fc.Arbitrary<infer S> ? S : never)[]): {
+function runSteps(steps: readonly (typeof step extends fc.Arbitrary<infer S> ? S : never)[]): {
   model: Model;
   table: JobTable;
 } {
@@ -133,19 +133,19 @@
   return { model, table };
 }
 
-const days = fc.array(step, { minLength: 1, maxLength: 30 });
+const stepLists = fc.array(step, { minLength: 1, maxLength: 30 });
 
 test('derived state matches the model after every change, and changes of other jobs are notified', () => {
   fc.assert(
-    fc.property(days, (steps) => void play(steps)),
+    fc.property(stepLists, (steps) => void runSteps(steps)),
     { seed: 391, numRuns: 300 },
   );
 });
 
 test('records that are read in any order, as after a restart, give the same derived state', () => {
   fc.assert(
-    fc.property(days, fc.infiniteStream(fc.nat()), (steps, order) => {
-      const { model } = play(steps);
+    fc.property(stepLists, fc.infiniteStream(fc.nat()), (steps, order) => {
+      const { model } = runSteps(steps);
       const table = new JobTable(() => 64);
       const left = [...model.jobs.keys()];
       for (let version = 1; left.length > 0; version++) {
@@ -159,7 +159,7 @@
 });
 
 test('a cancellation that a peer has reported is propagated to the dependents of the job', () => {
-  const { model, table } = play([]);
+  const { model, table } = runSteps([]);
   assert.equal(model.jobs.size, 0);
   const accept = (id: string, awaits: string[]): void => {
     const record = {
--- a/packages/core/test/fixtures.ts
+++ b/packages/core/test/fixtures.ts
@@ -14,7 +14,7 @@
 };
 
 /** The status of a machine without tasks. */
-export function machineStatusOf(name: string, over: Partial<MachineStatus> = {}): MachineStatus {
+export function machineStatusOf(name: string, overrides: Partial<MachineStatus> = {}): MachineStatus {
   return {
     name,
     type: 'box',
@@ -31,12 +31,12 @@
     empty: false,
     emptyMs: 0,
     silentMs: 0,
-    ...over,
+    ...overrides,
   };
 }
 
 /** A job of four small tasks. */
-export function specOf(id: string, over: Partial<JobSpec> = {}): JobSpec {
+export function specOf(id: string, overrides: Partial<JobSpec> = {}): JobSpec {
   return {
     id,
     jobClass: 'batch',
@@ -59,6 +59,6 @@
     saveS: 0,
     deadlineS: null,
     awaits: [],
-    ...over,
+    ...overrides,
   };
 }
--- a/packages/core/test/scale-out-choice.test.ts
+++ b/packages/core/test/scale-out-choice.test.ts
@@ -28,14 +28,14 @@
     .record({
       types: anyTypes(maxTypes),
       demands: fc.array(demand, { minLength: 1, maxLength: 4 }),
-      machinesIn: fc.tuple(...ZONES.map(() => fc.integer({ min: 0, max: 5000 }))),
+      machineCounts: fc.tuple(...ZONES.map(() => fc.integer({ min: 0, max: 5000 }))),
       isOpen: fc.array(fc.boolean(), { minLength: 24, maxLength: 24 }),
     })
-    .map(({ types: all, demands, machinesIn, isOpen }) => ({
+    .map(({ types: all, demands, machineCounts, isOpen }) => ({
       clusterConfig,
       types: new Map(all.map((t) => [t.name, t])),
       demands,
-      machinesIn: new Map(ZONES.map((zone, i) => [zone, machinesIn[i]!])),
+      machineCountByZone: new Map(ZONES.map((zone, i) => [zone, machineCounts[i]!])),
       options: allOptions(all).filter((_, i) => isOpen[i % isOpen.length]),
       wasRefused: () => false,
     }));
@@ -43,7 +43,7 @@
 type Choose = (context: ScaleOutContext) => ScaleOutChoice | null;
 
 /** The rule that a choice violates; null if none. */
-function fault(given: ScaleOutContext, choice: ScaleOutChoice | null): string | null {
+function violation(given: ScaleOutContext, choice: ScaleOutChoice | null): string | null {
   if (choice === null) return given.options.length > 0 ? 'nothing chosen though something may be rented' : null;
   const { chosen } = choice;
   if (!given.options.includes(chosen.option)) return 'not allowed';
@@ -66,7 +66,7 @@
 test('no other allowed option is cheaper without being slower, or faster without being more expensive', () => {
   fc.assert(
     fc.property(context(4), (given) => {
-      assert.equal(fault(given, chooseMachineOption(given)), null);
+      assert.equal(violation(given, chooseMachineOption(given)), null);
     }),
     RUNS,
   );
@@ -81,7 +81,7 @@
   ];
   for (const mutant of mutants) {
     const found = fc.check(
-      fc.property(context(4), (given) => fault(given, mutant(given)) === null),
+      fc.property(context(4), (given) => violation(given, mutant(given)) === null),
       RUNS,
     );
     assert.ok(found.failed);
@@ -91,13 +91,13 @@
 test('the choice does not depend on the order of types, zones and options', () => {
   fc.assert(
     fc.property(context(4), (given) => {
-      const turned: ScaleOutContext = {
+      const reversed: ScaleOutContext = {
         ...given,
         types: new Map([...given.types].reverse()),
-        machinesIn: new Map([...given.machinesIn].reverse()),
+        machineCountByZone: new Map([...given.machineCountByZone].reverse()),
         options: [...given.options].reverse(),
       };
-      assert.deepEqual(chooseMachineOption(turned)?.chosen.option, chooseMachineOption(given)?.chosen.option);
+      assert.deepEqual(chooseMachineOption(reversed)?.chosen.option, chooseMachineOption(given)?.chosen.option);
     }),
     RUNS,
   );
@@ -107,7 +107,7 @@
   fc.assert(
     fc.property(context(1), (given) => {
       const price = ({ type, spot }: MachineOption): number => (spot ? type.spotPrice : type.price);
-      const machines = ({ zone }: MachineOption): number => given.machinesIn.get(zone)!;
+      const machines = ({ zone }: MachineOption): number => given.machineCountByZone.get(zone)!;
       const [expected] = [...given.options].sort(
         (a, b) =>
           price(a) - price(b) ||
--- a/packages/core/test/scale-out-plan.test.ts
+++ b/packages/core/test/scale-out-plan.test.ts
@@ -31,7 +31,7 @@
   bootS: 30,
 };
 
-function planOf(over: Partial<ScaleOutPlanInput> = {}): ScaleOutPlan {
+function planOf(overrides: Partial<ScaleOutPlanInput> = {}): ScaleOutPlan {
   return new ScaleOutPlan({
     clusterConfig,
     types: new Map([SMALL, LARGE].map((t) => [t.name, t])),
@@ -40,17 +40,20 @@
     known: [],
     maxOrdinaryMachines: Infinity,
     maxSpotMachines: Infinity,
-    isOpen: () => true,
+    mayRequest: () => true,
     isSilent: () => false,
     wasRefused: () => false,
-    onlySpot: () => false,
-    ...over,
+    isSpotOnly: () => false,
+    ...overrides,
   });
 }
 
-function waiting(tasks: number, over: Parameters<typeof specOf>[1] = {}): { job: Job; count: number; zones: null } {
+function waiting(
+  tasks: number,
+  overrides: Parameters<typeof specOf>[1] = {},
+): { job: Job; count: number; zones: null } {
   const job = new Job('j-1');
-  job.spec = specOf('j-1', { kind: 'service', gpus: 2, cpus: 4, memoryGb: 8, imageGb: 70, estimateS: 0, ...over });
+  job.spec = specOf('j-1', { kind: 'service', gpus: 2, cpus: 4, memoryGb: 8, imageGb: 70, estimateS: 0, ...overrides });
   return { job, count: tasks, zones: null };
 }
 
@@ -78,9 +81,9 @@
 });
 
 test('the next best type is rented while a type is backing off, and the best type afterwards', () => {
-  const plan = planOf({ isOpen: ({ type }) => type !== LARGE });
+  const plan = planOf({ mayRequest: ({ type }) => type !== LARGE });
   plan.serve([waiting(8)], 0);
-  plan.keepSpare(0, 4);
+  plan.planSpareGpus(0, 4);
   assert.deepEqual(countRented(plan), { small: 5 });
   const later = planOf();
   later.serve([waiting(8)], 0);
@@ -105,21 +108,21 @@
     spot: false,
     byPriority: [{ cpus: 16, gpus: 8, memoryGb: 64 }, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES],
   };
-  const suspect = { ...machine } as unknown as Parameters<ScaleOutPlan['replace']>[0];
+  const suspect = { ...machine } as unknown as Parameters<ScaleOutPlan['planReplacement']>[0];
   const plan = planOf();
-  plan.replace(suspect);
+  plan.planReplacement(suspect);
   assert.deepEqual(countRented(plan), { large: 1 });
-  const refused = planOf({ isOpen: ({ type }) => type !== LARGE });
-  refused.replace(suspect);
+  const refused = planOf({ mayRequest: ({ type }) => type !== LARGE });
+  refused.planReplacement(suspect);
   assert.deepEqual(countRented(refused), { small: 2 });
 });
 
 test('a machine without GPUs is not rented for GPUs, however cheap it is', () => {
   const without = { ...SMALL, name: 'without', gpus: 0, price: 0.1, spotPrice: 0.1 };
   const plan = planOf({ types: new Map([SMALL, without].map((t) => [t.name, t])) });
-  plan.keepSpare(0, 4);
-  plan.replace({ spot: false, byPriority: [{ cpus: 16, gpus: 2, memoryGb: 8 }] } as unknown as Parameters<
-    ScaleOutPlan['replace']
+  plan.planSpareGpus(0, 4);
+  plan.planReplacement({ spot: false, byPriority: [{ cpus: 16, gpus: 2, memoryGb: 8 }] } as unknown as Parameters<
+    ScaleOutPlan['planReplacement']
   >[0]);
   assert.equal(countRented(plan).without ?? 0, 0);
   assert.ok(countRented(plan).small! > 0);
@@ -136,7 +139,7 @@
         const open = options.filter((_, i) => isOpen[i]);
         const plan = planOf({
           types: new Map(all.map((t) => [t.name, t])),
-          isOpen: (option) =>
+          mayRequest: (option) =>
             open.some(({ type, zone, spot }) => type === option.type && zone === option.zone && spot === option.spot),
         });
         const entry = waiting(tasks);
@@ -155,7 +158,7 @@
         assert.ok(couldServe ? remaining >= tasks : remaining === 0);
         for (const { fit, spot } of places) {
           assert.equal(spot, false);
-          assert.ok(remaining - fit < tasks, 'a machine that nobody needs');
+          assert.ok(remaining - fit < tasks, 'superfluous machine');
         }
       },
     ),
