--- a/packages/core/src/autoscaling/autoscaler.ts
+++ b/packages/core/src/autoscaling/autoscaler.ts
@@ -281,7 +281,7 @@
 
   /**
    * Whether only spot machines are rented for the job: its team has no guarantee, and it may run on spot machines.
-   * It uses free resources of ordinary machines, but none are rented or kept for it: long jobs of low urgency would
+   * It uses free resources of ordinary machines, but none are rented or kept for it: long jobs of such teams would
    * make the whole cluster more expensive.
    */
   #isSpotOnly({ team: name, spot }: JobSpec): boolean {
--- a/packages/core/src/autoscaling/machine-inventory.ts
+++ b/packages/core/src/autoscaling/machine-inventory.ts
@@ -100,7 +100,7 @@
     known.listedAsOf = Math.max(known.listedAsOf ?? -Infinity, describedAt);
     known.missingSince = null;
     if (known.state !== 'failed') known.state = state;
-    // For a machine of the first list, the time since when it is up is unknown: it may have been up since its creation.
+    // A machine in the first list may have been up since its creation.
     if (state === 'running') known.upSince ??= this.#hasAppliedList ? now : createdAt;
   }
 
@@ -126,9 +126,9 @@
   }
 
   /**
-   * Returns the latest time that a list can describe; the list may be far out of date. A machine's age in the list
-   * refers to that time, so the creation time (or its upper bound) plus the age bounds it; the tightest bound is
-   * used. Also tightens the upper bounds of the machines' creation times.
+   * Returns the latest time that a list can describe; the list may be far out of date. A machine's age refers to that
+   * time, so the latest creation time of the machine plus its age is an upper bound, and the lowest of these bounds is
+   * returned. Also tightens the machines' latest creation times.
    */
   #describedAt(listed: readonly CloudMachine[], now: number): number {
     let earliest = Infinity;
--- a/packages/core/src/autoscaling/machine-silence.ts
+++ b/packages/core/src/autoscaling/machine-silence.ts
@@ -25,8 +25,8 @@
 
   /**
    * Returns since when the owner could have received a heartbeat of the machine and has not; Infinity if its partition
-   * has no owner. Earlier time is not counted: a new owner or leader has not received any heartbeats yet, and
-   * healthy machines would be returned.
+   * has no owner. The time before a new owner or leader took over is not counted, because healthy machines would
+   * otherwise be returned before it has received a heartbeat from them.
    */
   silentSince({ name, zone, lastHeartbeatAt, upSince }: KnownMachine, partitioner: Partitioner): number {
     const owner = this.#byPartition.get(partitioner.partitionOf(name, zone));
--- a/packages/core/src/autoscaling/zone-silence.ts
+++ b/packages/core/src/autoscaling/zone-silence.ts
@@ -22,7 +22,7 @@
   observe(machines: Iterable<ZoneMachine>, silentUntil: number): void {
     const countsByZone = countByZone(machines);
     const silentZones = [...countsByZone].filter(([, counts]) => isSilentZone(counts)).map(([zone]) => zone);
-    // If all zones are silent, the fault is in this controller.
+    // If all zones are silent, the fault is probably in this controller.
     if (silentZones.length === countsByZone.size) return;
     for (const [zone, { responsive }] of countsByZone) if (responsive > 0) this.#silentUntilByZone.delete(zone);
     for (const zone of silentZones) this.#silentUntilByZone.set(zone, silentUntil);
--- a/packages/core/src/jobs/assigned-ranges.ts
+++ b/packages/core/src/jobs/assigned-ranges.ts
@@ -77,7 +77,7 @@
 /**
  * Returns one range per partition that covers all of its tasks, for a cancelled job whose exact ranges exceed the limit
  * of a stored value. The ranges may overlap: no task of the job is started any more, and each partition removes its
- * range once it holds no task of the job. Until then, the team's limit may count too many tasks, but never too few.
+ * range once it holds no task of the job. Until then, too many tasks may count against the team's limit, never too few.
  */
 export function coverPerPartition(assignedRanges: readonly AssignedRange[]): AssignedRange[] {
   const coverByPartition = new Map<number, AssignedRange>();
--- a/packages/core/src/jobs/dependencies.ts
+++ b/packages/core/src/jobs/dependencies.ts
@@ -91,7 +91,7 @@
   }
 
   /**
-   * Whether all dependencies are done. Only final records count: a job whose tasks have all finished can still be
+   * Whether all dependencies are done. Only final records count: a job whose tasks have all finished may still end as
    * cancelled.
    */
   #isReady(job: Job): boolean {
