--- a/packages/core/src/autoscaling/scale-out-plan.ts
+++ b/packages/core/src/autoscaling/scale-out-plan.ts
@@ -1,4 +1,5 @@
-// What one review of the cluster rents: for what runs on suspect machines, for waiting tasks, and for spare capacity.
+// Plans what to rent in one review of the cluster: replacements of suspect machines, machines for waiting tasks, and
+// spare capacity.
 import type { JobSpec, MachineType, RentRequest } from '@gingerlock/wire';
 import type { ClusterConfig } from '../cluster/cluster-config';
 import { allowsMachine } from '../cluster/placement-constraints';
@@ -23,44 +24,44 @@
   readonly reason: ScaleOutReason;
 }
 
-/** What a plan depends on. */
+/** Input of a plan. */
 export interface ScaleOutPlanInput {
   readonly clusterConfig: ClusterConfig;
   /** Machine types by name. */
   readonly types: ReadonlyMap<string, MachineType>;
-  /** Machines that are on their way. */
+  /** Machines that are booting and not late. */
   readonly booting: readonly { readonly type: string; readonly zone: string; readonly spot: boolean }[];
-  /** Idle machines that were to be returned: using them takes no boot, so they are kept before others are rented. */
+  /** Machines drained only because they are idle; they need no boot, so they are kept before others are rented. */
   readonly drainingIdleMachines: readonly MachineStatus[];
-  /** All machines that are rented. */
+  /** All rented machines. */
   readonly known: Iterable<{ readonly zone: string; readonly spot: boolean }>;
   readonly maxOrdinaryMachines: number;
   readonly maxSpotMachines: number;
-  /** Whether the option is likely to be had, and its machines to be reached. */
-  readonly isOpen: (option: MachineOption) => boolean;
-  /** Whether most machines of the zone have fallen silent. */
+  /** Whether machines of the option may be requested: it is not backing off, and its zone is not silent. */
+  readonly mayRequest: (option: MachineOption) => boolean;
+  /** Whether most machines of the zone are silent. */
   readonly isSilent: (zone: string) => boolean;
-  /** Whether the cloud lately had no more of the option. */
+  /** Whether the cloud has recently refused the option. */
   readonly wasRefused: (option: MachineOption) => boolean;
-  /** Whether spot machines alone are rented for the job. */
-  readonly onlySpot: (spec: JobSpec) => boolean;
+  /** Whether only spot machines are rented for the job. */
+  readonly isSpotOnly: (spec: JobSpec) => boolean;
 }
 
-/** A machine that is on its way, is kept, or is to be rented. */
+/** A machine that is booting, is kept, or is to be rented. */
 interface PlannedMachine {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
-  /** What the plan has not given to tasks yet. */
+  /** Resources that the plan has not yet reserved for tasks. */
   free: Resources;
-  /** Null: it is rented already. */
+  /** Why it is rented; null if it is already rented. */
   readonly reason: ScaleOutReason | null;
 }
 
 /** The most machines that one request may ask for (PROTOCOL). */
 const MACHINES_PER_REQUEST = 50;
 
-/** The machines to be rented and kept, added up demand after demand, the most urgent first. */
+/** Builds up the machines to rent and to keep; demands have to be added in order of urgency, the most urgent first. */
 export class ScaleOutPlan {
   readonly #plannedMachines: PlannedMachine[] = [];
   readonly #machineCountByZone = new Map<string, number>();
@@ -76,16 +77,16 @@
     }
     for (const { zone, spot } of input.known) this.#countMachine(zone, spot);
     this.#drainingIdleMachines = new Set(input.drainingIdleMachines);
-    this.#options = rentableOptions(input.types).filter((option) => input.isOpen(option));
+    this.#options = rentableOptions(input.types).filter((option) => input.mayRequest(option));
   }
 
-  /** Names of the machines that were to be returned and are of use after all. */
-  get kept(): ReadonlySet<string> {
+  /** Names of the draining idle machines that are kept because the plan uses them. */
+  get keptMachines(): ReadonlySet<string> {
     return this.#kept;
   }
 
-  /** Plans machines for all that runs on a machine that will most likely be gone. */
-  replace(machine: MachineStatus): void {
+  /** Plans machines for all tasks on a suspect machine. */
+  planReplacement(machine: MachineStatus): void {
     const need = machine.byPriority.reduce((sum, resources) => addResources(sum, resources), NO_RESOURCES);
     if (need.cpus <= 0 && need.gpus <= 0) return;
     const { isSilent } = this.input;
@@ -96,7 +97,7 @@
     else planned.free = subtractResources(planned.free, need);
   }
 
-  /** The jobs of the tasks are not known here: a type that holds less than all of them takes a share. */
+  /** Plans machines that each hold a share of the resources: the jobs of the tasks are unknown here. */
   #scaleOutInShares(need: Resources, spot: boolean): void {
     let remaining = need;
     while (remaining.cpus > 0 || remaining.gpus > 0) {
@@ -110,8 +111,8 @@
   }
 
   /**
-   * Plans machines for tasks that fit nowhere. `spareGpus`: GPUs that the headroom lacks; they could share the
-   * machines.
+   * Plans machines for tasks that fit on no machine. `spareGpus` is the number of GPUs missing from the headroom, which
+   * could share the machines.
    */
   serve(unschedulable: readonly UnschedulableDemand[], spareGpus: number): void {
     const spare = spareDemand(spareGpus);
@@ -119,45 +120,47 @@
     unschedulable.forEach((entry, index) => {
       const following = (): ScaleOutDemand[] => [...demands.slice(index + 1), spare];
       for (let remaining = entry.count; remaining > 0; remaining--) {
-        if (!this.#serveOne(entry, { ...demands[index]!, count: remaining }, following)) return;
+        if (!this.#planForTask(entry, { ...demands[index]!, count: remaining }, following)) return;
       }
     });
   }
 
-  /** Finds a machine for one task, or plans one; false: none can be had. */
-  #serveOne(
+  /** Reserves resources for one task on a planned machine, or on a new one; false if no machine may be rented. */
+  #planForTask(
     { job: { spec }, zones }: UnschedulableDemand,
     demand: ScaleOutDemand,
     following: () => readonly ScaleOutDemand[],
   ): boolean {
-    const onlySpot = this.input.onlySpot(spec);
+    const isSpotOnly = this.input.isSpotOnly(spec);
     const inZones = (zone: string): boolean => zones === null || zones.includes(zone);
     const ready = this.#plannedMachines.find(
       ({ type, zone, spot, free }) =>
-        (spot || !onlySpot) && inZones(zone) && allowsMachine(spec, type.name, zone, spot) && fitsIn(spec, free),
+        (spot || !isSpotOnly) && inZones(zone) && allowsMachine(spec, type.name, zone, spot) && fitsIn(spec, free),
     );
     const isAllowed = (option: MachineOption): boolean =>
-      inZones(option.zone) && canRunOnOption(spec, option) && (option.spot || !onlySpot);
+      inZones(option.zone) && canRunOnOption(spec, option) && (option.spot || !isSpotOnly);
     const planned =
-      ready ?? this.#keep(demand, isAllowed) ?? this.#scaleOut('waiting task', [demand, ...following()], isAllowed);
+      ready ??
+      this.#keepDrainingMachine(demand, isAllowed) ??
+      this.#scaleOut('waiting task', [demand, ...following()], isAllowed);
     if (planned === null) return false;
     planned.free = subtractResources(planned.free, spec);
     return true;
   }
 
-  /** Plans ordinary machines until `targetGpus` are free, given that `freeGpus` are on the machines that are up. */
-  keepSpare(freeGpus: number, targetGpus: number): void {
+  /** Plans ordinary machines until `targetGpus` GPUs are free, counting `freeGpus` on the machines that are up. */
+  planSpareGpus(freeGpus: number, targetGpus: number): void {
     let free = this.#plannedMachines.reduce((sum, planned) => sum + (planned.spot ? 0 : planned.free.gpus), freeGpus);
     const isAllowed = (option: MachineOption): boolean => !option.spot;
     while (free < targetGpus) {
       const demand = spareDemand(targetGpus - free);
-      const planned = this.#keep(demand, isAllowed) ?? this.#scaleOut('spare room', [demand], isAllowed);
+      const planned = this.#keepDrainingMachine(demand, isAllowed) ?? this.#scaleOut('spare room', [demand], isAllowed);
       if (planned === null || planned.type.gpus <= 0) return;
       free += planned.type.gpus;
     }
   }
 
-  /** One request for each type, zone and kind; `nameOf` gives each a name of its own. */
+  /** Returns one request per type, zone and kind; `nameOf` returns a unique name for each request. */
   requests(nameOf: () => string): PlannedScaleOut[] {
     const requestByOption = new Map<string, PlannedScaleOut>();
     for (const { type, zone, spot, reason } of this.#plannedMachines) {
@@ -170,8 +173,8 @@
     return [...requestByOption.values()].map((scaleOut) => ({ ...scaleOut, request: nameOf() }));
   }
 
-  /** Keeps a machine that was to be returned; null: none is of use. */
-  #keep({ need }: ScaleOutDemand, isAllowed: (option: MachineOption) => boolean): PlannedMachine | null {
+  /** Keeps a draining idle machine that fits the demand; null if none does. */
+  #keepDrainingMachine({ need }: ScaleOutDemand, isAllowed: (option: MachineOption) => boolean): PlannedMachine | null {
     for (const machine of this.#drainingIdleMachines) {
       const type = this.input.types.get(machine.type);
       if (type === undefined || countFitting(need, type) === 0 || !isAllowed({ ...machine, type })) continue;
@@ -184,22 +187,22 @@
     return null;
   }
 
-  /** Plans the machine that serves the first demand best; null: none may be rented. */
+  /** Plans the machine with the lowest cost for the first demand; null if none may be rented. */
   #scaleOut(
     purpose: ScaleOutReason['for'],
     demands: readonly ScaleOutDemand[],
     isAllowed: (option: MachineOption) => boolean,
   ): PlannedMachine | null {
     const { clusterConfig, types, wasRefused } = this.input;
-    const isOfUse = ({ type }: MachineOption): boolean =>
+    const fitsFirstDemand = ({ type }: MachineOption): boolean =>
       demands.slice(0, 1).every(({ need }) => countFitting(need, type) > 0);
     const options = this.#options.filter(
-      (option) => isOfUse(option) && isAllowed(option) && this.#isBelowLimit(option.spot),
+      (option) => fitsFirstDemand(option) && isAllowed(option) && this.#isBelowLimit(option.spot),
     );
     const choice = chooseMachineOption({
       clusterConfig,
       types,
-      machinesIn: this.#machineCountByZone,
+      machineCountByZone: this.#machineCountByZone,
       demands,
       options,
       wasRefused,
--- a/packages/core/test/assigned-ranges.test.ts
+++ b/packages/core/test/assigned-ranges.test.ts
@@ -5,14 +5,14 @@
 import { coverPerPartition, mergeRanges, unassignedRanges, withoutTasks } from '../src/index';
 
 const TASKS = 40;
-const place = fc.record(
+const placement = fc.record(
   { partitionId: fc.nat({ max: 2 }), zone: fc.constantFrom(null, 'a', 'b'), term: fc.constantFrom(1, 2) },
   { noNullPrototype: true },
 );
 type Placement = Omit<AssignedRange, 'from' | 'count'>;
 
-/** Where each task is assigned; null: nowhere. */
-const assignment = fc.array(fc.option(place, { nil: null }), { minLength: TASKS, maxLength: TASKS });
+/** The placement of each task; null if the task is not assigned. */
+const assignment = fc.array(fc.option(placement, { nil: null }), { minLength: TASKS, maxLength: TASKS });
 const tasks = fc.uniqueArray(fc.nat({ max: TASKS - 1 })).map((list) => new Set(list));
 
 function assignedRangesOf(placements: readonly (Placement | null)[]): AssignedRange[] {
@@ -30,7 +30,7 @@
   return placements;
 }
 
-test('merged ranges assign every unfinished task as before, and no range could be merged with the next', () => {
+test('merging ranges keeps the placement of every unfinished task and leaves no ranges to merge', () => {
   fc.assert(
     fc.property(assignment, tasks, (places, finished) => {
       const isFinished = (task: number): boolean => finished.has(task);
@@ -45,20 +45,20 @@
   );
 });
 
-test('tasks are taken out of the ranges of their own partition only', () => {
+test('tasks are removed only from the ranges of the given partition', () => {
   fc.assert(
     fc.property(assignment, tasks, fc.nat({ max: 2 }), (places, removed, partitionId) => {
       const left = placesOf(withoutTasks(mergeRanges(assignedRangesOf(places)), partitionId, removed));
       for (let task = 0; task < TASKS; task++) {
-        const goes = removed.has(task) && places[task]?.partitionId === partitionId;
-        assert.deepEqual(left[task], goes ? null : places[task], `task ${task}`);
+        const isRemoved = removed.has(task) && places[task]?.partitionId === partitionId;
+        assert.deepEqual(left[task], isRemoved ? null : places[task], `task ${task}`);
       }
     }),
     { seed: 391 },
   );
 });
 
-test('the tasks that are in no range are exactly the unassigned tasks', () => {
+test('the unassigned ranges contain exactly the tasks that are in no assigned range', () => {
   fc.assert(
     fc.property(assignment, (places) => {
       const ranges = unassignedRanges(mergeRanges(assignedRangesOf(places)), TASKS);
@@ -70,7 +70,7 @@
   );
 });
 
-test('one range per partition covers all that the partition may run, under no higher a term', () => {
+test('the covering range of a partition contains all its tasks and has no higher term than their ranges', () => {
   fc.assert(
     fc.property(assignment, (places) => {
       const covers = coverPerPartition(assignedRangesOf(places));
--- a/packages/core/test/cost.test.ts
+++ b/packages/core/test/cost.test.ts
@@ -1,4 +1,4 @@
-// What a heartbeat and a planning cost, counted in looks at machines: each look asks for the machine's type.
+// The cost of handling a heartbeat and of planning placements, counted in lookups of machine types.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobRecord, type MachineType, type Heartbeat } from '@gingerlock/wire';
@@ -21,11 +21,11 @@
 const TASKS = 6;
 
 /**
- * A partition of so many machines with six replicas on each: looks of one unchanged heartbeat, and of a planning with
- * so many waiting.
+ * Counts the lookups of one unchanged heartbeat and of one planning with `waiting` waiting tasks, in a partition of
+ * `count` machines with six replicas each.
  */
 function costs(count: number, waiting: number): { heartbeat: number; planning: number } {
-  let looks = 0;
+  let lookups = 0;
   const types = new Map([[type.name, type]]);
   const jobs = new JobTable(() => 64);
   const job = (id: string, tasks: number): void => {
@@ -45,7 +45,7 @@
     acquiredAt: 0,
     jobs,
     types: () => {
-      looks++;
+      lookups++;
       return types;
     },
     membership: [],
@@ -79,22 +79,22 @@
     job('j-999999', waiting);
     claimTable.syncJob('j-999999', 1);
   }
-  looks = 0;
+  lookups = 0;
   const outcome = claimTable.handleHeartbeat(heartbeat(0, 2), 2, false);
   assert.deepEqual(outcome, { kind: 'answer', fencingToken: 2 * TOKENS_PER_TERM, commands: [] });
-  const ofHeartbeat = looks;
-  looks = 0;
+  const ofHeartbeat = lookups;
+  lookups = 0;
   const { unschedulable } = planPlacements(claimTable, 3);
   assert.equal(unschedulable.length, 0);
-  return { heartbeat: ofHeartbeat, planning: looks };
+  return { heartbeat: ofHeartbeat, planning: lookups };
 }
 
-test('an unchanged heartbeat costs the same in a partition of 40 machines and in one of 900', () => {
+test('the cost of an unchanged heartbeat does not depend on the number of machines in the partition', () => {
   assert.equal(costs(900, 0).heartbeat, costs(40, 0).heartbeat);
   assert.equal(costs(900, 50).heartbeat, costs(40, 50).heartbeat);
 });
 
-test('a planning grows no faster than the machines of the partition, nor than the waiting tasks', () => {
+test('the cost of planning grows at most linearly with the machines and with the waiting tasks', () => {
   const small = costs(40, 4).planning;
   assert.ok(costs(900, 4).planning <= small * (900 / 40) * 1.1);
   assert.ok(costs(40, 16).planning <= small * 4 * 1.1);
--- a/packages/core/test/dependencies.test.ts
+++ b/packages/core/test/dependencies.test.ts
@@ -1,4 +1,4 @@
-// Generated graphs of jobs against a plain model that looks at everything anew each time.
+// Compares generated job graphs with a simple model that recomputes everything on each call.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobRecord, type JobRecord, type JobSpec, PRIORITIES } from '@gingerlock/wire';
@@ -14,7 +14,7 @@
   state: State;
 }
 
-/** What has happened to the jobs, with no regard to how it is worked out. */
+/** The expected state of the jobs, computed without incremental updates. */
 class Model {
   readonly jobs = new Map<string, ModelJob>();
 
@@ -31,8 +31,8 @@
     return state === 'cancelled' || (state === 'live' && spec.awaits.some((need) => this.isCancelled(need)));
   }
 
-  /** Unfinished jobs that need this one directly. */
-  needing(id: string): string[] {
+  /** Direct dependents of the job that are live and not cancelled. */
+  dependentsOf(id: string): string[] {
     return [...this.jobs.keys()].filter(
       (other) =>
         this.get(other).spec.awaits.includes(id) && this.get(other).state === 'live' && !this.isCancelled(other),
@@ -41,15 +41,15 @@
 
   effectivePriority(id: string): number {
     const own = PRIORITIES.indexOf(this.get(id).spec.priority);
-    return Math.min(own, ...this.needing(id).map((other) => this.effectivePriority(other)));
+    return Math.min(own, ...this.dependentsOf(id).map((other) => this.effectivePriority(other)));
   }
 
   startBy(id: string): number {
     const { spec, acceptedAt } = this.get(id);
-    const needing = this.needing(id);
-    if (spec.awaits.length === 0 && needing.length === 0) return Infinity;
+    const dependents = this.dependentsOf(id);
+    if (spec.awaits.length === 0 && dependents.length === 0) return Infinity;
     const own = spec.deadlineS === null ? Infinity : acceptedAt + spec.deadlineS * 1000;
-    return Math.min(own, ...needing.map((other) => this.startBy(other))) - spec.estimateS * 1000;
+    return Math.min(own, ...dependents.map((other) => this.startBy(other))) - spec.estimateS * 1000;
   }
 
   recordOf(id: string): JobRecord {
@@ -59,7 +59,7 @@
   }
 }
 
-/** One step of a day: a job comes that needs some of those before it, or something happens to one of them. */
+/** One generated step: a job that depends on earlier jobs is accepted, or an earlier job finishes or is cancelled. */
 const step = fc.record({
   what: fc.constantFrom('accept' as const, 'accept' as const, 'finish' as const, 'cancel' as const),
   which: fc.nat(),
@@ -83,23 +83,23 @@
   }
 }
 
-/** Every job that looks different afterwards; the job itself whose record is applied is reported by the caller. */
+/** Applies a change; returns the jobs that were passed to `onDerived`, and the jobs whose derived state has changed. */
 function derivedBy(table: JobTable, apply: () => void): { notified: Set<string>; changed: Set<string> } {
-  const look = (): Map<string, string> =>
+  const snapshot = (): Map<string, string> =>
     new Map(
       [...table.live.values()].map((j) => [j.id, [j.isReady, j.isCancelled, j.effectivePriority, j.startBy].join()]),
     );
-  const before = look();
+  const before = snapshot();
   const notified = new Set<string>();
   table.onDerived = (id) => notified.add(id);
   apply();
   const changed = new Set(
-    [...look()].filter(([id, now]) => before.has(id) && before.get(id) !== now).map(([id]) => id),
+    [...snapshot()].filter(([id, now]) => before.has(id) && before.get(id) !== now).map(([id]) => id),
   );
   return { notified, changed };
 }
 
-function play(steps: readonly (typeof step extends fc.Arbitrary<infer S> ? S : never)[]): {
+function runSteps(steps: readonly (typeof step extends fc.Arbitrary<infer S> ? S : never)[]): {
   model: Model;
   table: JobTable;
 } {
@@ -133,19 +133,19 @@
   return { model, table };
 }
 
-const days = fc.array(step, { minLength: 1, maxLength: 30 });
+const stepLists = fc.array(step, { minLength: 1, maxLength: 30 });
 
-test('readiness, cancellation and urgency follow every change, and whoever depends on it is notified', () => {
+test('derived state matches the model after every change, and changes of other jobs are notified', () => {
   fc.assert(
-    fc.property(days, (steps) => void play(steps)),
+    fc.property(stepLists, (steps) => void runSteps(steps)),
     { seed: 391, numRuns: 300 },
   );
 });
 
-test('records read in any order, as after a restart, give the same', () => {
+test('records that are read in any order, as after a restart, give the same derived state', () => {
   fc.assert(
-    fc.property(days, fc.infiniteStream(fc.nat()), (steps, order) => {
-      const { model } = play(steps);
+    fc.property(stepLists, fc.infiniteStream(fc.nat()), (steps, order) => {
+      const { model } = runSteps(steps);
       const table = new JobTable(() => 64);
       const left = [...model.jobs.keys()];
       for (let version = 1; left.length > 0; version++) {
@@ -158,8 +158,8 @@
   );
 });
 
-test('a controller to which a peer has reported a cancellation passes it on to the jobs after it', () => {
-  const { model, table } = play([]);
+test('a cancellation that a peer has reported is propagated to the dependents of the job', () => {
+  const { model, table } = runSteps([]);
   assert.equal(model.jobs.size, 0);
   const accept = (id: string, awaits: string[]): void => {
     const record = {
@@ -199,7 +199,7 @@
   assert.equal([...table.live.values()].filter((job) => job.isCancelled).length, length - 1);
 });
 
-test('in one urgency the pipeline with the least time left goes first, and other jobs as they came', () => {
+test('jobs of the same priority are ordered by latest start in pipelines and by time of acceptance otherwise', () => {
   const job = (id: string, acceptedAt: number, startBy: number): Job =>
     ({ id, effectivePriority: 1, acceptedAt, startBy }) as unknown as Job;
   const jobs = [job('j-1', 5, Infinity), job('j-2', 1, 30), job('j-3', 2, 20), job('j-4', 25, Infinity)];
--- a/packages/core/test/fixtures.ts
+++ b/packages/core/test/fixtures.ts
@@ -1,7 +1,7 @@
 import type { JobSpec } from '@gingerlock/wire';
 import { type ClusterConfig, type MachineStatus, NO_RESOURCES } from '../src/index';
 
-/** Settings of a small deployment; a test says what it needs otherwise. */
+/** Settings of a small deployment; tests override what they need. */
 export const CLUSTER_CONFIG: ClusterConfig = {
   controllerCount: 5,
   zones: ['a'],
@@ -13,8 +13,8 @@
   cloudListLagMs: 2000,
 };
 
-/** The status of a machine that is free. */
-export function machineStatusOf(name: string, over: Partial<MachineStatus> = {}): MachineStatus {
+/** The status of a machine without tasks. */
+export function machineStatusOf(name: string, overrides: Partial<MachineStatus> = {}): MachineStatus {
   return {
     name,
     type: 'box',
@@ -31,12 +31,12 @@
     empty: false,
     emptyMs: 0,
     silentMs: 0,
-    ...over,
+    ...overrides,
   };
 }
 
 /** A job of four small tasks. */
-export function specOf(id: string, over: Partial<JobSpec> = {}): JobSpec {
+export function specOf(id: string, overrides: Partial<JobSpec> = {}): JobSpec {
   return {
     id,
     jobClass: 'batch',
@@ -59,6 +59,6 @@
     saveS: 0,
     deadlineS: null,
     awaits: [],
-    ...over,
+    ...overrides,
   };
 }
--- a/packages/core/test/scale-out-plan.test.ts
+++ b/packages/core/test/scale-out-plan.test.ts
@@ -6,7 +6,7 @@
 import { specOf } from './fixtures';
 import { allOptions, anyTypes, clusterConfig, RUNS, ZONES } from './machine-types';
 
-// One type is more expensive for each GPU, though cheaper for each machine, and boots and fetches at half the speed.
+// SMALL is more expensive per GPU than LARGE, though cheaper per machine, and it boots and fetches at half the speed.
 const SMALL: MachineType = {
   name: 'small',
   cpus: 16,
@@ -31,7 +31,7 @@
   bootS: 30,
 };
 
-function planOf(over: Partial<ScaleOutPlanInput> = {}): ScaleOutPlan {
+function planOf(overrides: Partial<ScaleOutPlanInput> = {}): ScaleOutPlan {
   return new ScaleOutPlan({
     clusterConfig,
     types: new Map([SMALL, LARGE].map((t) => [t.name, t])),
@@ -40,35 +40,38 @@
     known: [],
     maxOrdinaryMachines: Infinity,
     maxSpotMachines: Infinity,
-    isOpen: () => true,
+    mayRequest: () => true,
     isSilent: () => false,
     wasRefused: () => false,
-    onlySpot: () => false,
-    ...over,
+    isSpotOnly: () => false,
+    ...overrides,
   });
 }
 
-function waiting(tasks: number, over: Parameters<typeof specOf>[1] = {}): { job: Job; count: number; zones: null } {
+function waiting(
+  tasks: number,
+  overrides: Parameters<typeof specOf>[1] = {},
+): { job: Job; count: number; zones: null } {
   const job = new Job('j-1');
-  job.spec = specOf('j-1', { kind: 'service', gpus: 2, cpus: 4, memoryGb: 8, imageGb: 70, estimateS: 0, ...over });
+  job.spec = specOf('j-1', { kind: 'service', gpus: 2, cpus: 4, memoryGb: 8, imageGb: 70, estimateS: 0, ...overrides });
   return { job, count: tasks, zones: null };
 }
 
-/** By type: how many machines the plan asks for. */
+/** Number of machines that the plan requests, by type. */
 function countRented(plan: ScaleOutPlan): Record<string, number> {
   const byType: Record<string, number> = {};
   for (const r of plan.requests(() => 'r')) byType[r.type] = (byType[r.type] ?? 0) + r.count;
   return byType;
 }
 
-// By the least price of a machine all would be of the type that is more expensive for each GPU and half as fast.
-test('a cluster that starts empty gets the type that is cheaper for the same capacity and quicker', () => {
+// If the price per machine decided, all machines would be of the type that costs more per GPU and boots more slowly.
+test('an empty cluster gets the type that is cheaper per capacity and boots faster', () => {
   const plan = planOf();
   plan.serve([waiting(40)], 0);
   assert.deepEqual(countRented(plan), { large: 10 });
 });
 
-test('for a single task a machine of its size is rented, unless spare capacity is wanted too', () => {
+test('a small machine is rented for a single task, unless spare capacity is needed too', () => {
   const alone = planOf();
   alone.serve([waiting(1)], 0);
   assert.deepEqual(countRented(alone), { small: 1 });
@@ -77,18 +80,18 @@
   assert.deepEqual(countRented(withSpare), { large: 1 });
 });
 
-test('a type that is refused gives way to the next best, and comes back', () => {
-  const plan = planOf({ isOpen: ({ type }) => type !== LARGE });
+test('the next best type is rented while a type is backing off, and the best type afterwards', () => {
+  const plan = planOf({ mayRequest: ({ type }) => type !== LARGE });
   plan.serve([waiting(8)], 0);
-  plan.keepSpare(0, 4);
+  plan.planSpareGpus(0, 4);
   assert.deepEqual(countRented(plan), { small: 5 });
   const later = planOf();
   later.serve([waiting(8)], 0);
   assert.deepEqual(countRented(later), { large: 2 });
 });
 
-// By the number of machines alone, full zones would be asked again and again before one that is not full.
-test('of zones that cost the same one that was not refused lately is asked first', () => {
+// If only the number of machines counted, zones without capacity would be requested repeatedly before the others.
+test('among zones of equal cost, one that was not recently refused is requested first', () => {
   const plan = planOf({
     known: Array.from({ length: 9 }, () => ({ zone: 'east', spot: false })),
     wasRefused: ({ zone }) => zone !== 'east',
@@ -100,32 +103,32 @@
   );
 });
 
-test('a suspect machine is replaced, by smaller machines where no large one can be had', () => {
+test('a suspect machine is replaced, by smaller machines if no large one can be rented', () => {
   const machine = {
     spot: false,
     byPriority: [{ cpus: 16, gpus: 8, memoryGb: 64 }, NO_RESOURCES, NO_RESOURCES, NO_RESOURCES],
   };
-  const suspect = { ...machine } as unknown as Parameters<ScaleOutPlan['replace']>[0];
+  const suspect = { ...machine } as unknown as Parameters<ScaleOutPlan['planReplacement']>[0];
   const plan = planOf();
-  plan.replace(suspect);
+  plan.planReplacement(suspect);
   assert.deepEqual(countRented(plan), { large: 1 });
-  const refused = planOf({ isOpen: ({ type }) => type !== LARGE });
-  refused.replace(suspect);
+  const refused = planOf({ mayRequest: ({ type }) => type !== LARGE });
+  refused.planReplacement(suspect);
   assert.deepEqual(countRented(refused), { small: 2 });
 });
 
-test('where GPUs are needed no machine without any is rented, however cheap', () => {
+test('a machine without GPUs is not rented for GPUs, however cheap it is', () => {
   const without = { ...SMALL, name: 'without', gpus: 0, price: 0.1, spotPrice: 0.1 };
   const plan = planOf({ types: new Map([SMALL, without].map((t) => [t.name, t])) });
-  plan.keepSpare(0, 4);
-  plan.replace({ spot: false, byPriority: [{ cpus: 16, gpus: 2, memoryGb: 8 }] } as unknown as Parameters<
-    ScaleOutPlan['replace']
+  plan.planSpareGpus(0, 4);
+  plan.planReplacement({ spot: false, byPriority: [{ cpus: 16, gpus: 2, memoryGb: 8 }] } as unknown as Parameters<
+    ScaleOutPlan['planReplacement']
   >[0]);
   assert.equal(countRented(plan).without ?? 0, 0);
   assert.ok(countRented(plan).small! > 0);
 });
 
-test('no demand is left that an open option could serve, and nothing is rented for twice', () => {
+test('all tasks that an available option can run get a machine, and no superfluous machine is rented', () => {
   fc.assert(
     fc.property(
       anyTypes(3),
@@ -136,7 +139,7 @@
         const open = options.filter((_, i) => isOpen[i]);
         const plan = planOf({
           types: new Map(all.map((t) => [t.name, t])),
-          isOpen: (option) =>
+          mayRequest: (option) =>
             open.some(({ type, zone, spot }) => type === option.type && zone === option.zone && spot === option.spot),
         });
         const entry = waiting(tasks);
@@ -155,7 +158,7 @@
         assert.ok(couldServe ? remaining >= tasks : remaining === 0);
         for (const { fit, spot } of places) {
           assert.equal(spot, false);
-          assert.ok(remaining - fit < tasks, 'a machine that nobody needs');
+          assert.ok(remaining - fit < tasks, 'superfluous machine');
         }
       },
     ),
