--- a/packages/borrowing/src/accounts.ts
+++ b/packages/borrowing/src/accounts.ts
@@ -8,7 +8,7 @@
   NO_RESOURCES,
   addResources,
   type Team,
-  teamUse,
+  usageByTeam,
   subtractResources,
 } from '@gingerlock/core';
 import { parseTaskName } from '@gingerlock/wire';
@@ -113,7 +113,7 @@
     surelyRunning: ReadonlyMap<string, Resources>,
     waiting: ReadonlyMap<string, Resources>,
   ) {
-    const high = teamUse(jobs);
+    const high = usageByTeam(jobs);
     for (const team of clusterConfig.teams.values()) {
       const { name } = team;
       const of = (use: ReadonlyMap<string, Resources>): Resources => use.get(name) ?? NO_RESOURCES;
--- a/packages/core/src/autoscaling/autoscaler.ts
+++ b/packages/core/src/autoscaling/autoscaler.ts
@@ -197,7 +197,7 @@
     // Spare capacity for new services, and for services whose heartbeats new owners still wait for, is rented in
     // advance: a boot takes longer than most objectives allow.
     const freeGpus = freeServiceGpus(statusByName.values());
-    plan.serve(input.unschedulable, review.headroomGpus - freeGpus);
+    plan.planForTasks(input.unschedulable, review.headroomGpus - freeGpus);
     plan.planSpareGpus(freeGpus, review.headroomGpus);
     return plan;
   }
--- a/packages/core/src/autoscaling/scale-out-plan.ts
+++ b/packages/core/src/autoscaling/scale-out-plan.ts
@@ -114,7 +114,7 @@
    * Plans machines for tasks that fit on no machine. `spareGpus` is the number of GPUs missing from the headroom, which
    * could share the machines.
    */
-  serve(unschedulable: readonly UnschedulableDemand[], spareGpus: number): void {
+  planForTasks(unschedulable: readonly UnschedulableDemand[], spareGpus: number): void {
     const spare = spareDemand(spareGpus);
     const demands = unschedulable.map(({ job: { spec }, count }) => demandOf(spec, count));
     unschedulable.forEach((entry, index) => {
--- a/packages/core/src/claims/claim-queries.ts
+++ b/packages/core/src/claims/claim-queries.ts
@@ -120,12 +120,12 @@
  * have booted when the fencing period ends, and no earlier, because a short outage may end before.
  */
 export function missingServiceResources(table: ClaimView, now: number): Resources {
-  const { clusterConfig, machines, unconfirmedMachines, acquiredAt: openedAt, fencedUntil } = table;
+  const { clusterConfig, machines, unconfirmedMachines, acquiredAt, fencedUntil } = table;
   if (table.isFencingOver) return NO_RESOURCES;
   const confirmedMachines = [...machines.values()].filter((machine) => machine.hasCurrentToken).length;
   if (unconfirmedMachines.size > confirmedMachines) {
     const bootMs = Math.max(0, ...[...table.types.values()].map(bootMsOf));
-    const cutOffAt = openedAt + clusterConfig.heartbeatIntervalMs * CUT_OFF_INTERVALS;
+    const cutOffAt = acquiredAt + clusterConfig.heartbeatIntervalMs * CUT_OFF_INTERVALS;
     if (now < Math.max(cutOffAt, fencedUntil - bootMs)) return NO_RESOURCES;
   }
   let missing = NO_RESOURCES;
--- a/packages/core/src/claims/claim-table.ts
+++ b/packages/core/src/claims/claim-table.ts
@@ -380,7 +380,7 @@
     return tasksToFinish(this, now, maxDelayMs);
   }
 
-  /** The total resources of service tasks that no machine has reported; see `missingServices`. */
+  /** The total resources of service tasks that no machine has reported; see `missingServiceResources`. */
   missingServiceResources(now: number): Resources {
     return missingServiceResources(this, now);
   }
--- a/packages/core/src/claims/crash-loops.ts
+++ b/packages/core/src/claims/crash-loops.ts
@@ -2,7 +2,7 @@
  * Rules for the tasks of a crash-looping job, which failed wherever it was started: at most one at a time is started,
  * as a probe.
  */
-import { assignedUnfinished } from '../jobs/assigned-usage';
+import { countAssignedUnfinished } from '../jobs/assigned-usage';
 import type { Job } from '../jobs/jobs';
 import type { TaskEntry } from './task-entry';
 
@@ -14,7 +14,7 @@
  * assigned, and only once.
  */
 export function mayStartTask({ job, failures }: TaskEntry, isCrashLooping: CrashLoopCheck): boolean {
-  return !isCrashLooping(job) || (job.isCrashLooping && failures === 0 && assignedUnfinished(job) <= 1);
+  return !isCrashLooping(job) || (job.isCrashLooping && failures === 0 && countAssignedUnfinished(job) <= 1);
 }
 
 /**
--- a/packages/core/src/claims/job-evidence.ts
+++ b/packages/core/src/claims/job-evidence.ts
@@ -21,7 +21,7 @@
     oldestRunSince = Math.min(oldestRunSince, claim.runningSince);
   }
   return {
-    hasCompleted: (job?.finishedCount ?? 0) > 0 || jobs.finals.get(id) === 'done',
+    hasCompleted: (job?.finishedCount ?? 0) > 0 || jobs.outcomes.get(id) === 'done',
     isOver: job === undefined,
     isMarkedCrashLooping: job?.isCrashLooping === true,
     runningMachineCount: machines.size,
--- a/packages/core/src/jobs/assigned-ranges.ts
+++ b/packages/core/src/jobs/assigned-ranges.ts
@@ -79,7 +79,7 @@
  * of a stored value. The ranges may overlap: no task of the job is started any more, and each partition removes its
  * range once it holds no task of the job. Until then, too many tasks may count against the team's limit, never too few.
  */
-export function coverPerPartition(assignedRanges: readonly AssignedRange[]): AssignedRange[] {
+export function coveringRanges(assignedRanges: readonly AssignedRange[]): AssignedRange[] {
   const coverByPartition = new Map<number, AssignedRange>();
   for (const range of assignedRanges) {
     const cover = coverByPartition.get(range.partitionId) ?? range;
--- a/packages/core/src/jobs/assigned-usage.ts
+++ b/packages/core/src/jobs/assigned-usage.ts
@@ -4,10 +4,10 @@
 import type { Job } from './jobs';
 
 /** The resources of all assigned, unfinished tasks by team; teams without such tasks are omitted. */
-export function teamUse(jobs: Iterable<Job>): Map<string, Resources> {
+export function usageByTeam(jobs: Iterable<Job>): Map<string, Resources> {
   const useByTeam = new Map<string, Resources>();
   for (const job of jobs) {
-    const taskCount = assignedUnfinished(job);
+    const taskCount = countAssignedUnfinished(job);
     if (taskCount === 0) continue;
     const { team } = job.spec;
     useByTeam.set(team, addResources(useByTeam.get(team) ?? NO_RESOURCES, job.spec, taskCount));
@@ -16,12 +16,12 @@
 }
 
 /** How many unfinished tasks of the job are assigned to partitions. */
-export function assignedUnfinished(job: Job): number {
-  return job.assignedRanges.reduce((sum, range) => sum + unfinishedIn(job, range), 0);
+export function countAssignedUnfinished(job: Job): number {
+  return job.assignedRanges.reduce((sum, range) => sum + countUnfinishedIn(job, range), 0);
 }
 
 /** How many tasks of a range are not finished. */
-export function unfinishedIn(job: Job, { from, count }: Pick<AssignedRange, 'from' | 'count'>): number {
+export function countUnfinishedIn(job: Job, { from, count }: Pick<AssignedRange, 'from' | 'count'>): number {
   if (job.finishedCount === 0) return count;
   let unfinishedCount = 0;
   for (let taskIndex = from; taskIndex < from + count; taskIndex++) {
@@ -31,7 +31,7 @@
 }
 
 /** How many tasks of a job with `spread` may be assigned to one zone. */
-export function spreadCap(job: Job): number {
+export function maxTasksPerZone(job: Job): number {
   return Math.ceil(job.spec.tasks / 2);
 }
 
--- a/packages/core/src/jobs/dependencies.ts
+++ b/packages/core/src/jobs/dependencies.ts
@@ -12,7 +12,7 @@
   /** Jobs that have not ended, by id. */
   readonly live: ReadonlyMap<string, Job>;
   /** Outcomes of the jobs that have ended, by id. */
-  readonly finals: ReadonlyMap<string, JobOutcome>;
+  readonly outcomes: ReadonlyMap<string, JobOutcome>;
 }
 
 const NO_DEPENDENTS: ReadonlySet<string> = new Set();
@@ -95,12 +95,12 @@
    * cancelled.
    */
   #isReady(job: Job): boolean {
-    return job.spec.awaits.every((id) => this.jobs.finals.get(id) === 'done');
+    return job.spec.awaits.every((id) => this.jobs.outcomes.get(id) === 'done');
   }
 
   /** Whether the job is cancelled, whether or not it has ended. */
   #isCancelled(id: string): boolean {
-    return this.jobs.finals.get(id) === 'cancelled' || this.jobs.live.get(id)?.isCancelled === true;
+    return this.jobs.outcomes.get(id) === 'cancelled' || this.jobs.live.get(id)?.isCancelled === true;
   }
 
   /** Recomputes the urgency of the given jobs and, where it has changed, of their dependencies in turn. */
--- a/packages/core/src/jobs/job-table.ts
+++ b/packages/core/src/jobs/job-table.ts
@@ -16,7 +16,7 @@
   /** Jobs that have not ended, by id. */
   readonly live = new Map<string, Job>();
   /** Outcomes of the jobs that have ended, by id. */
-  readonly finals = new Map<string, JobOutcome>();
+  readonly outcomes = new Map<string, JobOutcome>();
   readonly dependencies: DependencyGraph;
   /** Called with each job whose derived state has changed because of another job. */
   onDerived: (id: string) => void = () => undefined;
@@ -33,7 +33,7 @@
   }
 
   isKnown(id: string): boolean {
-    return this.live.has(id) || this.finals.has(id);
+    return this.live.has(id) || this.outcomes.has(id);
   }
 
   /**
@@ -43,13 +43,13 @@
   applyJob(id: string, value: unknown, version: number): JobRecord | null {
     if (value === undefined) {
       this.#drop(id, null);
-      this.finals.delete(id);
+      this.outcomes.delete(id);
       return null;
     }
     const record = jobRecord.read(value);
     if (record.final !== null) {
       this.#earlyPagesByJob.delete(id);
-      this.finals.set(id, record.final);
+      this.outcomes.set(id, record.final);
       this.#drop(id, record.final);
       return record;
     }
@@ -108,7 +108,7 @@
     const job = this.live.get(key.id);
     if (job !== undefined) {
       job.setPage(page);
-    } else if (!this.finals.has(key.id)) {
+    } else if (!this.outcomes.has(key.id)) {
       const pages = this.#earlyPagesByJob.get(key.id) ?? [];
       pages.push(page);
       this.#earlyPagesByJob.set(key.id, pages);
--- a/packages/core/src/scheduling/assignment.ts
+++ b/packages/core/src/scheduling/assignment.ts
@@ -3,7 +3,7 @@
 import type { Team } from '../cluster/cluster-config';
 import { countWithinGuarantee, countWithinLimit } from '../cluster/quota';
 import { fitsIn } from '../cluster/resources';
-import { assignedUnfinished, unfinishedIn } from '../jobs/assigned-usage';
+import { countAssignedUnfinished, countUnfinishedIn } from '../jobs/assigned-usage';
 import { type Job, jobOrder } from '../jobs/jobs';
 import type {
   Assignment,
@@ -145,7 +145,7 @@
   /** Counts the rest of the job as unschedulable if its tasks within the team's guarantee fitted on no machine. */
   #countRestAsUnschedulable(job: Job, waiting: WaitingRanges, team: Team, { placed, missing }: PlacedCounts): void {
     if (placed > 0 || missing === 0) return;
-    const waitingCount = waiting.reduce((sum, [from, count]) => sum + unfinishedIn(job, { from, count }), 0);
+    const waitingCount = waiting.reduce((sum, [from, count]) => sum + countUnfinishedIn(job, { from, count }), 0);
     const allowed = countWithinLimit(team, this.#capacity.usedBy(team.name), job.spec);
     const rest = Math.min(waitingCount - missing, allowed);
     const index = this.#unschedulable.findIndex((entry) => entry.job === job);
@@ -160,7 +160,7 @@
    */
   #assignProbe(job: Job, waiting: WaitingRanges, zones: ZoneChoice): void {
     const { probes, now, maxAssignments } = this.input;
-    if (assignedUnfinished(job) > 0 || !probes.mayProbe(job.id, now) || this.#assignments.length >= maxAssignments)
+    if (countAssignedUnfinished(job) > 0 || !probes.mayProbe(job.id, now) || this.#assignments.length >= maxAssignments)
       return;
     const bin = this.#probeBin(job, zones);
     if (bin === undefined) return;
--- a/packages/core/src/scheduling/immovable-demand.ts
+++ b/packages/core/src/scheduling/immovable-demand.ts
@@ -5,7 +5,7 @@
 import { fitsIn } from '../cluster/resources';
 import { type Partitioner } from '../cluster/partitioner';
 import { allowsMachine } from '../cluster/placement-constraints';
-import { unfinishedIn } from '../jobs/assigned-usage';
+import { countUnfinishedIn } from '../jobs/assigned-usage';
 import type { Job } from '../jobs/jobs';
 
 /** Input of `findImmovableDemand`. */
@@ -44,7 +44,7 @@
   if (revision < job.version) return 0;
   const assigned = job.assignedRanges
     .filter((range) => range.partitionId === partitionId)
-    .reduce((sum, range) => sum + unfinishedIn(job, range), 0);
+    .reduce((sum, range) => sum + countUnfinishedIn(job, range), 0);
   const runningCount = running.find(([id]) => id === job.id)?.[1] ?? 0;
   return assigned - runningCount;
 }
--- a/packages/core/src/scheduling/partition-status.ts
+++ b/packages/core/src/scheduling/partition-status.ts
@@ -42,7 +42,7 @@
   /** The revision of the owner's watch cache: later assignments are not counted in this status. */
   readonly revision: number;
   readonly machines: readonly MachineStatus[];
-  /** Total resources of service tasks that no machine has reported to a new owner in time; see `missingServices`. */
+  /** Total resources of service tasks that no machine has reported to a new owner in time; see `missingServiceResources`. */
   readonly missing: Resources;
   /** Pairs of a job's id and how many of its tasks run. */
   readonly running: readonly (readonly [string, number])[];
--- a/packages/core/src/scheduling/remaining-capacity.ts
+++ b/packages/core/src/scheduling/remaining-capacity.ts
@@ -1,6 +1,6 @@
 // The capacity that one assignment has left: free resources of machines, GPUs held back, and the teams' use.
 import { addResources, NO_RESOURCES, type Resources } from '../cluster/resources';
-import { teamUse } from '../jobs/assigned-usage';
+import { usageByTeam } from '../jobs/assigned-usage';
 import type { Job } from '../jobs/jobs';
 import type { AssignmentInput } from './assignment-types';
 import { type MachineBin, machineBinsOf, allocateInBin } from './machine-bin';
@@ -15,7 +15,7 @@
 
   constructor(input: AssignmentInput, jobs: readonly Job[]) {
     this.bins = machineBinsOf(input);
-    this.#usedByTeam = teamUse(jobs);
+    this.#usedByTeam = usageByTeam(jobs);
     this.#heldBackByTeam = input.heldBack;
     this.#freeGpus = this.bins.reduce((sum, bin) => sum + Math.max(0, bin.free.gpus), 0);
   }
--- a/packages/core/src/scheduling/zone-choice.ts
+++ b/packages/core/src/scheduling/zone-choice.ts
@@ -1,6 +1,6 @@
 // The zones that the tasks of one job may go to: all one zone, spread over zones, or any.
 import { fitsIn } from '../cluster/resources';
-import { spreadCap, unfinishedIn } from '../jobs/assigned-usage';
+import { maxTasksPerZone, countUnfinishedIn } from '../jobs/assigned-usage';
 import type { Job } from '../jobs/jobs';
 import { type MachineBin, mayRunIn } from './machine-bin';
 
@@ -21,7 +21,7 @@
     bestZone: () => string | null,
   ) {
     this.#taskCountByZone = unfinishedCountByZone(job);
-    this.#cap = spreadCap(job);
+    this.#cap = maxTasksPerZone(job);
     this.#onlyZone = job.spec.oneZone ? ([...this.#taskCountByZone.keys()][0] ?? bestZone()) : null;
   }
 
@@ -63,7 +63,7 @@
 function unfinishedCountByZone(job: Job): Map<string, number> {
   const countByZone = new Map<string, number>();
   for (const range of job.assignedRanges) {
-    const count = unfinishedIn(job, range);
+    const count = countUnfinishedIn(job, range);
     if (range.zone !== null && count > 0) countByZone.set(range.zone, (countByZone.get(range.zone) ?? 0) + count);
   }
   return countByZone;
--- a/packages/core/test/assigned-ranges.test.ts
+++ b/packages/core/test/assigned-ranges.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import type { AssignedRange } from '@gingerlock/wire';
 import fc from 'fast-check';
-import { coverPerPartition, mergeRanges, unassignedRanges, withoutTasks } from '../src/index';
+import { coveringRanges, mergeRanges, unassignedRanges, withoutTasks } from '../src/index';
 
 const TASKS = 40;
 const placement = fc.record(
@@ -73,7 +73,7 @@
 test('the covering range of a partition contains all its tasks and has no higher term than their ranges', () => {
   fc.assert(
     fc.property(assignment, (places) => {
-      const covers = coverPerPartition(assignedRangesOf(places));
+      const covers = coveringRanges(assignedRangesOf(places));
       assert.equal(new Set(covers.map((c) => c.partitionId)).size, covers.length);
       for (const [task, p] of places.entries()) {
         if (p === null) continue;
--- a/packages/core/test/dependencies.test.ts
+++ b/packages/core/test/dependencies.test.ts
@@ -71,7 +71,7 @@
 
 function check(table: JobTable, model: Model): void {
   for (const [id, { state }] of model.jobs) {
-    assert.equal(table.finals.get(id), state === 'live' ? undefined : state);
+    assert.equal(table.outcomes.get(id), state === 'live' ? undefined : state);
     const job = table.live.get(id);
     assert.equal(job !== undefined, state === 'live');
     if (job === undefined) continue;
--- a/packages/core/test/immovable-demand.test.ts
+++ b/packages/core/test/immovable-demand.test.ts
@@ -49,7 +49,7 @@
 function immovableDemandOf(
   job: Job,
   statuses: readonly PartitionStatus[],
-  isFrozen = true,
+  isRecordTooLarge = true,
 ): readonly Omit<UnschedulableDemand, 'job'>[] {
   const found = findImmovableDemand({
     jobs: [job],
@@ -57,7 +57,7 @@
     types: new Map([[box.name, box]]),
     partitioner: new Partitioner(HOME_ZONES.length, HOME_ZONES),
     zones: box.zones,
-    isRecordTooLarge: () => isFrozen,
+    isRecordTooLarge: () => isRecordTooLarge,
   });
   return found.map(({ count, zones }) => ({ count, zones }));
 }
--- a/packages/core/test/scale-out-plan.test.ts
+++ b/packages/core/test/scale-out-plan.test.ts
@@ -67,26 +67,26 @@
 // If the price per machine decided, all machines would be of the type that costs more per GPU and boots more slowly.
 test('an empty cluster gets the type that is cheaper per capacity and boots faster', () => {
   const plan = planOf();
-  plan.serve([waiting(40)], 0);
+  plan.planForTasks([waiting(40)], 0);
   assert.deepEqual(countRented(plan), { large: 10 });
 });
 
 test('a small machine is rented for a single task, unless spare capacity is needed too', () => {
   const alone = planOf();
-  alone.serve([waiting(1)], 0);
+  alone.planForTasks([waiting(1)], 0);
   assert.deepEqual(countRented(alone), { small: 1 });
   const withSpare = planOf();
-  withSpare.serve([waiting(1)], 6);
+  withSpare.planForTasks([waiting(1)], 6);
   assert.deepEqual(countRented(withSpare), { large: 1 });
 });
 
 test('the next best type is rented while a type is backing off, and the best type afterwards', () => {
   const plan = planOf({ mayRequest: ({ type }) => type !== LARGE });
-  plan.serve([waiting(8)], 0);
+  plan.planForTasks([waiting(8)], 0);
   plan.planSpareGpus(0, 4);
   assert.deepEqual(countRented(plan), { small: 5 });
   const later = planOf();
-  later.serve([waiting(8)], 0);
+  later.planForTasks([waiting(8)], 0);
   assert.deepEqual(countRented(later), { large: 2 });
 });
 
@@ -96,7 +96,7 @@
     known: Array.from({ length: 9 }, () => ({ zone: 'east', spot: false })),
     wasRefused: ({ zone }) => zone !== 'east',
   });
-  plan.serve([waiting(8)], 0);
+  plan.planForTasks([waiting(8)], 0);
   assert.deepEqual(
     plan.requests(() => 'r').map(({ zone, count }) => [zone, count]),
     [['east', 2]],
@@ -143,7 +143,7 @@
             open.some(({ type, zone, spot }) => type === option.type && zone === option.zone && spot === option.spot),
         });
         const entry = waiting(tasks);
-        plan.serve([entry], 0);
+        plan.planForTasks([entry], 0);
         const places = plan
           .requests(() => 'r')
           .map((r) => ({
--- a/packages/daemon/src/api/job-api.ts
+++ b/packages/daemon/src/api/job-api.ts
@@ -1,6 +1,6 @@
 // What users ask for: submissions, polls and cancellations of jobs.
 import { type CompareAndSwapResult, URGENCY } from '@gingerlock/clients';
-import { assignedUnfinished, type JobTable, unschedulableReason } from '@gingerlock/core';
+import { countAssignedUnfinished, type JobTable, unschedulableReason } from '@gingerlock/core';
 import { isGroupSpec } from '@gingerlock/replica-groups';
 import {
   decodeSubmission,
@@ -151,7 +151,7 @@
       const result = await context.keyValueStore.compareAndSwap(URGENCY.cancel, [isUnchanged], changes, PATIENCE_MS);
       if (result.kind === 'done') {
         context.recordCommit(changes, result.revision);
-        context.log.debug({ job: id, assigned: assignedUnfinished(job) }, 'cancelled');
+        context.log.debug({ job: id, assigned: countAssignedUnfinished(job) }, 'cancelled');
         break;
       }
       if (result.kind === 'invalid' && !isTooLarge) {
@@ -176,7 +176,7 @@
 
   /** Whether what the watch cache says of the job can't change any more. */
   #isFinal(id: string): boolean {
-    return this.#jobs.finals.has(id) || this.#jobs.live.get(id)?.isCancelled === true;
+    return this.#jobs.outcomes.has(id) || this.#jobs.live.get(id)?.isCancelled === true;
   }
 
   /** Replies with the job's state in the watch cache and the given status, or 404. */
--- a/packages/daemon/src/api/job-records.ts
+++ b/packages/daemon/src/api/job-records.ts
@@ -1,6 +1,6 @@
 // The stored records that requests of users write, and what users are shown of a job. Pure functions of the cluster
 // state.
-import { coverPerPartition, type Job, type JobTable } from '@gingerlock/core';
+import { coveringRanges, type Job, type JobTable } from '@gingerlock/core';
 import { type JobRecord, jobRecord, type JobSpec, type JobState } from '@gingerlock/wire';
 
 /** Why the jobs that a submission names are none that it can wait for; null: it can. */
@@ -16,9 +16,9 @@
  * The record of a job that is accepted now. Dependencies that are done need not be kept: they remain so. With a
  * cancelled one the job is cancelled at once. `acceptedAt`: time of day in milliseconds.
  */
-export function newJobRecord(spec: JobSpec, { finals }: JobTable, acceptedAt: number): JobRecord {
-  if (spec.awaits.some((id) => finals.get(id) === 'cancelled')) return { final: 'cancelled' };
-  const awaits = spec.awaits.filter((id) => finals.get(id) !== 'done');
+export function newJobRecord(spec: JobSpec, { outcomes }: JobTable, acceptedAt: number): JobRecord {
+  if (spec.awaits.some((id) => outcomes.get(id) === 'cancelled')) return { final: 'cancelled' };
+  const awaits = spec.awaits.filter((id) => outcomes.get(id) !== 'done');
   return {
     final: null,
     spec: { ...spec, awaits },
@@ -37,13 +37,13 @@
   const { spec, acceptedAt, isCrashLooping } = job;
   // With nothing assigned there is nothing to stop: the record closes at once.
   if (job.assignedRanges.length === 0) return jobRecord.write({ final: 'cancelled' });
-  const assignedRanges = isTooLarge ? coverPerPartition(job.assignedRanges) : job.assignedRanges;
+  const assignedRanges = isTooLarge ? coveringRanges(job.assignedRanges) : job.assignedRanges;
   return jobRecord.write({ final: null, spec, acceptedAt, cancelled: true, isCrashLooping, assignedRanges });
 }
 
 /** What users are shown of a job; null: it is not known. `runningTasks`: how many of its tasks run now. */
 export function jobStateOf(id: string, jobs: JobTable, runningTasks: (id: string) => number): JobState | null {
-  const final = jobs.finals.get(id);
+  const final = jobs.outcomes.get(id);
   if (final !== undefined) return { id, status: final };
   const job = jobs.live.get(id);
   if (job === undefined) return null;
--- a/packages/daemon/src/leader/job-closing.ts
+++ b/packages/daemon/src/leader/job-closing.ts
@@ -1,5 +1,5 @@
 // Closes jobs: replaces the record of a job that has ended with its final state.
-import { assignedUnfinished, type Job } from '@gingerlock/core';
+import { countAssignedUnfinished, type Job } from '@gingerlock/core';
 import { jobRecord } from '@gingerlock/wire';
 import type { JobBatch } from './job-batch';
 
@@ -8,7 +8,7 @@
  * is left to stop; null: the job is still open.
  */
 function finalStateOf(job: Job): 'done' | 'cancelled' | null {
-  if (job.isCancelled) return assignedUnfinished(job) === 0 ? 'cancelled' : null;
+  if (job.isCancelled) return countAssignedUnfinished(job) === 0 ? 'cancelled' : null;
   return job.spec.kind === 'array' && job.isComplete ? 'done' : null;
 }
 
--- a/packages/daemon/src/state/cluster-state.ts
+++ b/packages/daemon/src/state/cluster-state.ts
@@ -203,7 +203,7 @@
     const { key, value, version } = page;
     this.jobs.applyFinished(parsed, value, version);
     if (value === undefined) this.obsoleteKeys.delete(key);
-    else if (this.jobs.finals.has(parsed.id)) this.obsoleteKeys.add(key);
+    else if (this.jobs.outcomes.has(parsed.id)) this.obsoleteKeys.add(key);
     this.listener.jobChanged(parsed.id);
   }
 }
--- a/packages/replica-groups/src/next-record.ts
+++ b/packages/replica-groups/src/next-record.ts
@@ -1,6 +1,6 @@
 // The state machine of a replica group: which record follows the stored one, given what owners report. Only this module
 // changes a group's state.
-import { assignedUnfinished, type ClusterConfig, type Job } from '@gingerlock/core';
+import { countAssignedUnfinished, type ClusterConfig, type Job } from '@gingerlock/core';
 import type { GroupMember, GroupReason, GroupRecord, GroupState, MachineType } from '@gingerlock/wire';
 import type { GroupReport, MemberReport } from './reports';
 import {
@@ -68,7 +68,7 @@
 
 /** Whether the group is to be placed, now or after its backoff. */
 function isWaiting(job: Job, stored: GroupRecord | null): boolean {
-  if (job.isCancelled || assignedUnfinished(job) > 0) return false;
+  if (job.isCancelled || countAssignedUnfinished(job) > 0) return false;
   return stored === null || stored.state === 'waiting';
 }
 
@@ -105,7 +105,7 @@
   switch (record.state) {
     case 'waiting':
       // Its tasks were started one by one, before its class was declared or while replica groups were off.
-      return assignedUnfinished(job) > 0 ? end(record, 'started as single tasks', null, context) : null;
+      return countAssignedUnfinished(job) > 0 ? end(record, 'started as single tasks', null, context) : null;
     case 'ending':
       return afterEnding(job, record, context);
     default:
@@ -119,7 +119,7 @@
  */
 function afterEnding(job: Job, record: GroupRecord, context: GroupContext): GroupRecord | null {
   const { settings, clusterConfig, wallNow: wall, storedForMs } = context;
-  if (assignedUnfinished(job) > 0) return null;
+  if (countAssignedUnfinished(job) > 0) return null;
   if (record.hasServed && storedForMs < serveLeaseBoundMs(settings, clusterConfig)) return null;
   return transitionTo(record, 'waiting', { since: wall, hasServed: false, members: [] });
 }
@@ -129,7 +129,7 @@
   const members = membersOf(record, context);
   const lost = members.find((member) => member.report?.phase === 'lost');
   if (lost !== undefined) return end(record, lost.report!.reason ?? 'member ended', lost.machine, context);
-  if (assignedUnfinished(job) < job.spec.tasks) return end(record, 'member ended', null, context);
+  if (countAssignedUnfinished(job) < job.spec.tasks) return end(record, 'member ended', null, context);
   if (record.state === 'reserved') return whileReserved(record, members, context);
   if (record.state === 'admitted') return whileAdmitted(job, record, members, context);
   return null;
--- a/packages/testkit/src/audits/group-audit.ts
+++ b/packages/testkit/src/audits/group-audit.ts
@@ -43,7 +43,7 @@
   /** By job: the record that is stored now, and since when. */
   readonly seen = new Map<string, SeenRecord>();
   /** By task: the last generation in which it was started. */
-  readonly #startedIn = new Map<string, number>();
+  readonly #startedGeneration = new Map<string, number>();
   /** By task and attempt: the generation in which it was started. */
   readonly #generationOf = new Map<string, number>();
   /** By job. */
@@ -116,9 +116,9 @@
       return;
     }
     const { generation } = record;
-    if (this.#startedIn.get(taskName) === generation)
+    if (this.#startedGeneration.get(taskName) === generation)
       world.reportViolation('member_restarted', `${taskName} twice in generation ${generation}`);
-    this.#startedIn.set(taskName, generation);
+    this.#startedGeneration.set(taskName, generation);
     this.#generationOf.set(`${taskName} ${attempt}`, generation);
   }
 
--- a/packages/testkit/test/support/user-mutants.ts
+++ b/packages/testkit/test/support/user-mutants.ts
@@ -44,9 +44,9 @@
   went_back: {
     broken: 'one controller reads every final state as cancelled',
     apply: (world) => {
-      const { finals } = world().nodes[1]!.controller!.clusterState.jobs;
-      const get = finals.get.bind(finals);
-      finals.get = (id) => (get(id) === undefined ? undefined : 'cancelled');
+      const { outcomes } = world().nodes[1]!.controller!.clusterState.jobs;
+      const get = outcomes.get.bind(outcomes);
+      outcomes.get = (id) => (get(id) === undefined ? undefined : 'cancelled');
       return () => undefined;
     },
   },
