--- a/packages/core/src/ownership/ownership-attempts.ts
+++ b/packages/core/src/ownership/ownership-attempts.ts
@@ -1,6 +1,6 @@
 /**
- * What the ownership state machine reads and decides: the records of a resource, and attempts to change them. Each
- * attempt is an object of its own, and its outcome names it.
+ * Inputs and outputs of the ownership state machine: the stored records of a resource, and attempts to change them.
+ * Each attempt is a separate object, to which its outcome is matched.
  */
 import type { HoldRecord, OwnerRecord } from '@gingerlock/wire';
 import type { OwnershipTerm, PreviousOwner } from './ownership-term';
@@ -12,19 +12,19 @@
   readonly version: number;
 }
 
-/** What the watch cache has of one resource: a partition or the leadership. */
+/** The watch cache's records of one resource: a partition or the leadership. */
 export interface OwnershipView {
-  /** Who acquired the resource last; it stays when that controller fails. Null: nobody ever did. */
+  /** The last owner; the record stays when that controller fails. Null if the resource was never acquired. */
   readonly owner: Versioned<OwnerRecord> | null;
-  /** The owner's sign of life, bound to its state lease: it vanishes when that expires or is given up. Null: none. */
+  /** Shows that the owner is alive: it is removed with the owner's store lease. Null if there is none. */
   readonly hold: Versioned<HoldRecord> | null;
-  /** The last term of the resource; null: there was none. */
+  /** The counter from which all resources take their terms; null if no resource was ever acquired. */
   readonly term: Versioned<number> | null;
-  /** The last term whose owner has confirmed the time of its failover; see `OwnershipTerm.confirmAcquisition`. */
+  /** The last term whose owner confirmed its failover time, see `OwnershipTerm.confirmAcquisition`; 0 if none. */
   readonly confirmedTerm: number;
 }
 
-/** This process of this controller. */
+/** Identifies this process of this controller. */
 export interface LocalNode {
   /** Name of the controller, the same after a restart. */
   readonly node: string;
@@ -37,20 +37,23 @@
   readonly kind: 'acquire';
   readonly transaction: Transaction;
   readonly term: number;
-  /** Time of day (ms) that the transaction writes as that of the last failover; 0: no earlier owner may go on. */
+  /** Time of day (ms) that the transaction writes for the last failover; 0 if no earlier owner can still be active. */
   readonly failoverAt: number;
-  /** When the attempt was made, in steady milliseconds. */
+  /** Steady-clock time (ms) at which the attempt was made. */
   readonly sentAt: number;
-  /** Whether it acquires the resource from an owner that may go on. */
+  /** Whether the resource is acquired from an owner that may still be active. */
   readonly isFailover: boolean;
   readonly hadOwner: boolean;
-  /** The controller that released the resource for others before; null: none did. */
+  /** The previous owner if it released the resource; otherwise null. */
   readonly releasedBy: string | null;
-  /** Whom to ask afterwards whether it has ended; null: nobody, for its end or its time is not in question. */
+  /**
+   * The controller to ask after the acquisition whether its ownership has ended; null if this is not a failover, or if
+   * the time of that controller's own failover is not confirmed.
+   */
   readonly previousOwner: PreviousOwner | null;
 }
 
-/** An attempt to write the hold again under the same term, after our state lease had lapsed. */
+/** An attempt to write the hold again under the same term after this controller's store lease expired. */
 export interface Resumption {
   readonly kind: 'resume';
   readonly transaction: Transaction;
@@ -58,7 +61,8 @@
 }
 
 /**
- * The resource is released for another controller: from here on no worker is answered, whatever the write's outcome.
+ * An attempt to release the resource for another controller. It ends the term at once, whatever the outcome of its
+ * write: no worker is answered under that term any more.
  */
 export interface Release {
   readonly kind: 'release';
@@ -66,10 +70,10 @@
   readonly ownershipTerm: OwnershipTerm;
 }
 
-/** An attempt to change the records; the state machine waits for the outcome of at most one. */
+/** An attempt to change the records. The state machine waits for the outcome of at most one attempt at a time. */
 export type Attempt = Acquisition | Resumption | Release;
 
-/** What follows from a view for the caller: nothing, the end of a term, or a transaction to carry out. */
+/** What the caller has to do after a decision: nothing, end a term, or carry out a transaction. */
 export type Decision =
   | { readonly kind: 'none' }
   /** The records show another owner. */
--- a/packages/core/src/ownership/ownership-term.ts
+++ b/packages/core/src/ownership/ownership-term.ts
@@ -1,7 +1,7 @@
 /**
- * One term of ownership of a resource, a partition or the leadership, from its acquisition to its end. An object for
- * each: what is known, claimed or written under one term can never be taken for that of another, though the controller
- * is the same.
+ * One term of ownership of a resource (a partition or the leadership), from its acquisition to its end. Each term is a
+ * separate object, so that what is known, claimed or written under it is never attributed to another term of the same
+ * controller.
  */
 import type { Condition } from '@gingerlock/wire';
 import { KEYS, termRecord } from '@gingerlock/wire';
@@ -10,27 +10,27 @@
 import type { Transaction } from './transaction';
 
 /**
- * held:     ours.
- * resuming: ours; our state lease had lapsed, and the hold is being written again under the same term.
- * ended:    ours no more, for ever.
+ * held:     this controller is the owner.
+ * resuming: this controller is the owner, and writes its hold again under the same term after its store lease expired.
+ * ended:    this controller is not the owner under this term and never will be again.
  */
 export type OwnershipTermState = 'held' | 'resuming' | 'ended';
 
-/** To which states a term may go from each. */
+/** The states to which a term may change from each state. */
 const TRANSITIONS: Record<OwnershipTermState, readonly OwnershipTermState[]> = {
   held: ['resuming', 'ended'],
   resuming: ['held', 'ended'],
   ended: [],
 };
 
-/** The controller that owned the resource before, and may go on for a while. */
+/** The previous owner of the resource, which may still be active for a while. */
 export interface PreviousOwner {
   readonly node: string;
-  /** Time of day (ms) of the last failover up to and including its own acquisition; 0: there was none. */
+  /** Time of day (ms) of the last failover up to and including its own acquisition; 0 if there was none. */
   readonly failoverAt: number;
 }
 
-/** What is known of a term of ownership when the resource has been acquired. */
+/** Properties of an ownership term that are known once the resource has been acquired. */
 export interface OwnershipTermOptions {
   readonly clusterConfig: ClusterConfig;
   /** Name of the resource in its keys. */
@@ -39,20 +39,20 @@
   readonly term: number;
   /** Version of the owner record that the acquisition wrote. */
   readonly version: number;
-  /** When this controller went on as the owner, in steady milliseconds; the acquisition was carried out before. */
+  /** Steady-clock time (ms) from which this controller acts as the owner, after the acquisition was carried out. */
   readonly acquiredAt: number;
-  /** Time of day (ms) written with the acquisition; 0: no earlier owner may go on. */
+  /** Time of day (ms) written with the acquisition; 0 if no earlier owner can still be active. */
   readonly failoverAt: number;
   readonly hadOwner: boolean;
-  /** The controller that released the resource for others before this term; null: none did. */
+  /** The previous owner if it released the resource; otherwise null. */
   readonly releasedBy: string | null;
-  /** Whom to ask whether it has ended; null: nobody. */
+  /** The controller to ask whether its ownership has ended; null if there is none to ask. */
   readonly previousOwner: PreviousOwner | null;
   /** Time of day (ms) at `acquiredAt`. */
   readonly wallNow: number;
 }
 
-/** One term of ownership, and up to when tasks that were started before it may still run. */
+/** One term of ownership, with the time until which tasks started before it may still run. */
 export class OwnershipTerm {
   readonly clusterConfig: ClusterConfig;
   readonly resource: string;
@@ -60,7 +60,7 @@
   readonly version: number;
   readonly acquiredAt: number;
   readonly releasedBy: string | null;
-  /** Time of day (ms) written with the acquisition; 0: none was. */
+  /** Time of day (ms) written with the acquisition; 0 if none was written. */
   readonly #failoverAt: number;
   #state: OwnershipTermState = 'held';
   #fencedUntil: number;
@@ -76,50 +76,49 @@
     this.#failoverAt = options.failoverAt;
     this.#previousOwner = options.previousOwner;
     const { acquiredAt, failoverAt, wallNow } = options;
-    // DESIGN: tasks of an earlier owner are granted again only once the old workers' leases have surely expired.
+    // DESIGN: tasks of an earlier owner are granted again only after its workers' leases have certainly expired.
     const leasesExpiredAt = options.hadOwner ? acquiredAt + workerLeaseBoundMs(this.clusterConfig) : acquiredAt;
     this.#fencedUntil = Math.max(leasesExpiredAt, this.#endOfEarlierOwners(failoverAt, acquiredAt, wallNow));
   }
 
-  /** The present state. */
+  /** The current state. */
   get state(): OwnershipTermState {
     return this.#state;
   }
 
-  /** Whether workers may be answered, and records written, as the owner. */
+  /** Whether this controller may answer workers and write records as the owner. */
   get isCurrent(): boolean {
     return this.#state !== 'ended';
   }
 
-  /** Up to when tasks of earlier owners that no machine has reported may still run; steady milliseconds. */
+  /** Steady-clock time (ms) until which tasks of earlier owners that no machine has reported may still run. */
   get fencedUntil(): number {
     return this.#fencedUntil;
   }
 
-  /** Whom to ask whether its ownership has ended, so that the fencing period ends sooner; null: nobody. */
+  /** The controller to ask whether its ownership has ended, to shorten the fencing period; null if there is none. */
   get previousOwner(): PreviousOwner | null {
     return this.#previousOwner;
   }
 
   /**
-   * Every write as the owner is conditional on this: the owner record is still the one that this term's acquisition
-   * wrote.
+   * The condition of every write as the owner: the owner record is still the one that this term's acquisition wrote.
    */
   get condition(): Condition {
     return { key: KEYS.owner(this.resource), version: this.version };
   }
 
-  /** Changes the state; only `Ownership` calls it. Throws if `TRANSITIONS` has no such change. */
+  /** Changes the state; only `Ownership` calls it. Throws if `TRANSITIONS` does not allow the change. */
   transition(next: OwnershipTermState): void {
     if (!TRANSITIONS[this.#state].includes(next)) {
-      throw new Error(`${this.resource}, term ${this.term}: no move from ${this.#state} to ${next}`);
+      throw new Error(`${this.resource}, term ${this.term}: invalid state transition from ${this.#state} to ${next}`);
     }
     this.#state = next;
   }
 
   /**
-   * The write that confirms the time written with the acquisition as a bound on when it was carried out, so that later
-   * owners may count from it; null: no time was written, or the resource is not surely held now.
+   * Returns the write that confirms the time written with the acquisition as a bound on when it was carried out, so
+   * that later owners may count from it. Null if no time was written or the state is not `held`.
    */
   confirmAcquisition(): Transaction | null {
     if (this.#state !== 'held' || this.#failoverAt === 0) return null;
@@ -128,9 +127,9 @@
   }
 
   /**
-   * Asked after our acquisition, the previous owner said that it does not own the resource and never will under an
-   * earlier term: it answers no worker, and the leases that it granted expire within a worker lease from `now`. For
-   * owners before it the time of its own failover counts. Brings `fencedUntil` forward, never back.
+   * Shortens the fencing period after the previous owner has answered that it does not own the resource and never will
+   * under an earlier term. It answers no workers, so the leases that it granted expire within a worker lease from
+   * `now`. For owners before it, the time of its own failover counts. Never postpones `fencedUntil`.
    */
   confirmPreviousOwnerEnded(node: string, now: number, wallNow: number): void {
     if (this.#state !== 'held' || this.#previousOwner?.node !== node) return;
@@ -141,10 +140,10 @@
   }
 
   /**
-   * Steady time at which nothing runs any more that was started by owners before a failover. `failoverAt`: the time of
-   * day written with that failover, at most `acquisitionBoundMs` before it was carried out; 0: there was none. An owner
-   * stops answering workers so long after its last contact with the key-value store that its tasks end within
-   * `cancellationBoundMs` of that; the rest allows for the skew of two clocks and for timers that fire late.
+   * Returns the steady-clock time (ms) by which all tasks started by owners before a failover have ended. `failoverAt`
+   * is the time of day written with that failover, at most `acquisitionBoundMs` before it was carried out; 0 if there
+   * was none. An owner stops answering workers early enough for its tasks to end within `cancellationBoundMs` of its
+   * last contact with the key-value store. The rest allows for the skew of two clocks and for timers that fire late.
    */
   #endOfEarlierOwners(failoverAt: number, now: number, wallNow: number): number {
     if (failoverAt === 0) return now;
--- a/packages/core/src/ownership/ownership.ts
+++ b/packages/core/src/ownership/ownership.ts
@@ -1,8 +1,8 @@
 /**
- * Whether this controller owns a resource, a partition or the leadership: a state machine that decides on each new view
- * of the records; the caller carries the decisions out. Each attempt and each term of ownership is an object of its
- * own, and an outcome names the attempt that it belongs to: one that comes late, after another attempt has begun,
- * changes nothing.
+ * State machine that decides whether this controller owns a resource: a partition or the leadership. It decides on each
+ * new view of the records, and the caller carries the decisions out. Each attempt and each term of ownership is a
+ * separate object, and an outcome names its attempt: an outcome that arrives after another attempt has begun changes
+ * nothing.
  */
 import { holdRecord, KEYS, ownerRecord, termRecord } from '@gingerlock/wire';
 import type { ClusterConfig } from '../cluster/cluster-config';
@@ -19,11 +19,11 @@
 import { OwnershipTerm } from './ownership-term';
 
 /**
- * notOwned:  another controller's, or nobody's.
+ * notOwned:  another controller or nobody owns the resource.
  * acquiring: an acquisition is under way; its outcome is not known yet.
- * held:      ours.
- * resuming:  ours; the hold is being written again, see `OwnershipTermState`.
- * releasing: ours no more; the outcome of the write that says so is not known yet.
+ * held:      this controller is the owner.
+ * resuming:  this controller is the owner, and its hold is being written again; see `OwnershipTermState`.
+ * releasing: this controller has given up ownership; the outcome of the write that releases it is not known yet.
  */
 type Phase =
   | { readonly state: 'notOwned' }
@@ -32,13 +32,16 @@
   | { readonly state: 'resuming'; readonly ownershipTerm: OwnershipTerm; readonly attempt: Resumption }
   | { readonly state: 'releasing'; readonly attempt: Release };
 
-/** There is nothing to do. */
+/** The decision that there is nothing to do. */
 const NONE: Decision = { kind: 'none' };
 
-/** The state machine of one resource. Moments are steady milliseconds, `wallNow` is the time of day in milliseconds. */
+/**
+ * The state machine of one resource. `wallNow` is the time of day, all other times are of the steady clock, in
+ * milliseconds.
+ */
 export class Ownership {
   #phase: Phase = { state: 'notOwned' };
-  /** Since when the resource has been seen without a hold; null: it had one in the last view. */
+  /** When the resource was first seen without a hold, if the last view had none either; otherwise null. */
   #withoutHoldSince: number | null = null;
 
   constructor(
@@ -47,27 +50,27 @@
     readonly clusterConfig: ClusterConfig,
     readonly localNode: LocalNode,
     /**
-     * For how many heartbeat intervals to leave a resource without a hold to the controllers that come before us now.
+     * Returns for how many heartbeat intervals to leave a resource without a hold to the controllers before this one.
      */
     readonly acquisitionDelay: () => number,
   ) {}
 
-  /** The present state; see `Phase`. */
+  /** The current state; see `Phase`. */
   get state(): Phase['state'] {
     return this.#phase.state;
   }
 
-  /** The term under which this controller is the owner now; null: it is not. */
+  /** The term under which this controller is the owner now; null if it is not the owner. */
   get ownershipTerm(): OwnershipTerm | null {
     return 'ownershipTerm' in this.#phase ? this.#phase.ownershipTerm : null;
   }
 
-  /** Whether the outcome of the attempt still matters. */
+  /** Whether the attempt is the current one, so that its outcome still matters. */
   isPending(attempt: Attempt): boolean {
     return 'attempt' in this.#phase && this.#phase.attempt === attempt;
   }
 
-  /** Changes the phase, and the state of the term of ownership with it: nothing else does. */
+  /** Changes the phase and, with it, the state of the ownership term. All changes of either are made here. */
   #enter(next: Phase): void {
     const { ownershipTerm } = this;
     if (ownershipTerm !== null && !('ownershipTerm' in next)) ownershipTerm.transition('ended');
@@ -77,8 +80,8 @@
   }
 
   /**
-   * Decides on a view that has just been read. `lease` is our state lease in the key-value store; null: none is known
-   * to be valid.
+   * Decides on a view that has just been read. `lease` is this controller's store lease; null if none is known to be
+   * valid.
    */
   decide(view: OwnershipView, lease: number | null, now: number, wallNow: number): Decision {
     if (view.hold !== null) this.#withoutHoldSince = null;
@@ -92,9 +95,9 @@
   }
 
   /**
-   * Checks the owner record in every state that answers workers, also while a resumption is under way: an owner that
-   * went on answering after another had acquired the resource would pass every bound that the next owner's fencing
-   * period counts on.
+   * Decides as the owner. The owner record is checked in every state in which workers are answered, also during a
+   * resumption: an owner that kept answering after another controller had acquired the resource would exceed the bounds
+   * on which the next owner's fencing period relies.
    */
   #decideAsOwner(ownershipTerm: OwnershipTerm, view: OwnershipView, lease: number | null): Decision {
     if (view.owner?.version !== ownershipTerm.version) {
@@ -102,8 +105,8 @@
       return { kind: 'lost', ownershipTerm };
     }
     if (ownershipTerm.state !== 'held' || view.hold !== null || lease === null) return NONE;
-    // Our state lease lapsed, and nobody acquired the resource: the owner record proves it. The term and all claims
-    // stand.
+    // The store lease expired, but the unchanged owner record proves that no controller has acquired the resource
+    // since. The term and all its claims remain valid.
     const holdKey = KEYS.hold(this.resource);
     const attempt: Resumption = {
       kind: 'resume',
@@ -118,26 +121,25 @@
   }
 
   /**
-   * Whether the resource is free for us: its hold is one of our own that is over, or it has been without a hold for as
-   * long as the controllers that come before us are given.
+   * Whether this controller may acquire the resource: its hold names this controller, or it has been without a hold for
+   * the time that is left to the controllers before this one.
    */
   #mayAcquire(view: OwnershipView, now: number): boolean {
-    // A hold that names this controller is of an earlier process or term, and that one is over: there is one at a time.
+    // A hold that names this controller is of an earlier process or term. That has ended, as there is one at a time.
     if (view.hold !== null) return view.hold.record.node === this.localNode.node;
     return now - (this.#withoutHoldSince ?? now) >= this.acquisitionDelay() * this.clusterConfig.heartbeatIntervalMs;
   }
 
-  /** The attempt to acquire the resource as the view shows it. */
+  /** Returns an acquisition whose conditions are the versions of the view's records. */
   #acquisitionOf(view: OwnershipView, lease: number, now: number, wallNow: number): Acquisition {
     const term = (view.term?.record ?? 0) + 1;
     const previous = view.owner?.record ?? null;
-    // The time of the last failover between controllers outlives our own restarts. An earlier process of ours is dead,
-    // and an owner that has released the resource answers nobody: what either leaves are leases that expire by
-    // themselves.
+    // The time of the last failover between controllers is kept across restarts of this controller. An earlier process
+    // of this controller is dead, and an owner that has released the resource answers no workers: either leaves only
+    // worker leases, which expire by themselves.
     const isOwnRestart = previous?.node === this.localNode.node && view.hold?.record.process !== this.localNode.process;
-    // The time that an acquisition writes is too early if its outcome takes long, and its owner may have ended before
-    // it could acquire the resource once more: until the time is confirmed, whoever comes next counts from its own
-    // acquisition.
+    // The time written with an acquisition is too early if the transaction takes long, and its owner may fail before it
+    // can acquire the resource again. Until the time is confirmed, the next owner counts from its own acquisition.
     const isConfirmed = previous === null || previous.failoverAt === 0 || view.confirmedTerm === previous.term;
     const isFailover = previous !== null && (!isConfirmed || (!isOwnRestart && !previous.released));
     const failoverAt = isFailover ? wallNow : (previous?.failoverAt ?? 0);
@@ -167,13 +169,14 @@
   }
 
   /**
-   * The acquisition was carried out as `version`, and known to be at `doneAt`. Null: it has been overtaken, or took so
-   * long that the time written with it is no bound any more, so the resource has to be acquired once more.
+   * Enters `held` after the acquisition was carried out as `version`, which became known at `doneAt`. Returns the new
+   * term. Returns null if the attempt is no longer pending, or took so long that the time written with it is not a
+   * valid bound; the resource then has to be acquired again.
    */
   acquired(attempt: Acquisition, version: number, doneAt: number, now: number, wallNow: number): OwnershipTerm | null {
     if (!this.isPending(attempt)) return null;
-    // Only a time that this attempt wrote itself can be too old. The reading that follows does not count: with a slow
-    // store no acquisition would ever be in time.
+    // Only a time that this attempt wrote itself can be too early. Reads after the transaction are not counted: with a
+    // slow store no acquisition would ever be in time.
     if (attempt.isFailover && doneAt - attempt.sentAt > acquisitionBoundMs(this.clusterConfig)) {
       this.#enter({ state: 'notOwned' });
       return null;
@@ -196,14 +199,17 @@
     return ownershipTerm;
   }
 
-  /** The attempt was surely not carried out, or its outcome is of no use; false: it has been overtaken before. */
+  /**
+   * Gives up an attempt that certainly was not carried out, or whose outcome is of no use. Returns false if the attempt
+   * is no longer pending.
+   */
   failed(attempt: Acquisition | Resumption): boolean {
     if (!this.isPending(attempt)) return false;
     this.#enter({ state: 'notOwned' });
     return true;
   }
 
-  /** The hold is back; false: the attempt has been overtaken. */
+  /** Enters `held` after the hold was written again. Returns false if the attempt is no longer pending. */
   resumed(attempt: Resumption): boolean {
     if (!this.isPending(attempt)) return false;
     this.#enter({ state: 'held', ownershipTerm: attempt.ownershipTerm });
@@ -211,9 +217,9 @@
   }
 
   /**
-   * Releases the resource for the controller that it belongs to: from here on no worker is answered, so the next owner
-   * has to wait for no more than one worker lease. Null: not now, for the resource is not surely ours, with a hold, in
-   * this view.
+   * Ends the term to release the resource for another controller. No worker is answered from now on, so the next owner
+   * has to wait for at most one worker lease. Returns null, and changes nothing, if the state is not `held` or the view
+   * lacks this term's owner record or a hold.
    */
   release(view: OwnershipView): Release | null {
     const { ownershipTerm } = this;
@@ -235,17 +241,16 @@
     return attempt;
   }
 
-  /** The outcome of the release is known, or of no interest any more. */
+  /** Concludes a release whose outcome is known or no longer matters. */
   released(attempt: Release): void {
     if (this.isPending(attempt)) this.#enter({ state: 'notOwned' });
   }
 
   /**
-   * Gives up ownership under every term before the given one: the owner of that term counts on it that no earlier one
-   * answers workers here, now or ever. That includes an acquisition under way: it may have been carried out before the
-   * later owner's, though its outcome becomes known only after it. Attempts that begin later need no check: their
-   * transactions raise the term that the later owner has written. Returns the term of ownership that this has ended;
-   * null: there was none.
+   * Gives up ownership under every term before the given one, whose owner relies on no earlier owner answering workers
+   * here, now or later. This includes an acquisition under way: it may have been carried out before the later owner's,
+   * even if its outcome becomes known only afterwards. Later attempts need no check: their transactions increment the
+   * term that the later owner has written. Returns the ownership term that this has ended; null if there was none.
    */
   renounceBefore(term: number): OwnershipTerm | null {
     const { ownershipTerm } = this;
@@ -255,7 +260,10 @@
     return ownershipTerm;
   }
 
-  /** A worker has seen the fencing token of a later owner: ends the given term. False: it was over before. */
+  /**
+   * Ends the given term after a worker has seen the fencing token of a later owner. Returns false if it had already
+   * ended.
+   */
   stepDown(ownershipTerm: OwnershipTerm): boolean {
     if (this.ownershipTerm !== ownershipTerm) return false;
     this.#enter({ state: 'notOwned' });
