--- a/packages/daemon/src/owner/combined-reservations.ts
+++ b/packages/daemon/src/owner/combined-reservations.ts
@@ -1,12 +1,12 @@
-// Resources that several features keep on machines for certain tasks, as one view.
+// Combines the reservations of several features: resources kept on machines for certain tasks.
 import { addResources, NO_RESERVATIONS, NO_RESOURCES, type Reservations, type Resources } from '@gingerlock/core';
 
-/** Several reservations as one: of a task that more than one of them names, the first decides. */
+/** Several reservations combined. The first one that names a task decides its machine. */
 class CombinedReservations implements Reservations {
   constructor(readonly all: readonly Reservations[]) {}
 
   reservedOn(machine: string): Resources {
-    // Granting compares with NO_RESOURCES by identity: where nothing is reserved it does not look at tasks one by one.
+    // Granting compares with NO_RESOURCES by identity, to skip the check of each task where nothing is reserved.
     const reserved = this.all
       .map((reservations) => reservations.reservedOn(machine))
       .filter((resources) => resources !== NO_RESOURCES);
@@ -22,7 +22,7 @@
   }
 }
 
-/** The reservations as one; a single one is returned as it is. */
+/** Combines the reservations into one; a single one is returned unchanged. */
 export function combineReservations(all: readonly Reservations[]): Reservations {
   if (all.length === 0) return NO_RESERVATIONS;
   return all.length === 1 ? all[0]! : new CombinedReservations(all);
--- a/packages/daemon/src/owner/membership-writes.ts
+++ b/packages/daemon/src/owner/membership-writes.ts
@@ -1,13 +1,13 @@
-// Writes of a partition's membership: the names and addresses of the machines that may run tasks of it. The membership
-// tells the partition's next owner from which machines it has to get a heartbeat.
+// Plans writes of a partition's membership: the names and addresses of the machines that may run its tasks. The
+// membership tells the partition's next owner from which machines it has to get a heartbeat.
 import type { ClaimTable, Machine } from '@gingerlock/core';
 import { KEYS, membershipRecord } from '@gingerlock/wire';
 import type { ControllerContext } from '../controller/controller-context';
 import type { Write } from './write';
 
-/** Plans the membership's changes of one ownership term. */
+/** Plans the membership changes of one ownership term. */
 export class MembershipWrites {
-  /** Machines whose names are to leave the membership. */
+  /** Names of the machines to remove from the membership. */
   readonly removals = new Set<string>();
 
   constructor(
@@ -16,14 +16,14 @@
     readonly claimTable: ClaimTable,
   ) {}
 
-  /** The membership as it was read last, with addresses by name; the map is updated in place. */
+  /** The latest membership that was read: addresses by machine name. The map is updated in place. */
   get #membership(): ReadonlyMap<string, string> {
     return this.context.clusterState.membership(this.partitionId);
   }
 
   /**
-   * Marks machines that the membership names already: their heartbeat came only after the fencing period, or again
-   * before their removal. No change of their entries is under way.
+   * Marks machines as members that are in the membership already: their heartbeat came only after the fencing period,
+   * or again before their removal. No change of their entries is under way.
    */
   markKnownMembers(): void {
     for (const machine of this.#nonMembers())
@@ -31,7 +31,8 @@
   }
 
   /**
-   * A name enters the membership before its first grant, so that a new owner knows to wait for the machine's heartbeat.
+   * Plans the additions. A machine is added before its first grant, so that a new owner knows to wait for its
+   * heartbeat.
    */
   planAdditions(): Write[] {
     return this.#nonMembers().map(({ name, addr }) => {
@@ -43,7 +44,7 @@
     });
   }
 
-  /** Machines that are answered and could be granted tasks once they are members. */
+  /** Machines whose heartbeats are answered and that could be granted tasks once they are members. */
   #nonMembers(): Machine[] {
     return [...this.claimTable.machines.values()].filter(
       ({ name, hasCurrentToken, answeredAt, isMember }) =>
@@ -51,7 +52,7 @@
     );
   }
 
-  /** Forgets the removals of machines that have come back or have no entry any more. */
+  /** Drops the removals of machines that have come back or have no entry any more. */
   dropObsoleteRemovals(): void {
     for (const name of this.removals) {
       const machine = this.claimTable.machines.get(name);
@@ -60,7 +61,7 @@
     }
   }
 
-  /** While a removal is under way, its machine is no member and so is granted nothing. */
+  /** Plans the removals. While one is under way, its machine is not a member and so is granted no tasks. */
   planRemovals(): Write[] {
     return [...this.removals].map((name) => {
       const key = KEYS.membership(this.partitionId, name);
--- a/packages/daemon/src/owner/owner-feature.ts
+++ b/packages/daemon/src/owner/owner-feature.ts
@@ -1,20 +1,20 @@
-// What an optional feature of the deployment (borrowing, replica groups) adds to the owner of a partition. A feature
-// that is off has no object in the owner's list.
+// Hooks by which an optional feature of the deployment (borrowing, replica groups) extends the owner of a partition. A
+// feature that is off has no object in the owner's list.
 import type { ClaimTable, ClaimTableOptions, Reservations, TaskEntry } from '@gingerlock/core';
 import type { Write } from './write';
 
-/** The owner's hooks. A feature that adds nothing at a hook does nothing. */
+/** Hooks that the owner calls. A feature that adds nothing at a hook does nothing. */
 export interface OwnerFeature {
-  /** Resources of machines that are kept for certain tasks. */
+  /** Resources of machines that are reserved for certain tasks. */
   readonly reservations: Reservations;
-  /** What the feature changes of the claim table's rules. */
+  /** The options of the claim table that the feature sets. */
   readonly claimTableOptions: Pick<ClaimTableOptions, 'members' | 'preempts'>;
-  /** The claim table has been made, and knows all jobs. */
+  /** Called once the claim table has been created and knows all jobs. */
   attach(table: ClaimTable): void;
-  /** The job's record, or one that belongs to it, has changed. */
+  /** Called when the job's record, or one that belongs to it, has changed. */
   jobChanged(id: string): void;
-  /** Looks at the partition once; returns the tasks whose workers have to be sent a stop now. */
+  /** Called at each tick. Returns the tasks that have to be sent a stop now. */
   step(table: ClaimTable, now: number): readonly TaskEntry[];
-  /** The removals of records that nobody needs any more. */
+  /** Plans the removals of records that are no longer needed. */
   removals(): readonly Write[];
 }
--- a/packages/daemon/src/owner/owner-groups.ts
+++ b/packages/daemon/src/owner/owner-groups.ts
@@ -1,5 +1,5 @@
-// Replica groups at the owner of a partition: the rules that its claim table applies to members, and the report
-// on them that the leader gets.
+// Replica groups at the owner of a partition: the rules that its claim table applies to members, and the report on
+// members that is sent to the leader.
 import type { ClaimTable, TaskEntry } from '@gingerlock/core';
 import { PartitionGroups, type PartitionGroupReport } from '@gingerlock/replica-groups';
 import type { ControllerContext } from '../controller/controller-context';
@@ -31,7 +31,7 @@
     if (this.context.clusterState.groups.has(id)) this.members.sync();
   }
 
-  /** Returns the members whose generation ends: they are to be stopped now. */
+  /** Returns the members to stop now because their generation ends. */
   step(): readonly TaskEntry[] {
     return this.members.step();
   }
@@ -40,7 +40,7 @@
     return [];
   }
 
-  /** How the members that the partition has are now. */
+  /** Returns the current state of the partition's members. */
   report({ partitionId, term }: ClaimTable, now: number): PartitionGroupReport {
     return { partitionId, term, revision: this.context.watchCache.revision, groups: this.members.reports(now) };
   }
--- a/packages/daemon/src/owner/owner-reclaims.ts
+++ b/packages/daemon/src/owner/owner-reclaims.ts
@@ -1,5 +1,5 @@
-// Borrowing at the owner of a partition: carries out the reclaims that the leader has decided, and removes the records
-// of those that are over.
+// Borrowing at the owner of a partition: carries out the reclaims that the leader has decided on, and removes the
+// records of those that have ended.
 import { PartitionReclaims, type Reclaim } from '@gingerlock/borrowing';
 import type { ClaimTable, TaskEntry } from '@gingerlock/core';
 import { KEYS } from '@gingerlock/wire';
@@ -10,7 +10,7 @@
 /** The owner's hooks while borrowing is on. */
 export class OwnerReclaims implements OwnerFeature {
   readonly reservations: PartitionReclaims;
-  /** Work is stopped for other work by reclaims alone. */
+  /** With borrowing on, only reclaims stop tasks in favour of others. */
   readonly claimTableOptions = { preempts: false };
 
   constructor(
@@ -30,7 +30,7 @@
     return;
   }
 
-  /** Returns the victims that are to be stopped now. */
+  /** Returns the victims to stop now. */
   step(table: ClaimTable, now: number): readonly TaskEntry[] {
     const { clusterState, clock } = this.context;
     const records = new Map([...clusterState.reclaimsOf(this.partitionId)].map(([id, { record }]) => [id, record]));
@@ -40,7 +40,7 @@
     return stopped;
   }
 
-  /** The removal of each record whose reclaim is over, if it is still the one that was carried out. */
+  /** Plans the removal of each ended reclaim's record, on condition that it has not changed. */
   removals(): readonly Write[] {
     const stored = this.context.clusterState.reclaimsOf(this.partitionId);
     return this.reservations.over.flatMap(({ id }) => {
--- a/packages/daemon/src/owner/owner-writes.ts
+++ b/packages/daemon/src/owner/owner-writes.ts
@@ -1,5 +1,5 @@
-// What an owner writes into the key-value store, one transaction after the other, each on the condition that it still
-// is the owner.
+// Commits an owner's writes to the key-value store, one transaction at a time, each on the condition that it is still
+// the owner.
 import { URGENCY, type Urgency } from '@gingerlock/clients';
 import type { ClaimTable, OwnershipTerm } from '@gingerlock/core';
 import type { ControllerContext } from '../controller/controller-context';
@@ -8,7 +8,7 @@
 import { TaskWrites } from './task-writes';
 import type { Write } from './write';
 
-/** Changes that are due, of one urgency: the rate limiter admits a transaction by it. */
+/** Writes that are due, all of the urgency by which the rate limiter admits their transaction. */
 interface DueWrites {
   readonly writes: readonly Write[];
   readonly urgency: Urgency;
@@ -32,7 +32,7 @@
     this.tasks = new TaskWrites(context, partitionId, claimTable);
   }
 
-  /** Writes what is to be written now, one transaction after the other; does nothing while that is under way. */
+  /** Commits the writes that are due, one transaction after the other; does nothing while another call is doing so. */
   async run(): Promise<void> {
     if (this.#isWriting) return;
     this.#isWriting = true;
@@ -45,7 +45,7 @@
     }
   }
 
-  /** Commits one transaction; false: there was nothing to write, or it was not committed. */
+  /** Commits one transaction. Returns whether it was committed and the term has not ended since. */
   async #writeOnce(): Promise<boolean> {
     const { context } = this;
     if (!this.isOwner() || !context.fresh()) return false;
@@ -56,15 +56,15 @@
     const conditions = [this.ownershipTerm.condition, ...batch.flatMap((write) => write.conditions)];
     const changes = batch.map((write) => write.change);
     const keys = changes.map((change) => ('put' in change ? change.put : change.remove));
-    context.log.debug({ partitionId: this.partitionId, urgency, keys }, 'writing');
+    context.log.debug({ partitionId: this.partitionId, urgency, keys }, 'committing transaction');
     const revision = await context.commitWithRetry(urgency, conditions, changes, () => this.ownershipTerm.isCurrent);
     // A conflict over one job fails the whole batch: the other jobs' tasks are planned again.
     if (revision === 0) for (const write of batch) write.failed?.();
-    // The watch cache shows what was finished or returned by now, and the claim table has dropped it.
+    // By now the watch cache shows the finished and returned tasks, and the claim table has dropped them.
     return revision > 0 && this.ownershipTerm.isCurrent;
   }
 
-  /** The most urgent kind of writes of which some are due. */
+  /** Returns the due writes of the most urgent kind that has any. */
   #dueWrites(now: number): DueWrites {
     this.membership.markKnownMembers();
     const additions = this.membership.planAdditions();
@@ -76,7 +76,7 @@
     return { writes: this.membership.planRemovals(), urgency: URGENCY.rest };
   }
 
-  /** As many of the writes, from the first on, as one transaction may hold. */
+  /** Returns the first writes, as many as fit in one transaction. */
   #fittingWrites(writes: readonly Write[]): Write[] {
     const sizeLimit = this.context.transactionSizeLimit();
     sizeLimit.add([this.ownershipTerm.condition], []);
--- a/packages/daemon/src/owner/partition-owner.ts
+++ b/packages/daemon/src/owner/partition-owner.ts
@@ -1,5 +1,5 @@
-// The owner of a partition: decides which of its machines run which of its tasks, in the claim table, and writes what
-// follows.
+// The owner of a partition: decides which of its machines run which of its tasks, in the claim table, and commits the
+// resulting writes.
 import {
   ClaimTable,
   type Machine,
@@ -25,17 +25,17 @@
 import { WorkerCommandSender } from './worker-command-sender';
 
 /**
- * Tasks are placed at each change, and otherwise so many times in a heartbeat interval: time alone makes some
- * placeable.
+ * Placements per heartbeat interval while the claim table does not change: time alone makes some tasks placeable. Each
+ * change also causes a placement.
  */
 const PLACEMENTS_PER_HEARTBEAT = 3;
 
 /** One partition that this controller owns, for one ownership term. */
 export class PartitionOwner {
   readonly claimTable: ClaimTable;
-  /** Null: borrowing is off. */
+  /** Null if borrowing is off. */
   readonly reclaims: OwnerReclaims | null;
-  /** Null: replica groups are off. */
+  /** Null if replica groups are off. */
   readonly groups: OwnerGroups | null;
   /** The features that are on, in the order in which they stop tasks. */
   readonly #features: readonly OwnerFeature[];
@@ -43,18 +43,18 @@
   readonly #announcements: TermAnnouncements;
   readonly #writes: OwnerWrites;
   #scannedAt = 0;
-  /** What the last placement has left free of each machine that takes work. */
+  /** Resources that the last placement left free on each machine that takes work. */
   #freeByMachine: ReadonlyMap<Machine, Resources> = new Map();
   #placedAt = -Infinity;
-  /** The claim table's number of changes at the last placement. */
+  /** The claim table's change counter at the last placement. */
   #placedChange = -1;
 
   constructor(
     readonly context: ControllerContext,
     readonly partitionId: number,
-    /** Fixed for the life of this object: all that it writes and sends rests on this one term and its version. */
+    /** The one term under which this object writes and sends everything. */
     readonly ownershipTerm: OwnershipTerm,
-    /** By machine: its status from an earlier owner. */
+    /** Statuses from an earlier owner, by machine. */
     previousStatuses: ReadonlyMap<string, MachineStatus>,
   ) {
     const { features } = context.settings;
@@ -98,8 +98,8 @@
   }
 
   /**
-   * A job has changed. Stops of a cancelled job are sent at once: its resources are wanted, and its work is of no more
-   * use.
+   * Handles a change of a job. Stops of a cancelled job are sent at once: its resources are needed, and its work is of
+   * no more use.
    */
   jobChanged(id: string): void {
     this.#sendStops(this.claimTable.syncJob(id, this.context.clock.now()));
@@ -125,8 +125,8 @@
   }
 
   /**
-   * Plans machines for the waiting tasks, stops what has to make way, and solicits heartbeats from the planned
-   * machines.
+   * Plans machines for the waiting tasks, stops the tasks that have to make room, and solicits heartbeats from the
+   * planned machines.
    */
   #placeTasks(now: number): void {
     this.#placedChange = this.claimTable.changes;
@@ -150,15 +150,15 @@
     }
   }
 
-  /** Whether this controller is the owner, as far as any read of its own shows: nobody is answered on other grounds. */
+  /** Whether this controller's own reads show it as the owner. Workers are answered only if they do. */
   isOwner(): boolean {
     const { key, version } = this.ownershipTerm.condition;
-    // The version rather than the record: one that can't be read is not ours either.
+    // Compares versions rather than records, because a new owner's record might not be parsable.
     return this.ownershipTerm.isCurrent && this.context.watchCache.version(key) === version;
   }
 
   /**
-   * Whether tasks may be started now: the ownership is certain, and every cancellation but the newest has been read.
+   * Whether tasks may be started now: the ownership is certain, and all but the newest cancellations have been read.
    */
   mayGrant(now: number): boolean {
     const { watchCache, clusterConfig } = this.context;
@@ -167,19 +167,19 @@
       this.isOwner() &&
       this.context.leaseValid() &&
       watchCache.lastContactAt !== null &&
-      // Holds that were attached to an earlier lease may have passed to another controller, whatever a new lease says.
+      // Holds attached to an earlier lease may have passed to another controller: a read under the new lease is needed.
       watchCache.lastContactAt >= this.context.leaseSince &&
       now < watchCache.lastContactAt + maxGrantContactAgeMs(clusterConfig)
     );
   }
 
-  /** The cloud says that the machine is gone. */
+  /** Removes a machine that no longer exists, as the leader's directive says. */
   gone(name: string): void {
     this.claimTable.removeMachine(name, this.context.clock.now());
     this.#writes.membership.removals.add(name);
   }
 
-  /** How the partition stands, for the leader and the other controllers. */
+  /** Returns the partition's status for the leader and the other controllers. */
   status(now: number): PartitionStatus {
     return partitionStatusOf(this.claimTable, this.#freeByMachine, this.context.watchCache.revision, now);
   }
--- a/packages/daemon/src/owner/partition-status.ts
+++ b/packages/daemon/src/owner/partition-status.ts
@@ -1,4 +1,4 @@
-// How a partition stands, as its owner publishes it to the leader and the other controllers.
+// The status of a partition, as its owner publishes it to the leader and the other controllers.
 import {
   addResources,
   advertisedPriority,
@@ -12,12 +12,13 @@
 } from '@gingerlock/core';
 import { PRIORITIES } from '@gingerlock/wire';
 
+/** Reported silence of a machine that has no lease with its owner: longer than any time that it is compared with. */
+const MAX_REPORTED_SILENCE_MS = 1e9;
+
 /**
- * Reported as the silence of a machine that has no lease with its owner: longer than any time that it is compared with.
+ * Returns the status of a partition. `freeByMachine`: resources that the last placement left free on each machine that
+ * takes work.
  */
-const NO_HEARTBEAT_MS = 1e9;
-
-/** The status of a partition; `freeByMachine`: what the last placement has left of each machine that takes work. */
 export function partitionStatusOf(
   claimTable: ClaimTable,
   freeByMachine: ReadonlyMap<Machine, Resources>,
@@ -40,8 +41,8 @@
 }
 
 /**
- * `free`: undefined for a machine that takes no work. `planned`: what waiting tasks of each priority are going to use
- * of it.
+ * Returns the status of a machine. `free`: undefined if it takes no work. `planned`: its resources that are planned for
+ * waiting tasks, by priority.
  */
 function machineStatusOf(
   claimTable: ClaimTable,
@@ -66,11 +67,11 @@
     isQuarantined: claimTable.isQuarantined(machine),
     empty: isKnownEmpty(machine),
     emptyMs: now - machine.emptySince,
-    silentMs: Math.min(claimTable.silentMs(machine, now), NO_HEARTBEAT_MS),
+    silentMs: Math.min(claimTable.silentMs(machine, now), MAX_REPORTED_SILENCE_MS),
   };
 }
 
-/** By priority: what the machine's tasks use, without those that are being stopped, and what is planned for it. */
+/** Returns by priority the resources that are planned or used by the machine's tasks, without those being stopped. */
 function usedByPriority(machine: Machine, planned: readonly Resources[]): Resources[] {
   const byPriority = [...planned];
   for (const { job, claim } of machine.claims.values()) {
@@ -80,7 +81,7 @@
   return byPriority;
 }
 
-/** Whether the machine holds no task, by its own heartbeat too. */
+/** Whether the machine holds no task, according to its claims and to its own heartbeat. */
 function isKnownEmpty({ claims, hasCurrentToken, reportedTasks, answeredAt }: Machine): boolean {
   return claims.size === 0 && hasCurrentToken && reportedTasks.length === 0 && answeredAt !== null;
 }
--- a/packages/daemon/src/owner/task-writes.ts
+++ b/packages/daemon/src/owner/task-writes.ts
@@ -1,5 +1,5 @@
-// Writes of a partition's tasks: those that are finished, and those that are returned to the leader because no machine
-// of the partition can take them.
+// Plans writes of a partition's tasks: those that are finished, and those that are returned to the leader because no
+// machine of the partition can take them.
 import {
   type BitSet,
   type ClaimTable,
@@ -14,14 +14,14 @@
 import type { Write } from './write';
 
 /**
- * While the free share of the write rate is smaller than this, completed tasks wait for others, to be written together.
+ * If the spare share of the write rate is below this, completed tasks wait for others in order to be written together.
  */
 const MIN_SPARE_WRITE_SHARE = 0.9;
 
-/** How long they then wait at most, in heartbeat intervals. */
-const SHORT_FINISH_INTERVALS = 2;
+/** The longest such wait, in heartbeat intervals. */
+const MAX_FINISH_WAIT_INTERVALS = 2;
 
-/** Plans the changes of jobs' records and finished pages of one ownership term. */
+/** Plans the changes of job records and finished pages of one ownership term. */
 export class TaskWrites {
   /** Waiting tasks that no machine of the partition can take, by the last bin packing. */
   unschedulable: readonly TaskEntry[] = [];
@@ -32,9 +32,9 @@
     readonly claimTable: ClaimTable,
   ) {}
 
-  /** Finished tasks first; of a job that has some, tasks are returned by a later transaction. */
+  /** Plans finished tasks first. A job's tasks are returned by a later transaction if it also has finished tasks. */
   plan(now: number): Write[] {
-    const finishedByJob = this.claimTable.tasksToFinish(now, this.#finishPatienceMs());
+    const finishedByJob = this.claimTable.tasksToFinish(now, this.#maxFinishWaitMs());
     const returnableByJob = this.claimTable.returnable(this.unschedulable, now);
     const finishes = [...finishedByJob.values()].flatMap((tasks) => this.#planFinish(tasks[0]!.job, tasks));
     const returns = [...returnableByJob]
@@ -44,13 +44,13 @@
   }
 
   /** How long a completed task may wait for others of its job before it is written. */
-  #finishPatienceMs(): number {
+  #maxFinishWaitMs(): number {
     const { keyValueStore, clusterConfig } = this.context;
     const isRateShort = keyValueStore.options.rateLimiter.spareWriteShare() < MIN_SPARE_WRITE_SHARE;
-    return isRateShort ? clusterConfig.heartbeatIntervalMs * SHORT_FINISH_INTERVALS : DISPLAY_LAG_MS / 2;
+    return isRateShort ? clusterConfig.heartbeatIntervalMs * MAX_FINISH_WAIT_INTERVALS : DISPLAY_LAG_MS / 2;
   }
 
-  /** Writes the finished tasks of one job; the last ones close it. */
+  /** Plans writes of the finished tasks of one job; the write of the last ones closes the job. */
   #planFinish(job: Job, tasks: readonly TaskEntry[]): Write[] {
     if (job.finishedCount + tasks.length < job.spec.tasks) return this.#planFinishedPages(job, tasks);
     const key = KEYS.job(job.id);
@@ -73,7 +73,7 @@
     }));
   }
 
-  /** Returns as many of the tasks as the record without them fits a value; no write if it fits with none. */
+  /** Plans the return of as many of the tasks as possible while the remaining record fits a value, or of none. */
   #planReturn(job: Job, tasks: readonly TaskEntry[]): Write[] {
     const { clock } = this.context;
     const byIndex = [...tasks].sort((a, b) => a.index - b.index);
@@ -97,7 +97,7 @@
     const { spec, acceptedAt, isCancelled: cancelled } = job;
     const returnedIndexes = new Set(tasks.map(({ index }) => index));
     const left = withoutTasks(job.assignedRanges, this.partitionId, returnedIndexes);
-    // Finished tasks are off their machines: a cancelled job of which only they remain has nothing left to wait for.
+    // Finished tasks use no machine, so a cancelled job in which only they remain has nothing left to wait for.
     const assignedRanges = mergeRanges(left, (taskIndex) => job.isFinished(taskIndex));
     if (cancelled && assignedRanges.length === 0) return jobRecord.write({ final: 'cancelled' });
     const isCrashLooping = this.claimTable.marksCrashLoopOnReturn(job, tasks, this.context.clock.now());
--- a/packages/daemon/src/owner/term-announcements.ts
+++ b/packages/daemon/src/owner/term-announcements.ts
@@ -1,15 +1,13 @@
-// Announces a new owner's term to the machines of its membership that have sent it no heartbeat: each then reports the
-// higher fencing token, and a former owner that still answers it steps down.
+// Announces a new owner's term to the machines of its membership that have sent it no heartbeat. Each machine then
+// reports the higher fencing token, and a former owner that still answers the machine steps down.
 import type { ClaimTable, MachineStatus } from '@gingerlock/core';
 import type { ControllerContext } from '../controller/controller-context';
 import type { WorkerCommandSender } from './worker-command-sender';
 
-/** Announcements at each tick, at least: sent all at once they would delay everything else. */
+/** Minimum number of announcements per tick. Sent all at once, announcements would delay everything else. */
 const MIN_ANNOUNCEMENTS_PER_TICK = 8;
 
-/**
- * Each unconfirmed machine has been sent an announcement within this share of a worker's lease, however many they are.
- */
+/** A cycle takes at most this share of a worker lease, however many machines are unconfirmed. */
 const ANNOUNCEMENT_CYCLE_LEASES = 0.5;
 
 /** The announcements of one ownership term, in cycles over all machines that are still unconfirmed. */
@@ -18,7 +16,7 @@
   #pending: string[] = [];
   #perTick = MIN_ANNOUNCEMENTS_PER_TICK;
   #cycleStartedAt = -Infinity;
-  /** By machine: its status from an earlier owner. Only the first cycle uses them: the agent epoch may be outdated. */
+  /** Statuses from an earlier owner, by machine. Used in the first cycle only: the agent epochs may be outdated. */
   #previousStatuses: ReadonlyMap<string, MachineStatus>;
 
   constructor(
@@ -31,8 +29,8 @@
   }
 
   /**
-   * Sends the next announcements. A cycle is finished before the next one begins: begun anew after each heartbeat
-   * interval, it would never get to the last of many machines while the first ones do not answer.
+   * Sends the next announcements. A cycle is finished before the next one begins: a cycle that restarted at each
+   * heartbeat interval would never reach the last of many machines while the first ones do not answer.
    */
   tick(now: number): void {
     const isCycleDue = now - this.#cycleStartedAt > this.context.clusterConfig.heartbeatIntervalMs;
--- a/packages/daemon/src/owner/worker-command-sender.ts
+++ b/packages/daemon/src/owner/worker-command-sender.ts
@@ -1,12 +1,12 @@
-// What an owner sends straight to the workers of its partition, beside the answers to their heartbeats.
+// Sends an owner's commands directly to the workers of its partition, beside the answers to their heartbeats.
 import type { ClaimTable, Machine, TaskEntry } from '@gingerlock/core';
 import { decodeHeartbeat, encodeDirectCommands } from '@gingerlock/wire';
 import type { ControllerContext } from '../controller/controller-context';
 
-/** For how many heartbeat intervals a stop may be unanswered. */
+/** Timeout of a stop request, in heartbeat intervals. */
 const STOP_TIMEOUT_INTERVALS = 2;
 
-/** Sends direct commands. None of them is repeated: the answer to the worker's next heartbeat says the same. */
+/** Sends direct commands. They are not retried: the answer to the worker's next heartbeat says the same. */
 export class WorkerCommandSender {
   constructor(
     readonly context: ControllerContext,
@@ -14,8 +14,8 @@
   ) {}
 
   /**
-   * Sends stops straight to the worker, to save the wait for its next heartbeat. Only stops are sent this way: a start
-   * that was delayed on the way could be carried out minutes later.
+   * Sends stops directly to the worker, without waiting for its next heartbeat. Starts are never sent this way: a start
+   * that was delayed by the network could be carried out minutes later.
    */
   stop(machine: Machine, tasks: readonly TaskEntry[]): void {
     const commands = tasks.map(({ name, claim }) => ({
@@ -32,7 +32,7 @@
 
   /**
    * Solicits a heartbeat from a machine for which a waiting task is planned, by sending it a higher token of the same
-   * term. It still is the heartbeat that claims the task, and the start is sent in its answer.
+   * term. The task is claimed only at that heartbeat, and the start is sent in its answer.
    */
   requestHeartbeat(machine: Machine, now: number): void {
     const body = encodeDirectCommands(this.claimTable.requestHeartbeat(machine, now), machine.agentEpoch, []);
@@ -42,9 +42,9 @@
   }
 
   /**
-   * Sends the fencing token of our term to a machine of the membership that has sent us no heartbeat: it then reports
-   * the higher token, upon which a former owner that still answers it steps down. Neither answer is taken as proof of
-   * anything: it can overtake a start that is under way.
+   * Sends the fencing token of this term to a machine of the membership that has sent no heartbeat under it. The
+   * machine then reports the higher token, and a former owner that still answers the machine steps down. The responses
+   * prove nothing about the machine's tasks, as they can overtake a start that is under way.
    */
   async announceTerm(name: string, addr: string, knownAgentEpoch: number | undefined): Promise<void> {
     const { http, clusterConfig, log } = this.context;
@@ -59,7 +59,7 @@
     }
   }
 
-  /** Sends commands; `onUnanswered` is given the fields of a log line if the worker does not answer. */
+  /** Sends commands. `onUnanswered` is called with the fields of a log line if the worker does not answer. */
   #post(
     { name, addr }: Machine,
     body: Buffer,
--- a/packages/daemon/src/ownership/acquisition-order.ts
+++ b/packages/daemon/src/ownership/acquisition-order.ts
@@ -1,20 +1,20 @@
-// In which order the controllers acquire a partition, and how long each waits for those that come before it.
+// The order in which the controllers acquire a partition, and how long each waits for those before it.
 import type { Clock } from '@gingerlock/clients';
 import { ACQUISITION_DELAY } from '@gingerlock/core';
 import type { Settings } from '../settings/settings';
 import type { ClusterState } from '../state/cluster-state';
 
-/** What is known of the other controllers. */
+/** What is known about the liveness of the other controllers. */
 export interface PeerLiveness {
-  /** Whether anything has come from the controller lately. */
+  /** Whether a message has arrived from the controller recently. */
   isAlive(node: string): boolean;
   /** Whether this process has ever received anything from the controller. */
   wasSeen(node: string): boolean;
-  /** Whether the controller was heard for so long without a gap, and reads the key-value store. */
+  /** Whether messages have arrived from the controller for `forMs` without a gap, and it reads the key-value store. */
   isHealthy(node: string, forMs: number): boolean;
 }
 
-/** What the order depends on. */
+/** Dependencies of `AcquisitionOrder`. */
 export interface AcquisitionOrderOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -22,11 +22,16 @@
   readonly peers: PeerLiveness;
 }
 
-/** Every partition has a home: the controller that acquires it first and to which it returns when that is healthy. */
+/**
+ * The acquisition order. Every partition has a home: the controller that acquires it first, and to which it returns
+ * once that controller is healthy.
+ */
 export class AcquisitionOrder {
-  /** All controllers by name: partition n has the n-th as its home, counted round, but for zones. */
+  /**
+   * All controllers, sorted by name. Apart from zones, the home of partition n is the n-th of them, modulo their count.
+   */
   readonly #nodes: readonly string[];
-  /** By partition: until when the other controllers go first, as its workers could not reach this one. */
+  /** By partition: until when the other controllers go first, because its workers could not reach this controller. */
   readonly #leftToOthersUntil = new Map<number, number>();
 
   constructor(readonly options: AcquisitionOrderOptions) {
@@ -34,7 +39,7 @@
     this.#nodes = [node, ...peers.map((peer) => peer.node)].sort();
   }
 
-  /** The zones of the homes of so many partitions, as the first controller that ever starts stores them. */
+  /** Returns the zones of the homes of that many partitions. The first controller that ever starts stores them. */
   homeZones(partitionCount: number): string[] {
     return Array.from({ length: partitionCount }, (_, partitionId) =>
       this.#zoneOf(this.#nodes[partitionId % this.#nodes.length]!),
@@ -47,20 +52,20 @@
   }
 
   /**
-   * Heartbeat intervals for which this controller leaves the partition to those that come before it, by their state
-   * now.
+   * Returns for how many heartbeat intervals this controller leaves the partition to the controllers before it, by
+   * their current liveness.
    */
   partitionDelay(partitionId: number): number {
     const delay = this.#delayIn(this.#orderFor(partitionId));
     return delay + (this.#isLeftToOthers(partitionId) ? ACQUISITION_DELAY.cutOff : 0);
   }
 
-  /** Heartbeat intervals for which this controller leaves the leadership to those that come before it. */
+  /** Returns for how many heartbeat intervals this controller leaves the leadership to the controllers before it. */
   leadershipDelay(): number {
     return this.#delayIn(this.#nodes);
   }
 
-  /** Lets the other controllers go first for the partition up to that time by the steady clock. */
+  /** Lets the other controllers go first for the partition until the given steady-clock time. */
   leaveToOthers(partitionId: number, until: number): void {
     this.#leftToOthersUntil.set(partitionId, until);
   }
@@ -74,7 +79,7 @@
     return settings.peers.find((peer) => peer.node === node)?.zone ?? settings.zone;
   }
 
-  /** All controllers, the home first: those in the zone of the partition go before the others. */
+  /** Returns all controllers, the home first. Those in the zone of the partition come before the others. */
   #orderFor(partitionId: number): string[] {
     const nodes = this.#nodes;
     const zone = this.options.clusterState.meta?.zones[partitionId];
--- a/packages/daemon/src/ownership/deployment-record.ts
+++ b/packages/daemon/src/ownership/deployment-record.ts
@@ -1,5 +1,4 @@
-// Creates the record of the deployment's settings that never change: how many partitions there are, their zones, and
-// the page size.
+// Creates the record of the deployment's immutable settings: the number of partitions, their zones, and the page size.
 import { URGENCY } from '@gingerlock/clients';
 import { FORMAT, KEYS, type Meta, metaRecord } from '@gingerlock/wire';
 import type { ControllerContext } from '../controller/controller-context';
@@ -8,7 +7,7 @@
 /** A page of finished tasks takes at most this share of the largest value. */
 const PAGE_SHARE = 1 / 2;
 
-/** Tasks that one character of base64 holds: a bit each. */
+/** Tasks per base64 character, one bit each. */
 const TASKS_PER_CHARACTER = 6;
 
 const MIN_PAGE_TASKS = 64;
@@ -30,8 +29,8 @@
 }
 
 /**
- * Writes the record unless there is one: only the first controller that ever starts succeeds. If the outcome stays
- * unknown, a later read shows the record or this is called again.
+ * Writes the record unless there is one, so that only the first controller that ever starts succeeds. If the outcome
+ * stays unknown, a later read shows the record or this is called again.
  */
 export async function createDeploymentRecord(context: ControllerContext, order: AcquisitionOrder): Promise<void> {
   const changes = [{ put: KEYS.meta, value: metaRecord.write(newDeployment(context, order)) }];
--- a/packages/daemon/src/ownership/ownership-manager.ts
+++ b/packages/daemon/src/ownership/ownership-manager.ts
@@ -6,18 +6,18 @@
 import type { AcquisitionOrder } from './acquisition-order';
 import { createDeploymentRecord } from './deployment-record';
 
-/** Hears of the begin and the end of each term of ownership. */
+/** Notified of the beginning and the end of each term of ownership. */
 export interface OwnershipListener {
   /** This controller owns the resource of the term from now on. */
   opened(ownershipTerm: OwnershipTerm): void;
-  /** The term is over for ever: nobody may be answered under it. */
+  /** The term has ended for good: no worker may be answered under it. */
   ended(ownershipTerm: OwnershipTerm): void;
 }
 
 /** Why a partition is released. */
 export type ReleaseReason = 'workers unreachable' | 'attempt numbers exhausted' | 'return to home';
 
-/** Pauses between two tries to read the store, in fractions of a heartbeat interval. */
+/** Reads per heartbeat interval while reads of the store fail. */
 const READ_RETRIES_PER_HEARTBEAT_INTERVAL = 5;
 
 /** Holds one state machine for each partition and one for the leadership. */
@@ -37,29 +37,32 @@
     this.#clock = context.clock;
   }
 
-  /** Gives up the attempts that are under way. What is owned is not released: its hold expires with the store lease. */
+  /** Abandons the attempts under way. Owned resources are not released: their holds expire with the store lease. */
   stop(): void {
     this.#stopped = true;
   }
 
-  /** Looks at all resources after a read of the key-value store. */
+  /**
+   * Decides on all resources after a read of the key-value store. Creates the deployment's record first if there is
+   * none.
+   */
   synced(): void {
     const { clusterState } = this.context;
     if (clusterState.meta === null) {
       void createDeploymentRecord(this.context, this.order);
       return;
     }
-    if (this.#ownershipsByResource.size === 0) this.#openOwnerships(clusterState.meta.partitionCount);
+    if (this.#ownershipsByResource.size === 0) this.#createOwnerships(clusterState.meta.partitionCount);
     for (const ownership of this.#ownershipsByResource.values()) this.#decide(ownership);
   }
 
-  #openOwnerships(partitionCount: number): void {
+  #createOwnerships(partitionCount: number): void {
     for (let partitionId = 0; partitionId < partitionCount; partitionId++)
-      this.#openOwnership(String(partitionId), () => this.order.partitionDelay(partitionId));
-    this.#openOwnership(LEADERSHIP, () => this.order.leadershipDelay());
+      this.#createOwnership(String(partitionId), () => this.order.partitionDelay(partitionId));
+    this.#createOwnership(LEADERSHIP, () => this.order.leadershipDelay());
   }
 
-  #openOwnership(resource: string, acquisitionDelay: () => number): void {
+  #createOwnership(resource: string, acquisitionDelay: () => number): void {
     const { node, clusterConfig, features } = this.context.settings;
     const localNode = {
       node,
@@ -111,7 +114,10 @@
     this.#confirmAcquisition(ownershipTerm);
   }
 
-  /** What the old owner wrote before it lost the resource has to be seen first: its membership above all. */
+  /**
+   * Reads until the watch cache shows what the previous owner wrote before it lost the resource, above all its
+   * membership. Returns false if the acquisition is no longer wanted.
+   */
   async #readUpTo(revision: number, isStillWanted: () => boolean): Promise<boolean> {
     const { watchCache, clusterConfig } = this.context;
     while (watchCache.revision < revision) {
@@ -155,16 +161,16 @@
     this.listener.ended(ownershipTerm);
   }
 
-  /** A worker has seen the fencing token of a later owner: the term is over. */
+  /** Ends the term after a worker has seen the fencing token of a later owner. */
   superseded(ownershipTerm: OwnershipTerm): void {
     if (this.#ownershipsByResource.get(ownershipTerm.resource)?.stepDown(ownershipTerm) === true)
       this.#ended(ownershipTerm);
   }
 
   /**
-   * Answers a later owner of the given term that asks whether the partition is still owned here, ending an earlier
-   * term: without contact with the store this controller may be the last to learn of the failover. The answer no holds
-   * for ever, for all earlier terms.
+   * Returns, for a query of the owner of a later term, whether this controller still owns the partition. Ends an
+   * earlier term: without contact with the store, this controller may be the last to learn of the failover. The answer
+   * false is final for all earlier terms.
    */
   ownsAfterQuery(partitionId: number, term: number): boolean {
     const ownership = this.#ownershipsByResource.get(String(partitionId));
@@ -174,8 +180,9 @@
   }
 
   /**
-   * Gives up a partition that is held here. Its term is over when this returns, whatever becomes of the write that lets
-   * others acquire the partition at once. False: it can't be released now, and nothing has changed.
+   * Releases a partition that this controller owns. Its term has ended when this returns true, whatever the outcome of
+   * the write that lets others acquire the partition at once. Returns false, and changes nothing, if the partition
+   * can't be released now.
    */
   release(ownershipTerm: OwnershipTerm, reason: ReleaseReason): boolean {
     const { clusterState } = this.context;
--- a/packages/daemon/src/ownership/partition-releases.ts
+++ b/packages/daemon/src/ownership/partition-releases.ts
@@ -1,14 +1,14 @@
-// Which partitions this controller gives up while it could go on owning them, and when.
+// Decides which partitions this controller releases although it could continue to own them, and when.
 import type { PartitionOwner } from '../owner/partition-owner';
 import type { ControllerContext } from '../controller/controller-context';
 import type { AcquisitionOrder, PeerLiveness } from './acquisition-order';
 import type { OwnershipManager } from './ownership-manager';
 import type { WorkerConnectivity } from './worker-connectivity';
 
-/** For how many worker leases a partition stays away from a home that its workers could not reach. */
+/** Worker leases for which a partition is not returned to a home that its workers could not reach. */
 const CUT_OFF_RETURN_LEASES = 6;
 
-/** What the decisions rest on. */
+/** Dependencies of `PartitionReleases`. */
 export interface PartitionReleasesOptions {
   readonly context: ControllerContext;
   readonly ownership: OwnershipManager;
@@ -17,16 +17,16 @@
   readonly workerConnectivity: WorkerConnectivity;
 }
 
-/** The partitions owned here, by partition. */
+/** The owners of this controller's partitions, by partition. */
 type OwnersById = ReadonlyMap<number, PartitionOwner>;
 
-/** Looks at each tick which partitions to release. */
+/** Checks at each tick which partitions to release. */
 export class PartitionReleases {
   #returnedAt = -Infinity;
 
   constructor(readonly options: PartitionReleasesOptions) {}
 
-  /** Releases what is to be released now. */
+  /** Releases the partitions that have to be released now. */
   tick(owners: OwnersById, now: number): void {
     this.#releaseUnreachable(owners, now);
     this.#releaseExhausted(owners);
@@ -40,8 +40,9 @@
   }
 
   /**
-   * Gives a partition whose workers have long been unable to reach this controller to one that they do reach. Relaying
-   * carries them meanwhile, but costs a heartbeat seconds whenever the direct way is tried again.
+   * Releases a partition whose workers have long been unable to reach this controller, for a controller that they do
+   * reach. Meanwhile others relay their heartbeats, but a heartbeat takes seconds longer whenever the direct route is
+   * retried.
    */
   #releaseUnreachable(owners: OwnersById, now: number): void {
     if (!this.#hasStoreContact()) return;
@@ -56,8 +57,8 @@
   }
 
   /**
-   * Gives up partitions whose terms run out of attempt numbers: whoever acquires them, mostly this controller, does so
-   * under a new term.
+   * Releases partitions whose terms run out of attempt numbers. They are acquired under a new term, mostly by this
+   * controller again.
    */
   #releaseExhausted(owners: OwnersById): void {
     const { context, ownership } = this.options;
@@ -69,9 +70,9 @@
   }
 
   /**
-   * Returns a partition to its home once that is healthy: else rolling restarts leave one controller with most of the
-   * fleet, and its failure costs the most. One at a time, and not while anything is wrong: the workers of the partition
-   * have to find their new owner.
+   * Returns a partition to its home once the home is healthy: otherwise rolling restarts leave one controller with most
+   * of the fleet, and its failure has the largest effect. Only one at a time, and only while store contact and the
+   * partition are in order: the workers of the partition have to find their new owner.
    */
   #returnToHome(owners: OwnersById, now: number): void {
     const { context, ownership, order, peers } = this.options;
@@ -80,9 +81,9 @@
     for (const { partitionId, ownershipTerm, claimTable } of owners.values()) {
       const home = order.homeOf(partitionId);
       if (home === context.settings.node || ownershipTerm.state !== 'held' || !claimTable.isFencingOver) continue;
-      // A home that released the partition itself, as its workers did not reach it, gets it back later.
-      const patienceMs = ownershipTerm.releasedBy === home ? workerLeaseMs * CUT_OFF_RETURN_LEASES : workerLeaseMs;
-      if (now - ownershipTerm.acquiredAt < patienceMs || !peers.isHealthy(home, workerLeaseMs)) continue;
+      // A home that released the partition because workers could not reach it gets it back later.
+      const minOwnedMs = ownershipTerm.releasedBy === home ? workerLeaseMs * CUT_OFF_RETURN_LEASES : workerLeaseMs;
+      if (now - ownershipTerm.acquiredAt < minOwnedMs || !peers.isHealthy(home, workerLeaseMs)) continue;
       if (!ownership.release(ownershipTerm, 'return to home')) continue;
       this.#returnedAt = now;
       return;
--- a/packages/daemon/src/ownership/previous-owners.ts
+++ b/packages/daemon/src/ownership/previous-owners.ts
@@ -1,13 +1,13 @@
-// Asks the controllers from which partitions were acquired whether they have given them up. If so, none of their
-// workers has been answered by them since, and the fencing period ends sooner.
+// Asks the previous owners of acquired partitions whether they have given them up. A previous owner that has done so
+// answers no workers of the partition any more, so the fencing period ends sooner.
 import type { PeerMessages } from '@gingerlock/peer';
 import type { PartitionOwner } from '../owner/partition-owner';
 import type { PeerChannel } from '../peers/peer-channel';
 
-/** Queries of each owner in a heartbeat interval. */
+/** Queries to each previous owner per heartbeat interval. */
 const QUERIES_PER_HEARTBEAT_INTERVAL = 2;
 
-/** An answer counts for this many heartbeat intervals after its query. */
+/** Heartbeat intervals after a query during which its answer counts. */
 const ANSWER_INTERVALS = 2;
 
 interface OwnerQuery {
@@ -17,8 +17,8 @@
 }
 
 /**
- * Repeats its queries for as long as a partition's fencing period is not over and its previous owner has not answered
- * no.
+ * Queries the previous owner of each partition until the fencing period is over or the previous owner has answered that
+ * it does not own the partition.
  */
 export class PreviousOwnerQueries {
   /** Queries that may still be answered, by request id. */
@@ -26,7 +26,7 @@
   #askedAt = -Infinity;
 
   constructor(
-    /** The owners of the partitions owned here, by partition. */
+    /** The owners of this controller's partitions, by partition. */
     readonly ownersById: ReadonlyMap<number, PartitionOwner>,
     readonly peers: PeerChannel,
     readonly heartbeatIntervalMs: number,
@@ -48,8 +48,8 @@
   }
 
   /**
-   * Takes an answer that came at `now` by the steady clock and `wallNow` by the time of day. Answers to old terms are
-   * ignored.
+   * Handles an answer that arrived at `now` by the steady clock and `wallNow` by the time of day. Answers to queries of
+   * earlier terms are ignored.
    */
   onAnswer(from: string, { id, owns }: PeerMessages['OwnershipAnswer'], now: number, wallNow: number): void {
     const query = this.#openById.get(id);
--- a/packages/daemon/src/ownership/worker-connectivity.ts
+++ b/packages/daemon/src/ownership/worker-connectivity.ts
@@ -1,12 +1,12 @@
-// Whether workers can reach this controller. One that is cut off from them keeps its store lease and so its partitions,
-// though every heartbeat has to be relayed by another controller: if that lasts, the partitions should go to one that
-// the workers reach.
+// Detects whether workers can reach this controller. A controller that is cut off from its workers keeps its store
+// lease and so its partitions, though every heartbeat has to be relayed by another controller. If that lasts, the
+// partitions should go to a controller that the workers reach.
 import type { ClusterConfig } from '@gingerlock/core';
 
-/** Heartbeats that are relayed for this many worker leases, with none that comes directly, show that the cut lasts. */
+/** Workers are cut off once heartbeats have been relayed, and none has come directly, for this many worker leases. */
 const CUT_OFF_LEASES = 1;
 
-/** Relayed heartbeats of a partition that come further apart than this many heartbeat intervals are no evidence. */
+/** A longer gap between relayed heartbeats of a partition, in heartbeat intervals, ends their series. */
 const MAX_RELAY_GAP_INTERVALS = 3;
 
 /** The latest uninterrupted series of relayed heartbeats of a partition. */
@@ -15,9 +15,9 @@
   readonly lastAt: number;
 }
 
-/** Notes on which way the heartbeats for this controller come. Times are of the steady clock. */
+/** Records whether heartbeats reach this controller directly or relayed. Times are of the steady clock. */
 export class WorkerConnectivity {
-  /** When a heartbeat last came directly from a worker; at first, when this controller started. */
+  /** When a heartbeat last came directly from a worker; initially when this controller started. */
   #directAt: number;
   readonly #relayedByPartition = new Map<number, RelayedSeries>();
 
@@ -28,19 +28,22 @@
     this.#directAt = now;
   }
 
-  /** A worker, of whichever partition, has reached this controller. */
+  /** Records a heartbeat that came directly from a worker of any partition. */
   recordDirect(now: number): void {
     this.#directAt = now;
     this.#relayedByPartition.clear();
   }
 
-  /** Another controller has relayed a heartbeat of a worker of the partition. */
+  /** Records a heartbeat that another controller relayed for a worker of the partition. */
   recordRelayed(partitionId: number, now: number): void {
     const series = this.#currentSeries(partitionId, now);
     this.#relayedByPartition.set(partitionId, { beganAt: series?.beganAt ?? now, lastAt: now });
   }
 
-  /** Whether the workers of the partition send heartbeats, and have long been unable to send them here directly. */
+  /**
+   * Whether workers of the partition send heartbeats, but have long been unable to send them directly to this
+   * controller.
+   */
   isCutOff(partitionId: number, now: number): boolean {
     const series = this.#currentSeries(partitionId, now);
     if (series === null) return false;
@@ -48,7 +51,7 @@
     return now - series.beganAt >= cutOffMs && now - this.#directAt >= cutOffMs;
   }
 
-  /** Null: no heartbeat of the partition was relayed lately. */
+  /** Returns the current series; null if no heartbeat of the partition was relayed recently. */
   #currentSeries(partitionId: number, now: number): RelayedSeries | null {
     const series = this.#relayedByPartition.get(partitionId);
     const maxGapMs = this.clusterConfig.heartbeatIntervalMs * MAX_RELAY_GAP_INTERVALS;
--- a/packages/daemon/src/state/cluster-state.ts
+++ b/packages/daemon/src/state/cluster-state.ts
@@ -23,16 +23,18 @@
 
 const NO_RECLAIMS: ReadonlyMap<string, Versioned<ReclaimRecord>> = new Map();
 
-/** Tasks in a page of finished tasks as long as `meta` is not known. Nothing is placed by it: such pages wait. */
+/** Tasks in a page of finished tasks while `meta` is not known. Not used to place tasks: pages wait for `meta`. */
 const DEFAULT_PAGE_TASKS = 8;
 
-/** Hears of changes of the cluster state after they have been applied. */
+/** Notified of changes of the cluster state after they have been applied. */
 export interface ClusterStateListener {
-  /** The job has changed, or something that concerns it has changed because of another job. */
+  /** The job has changed, or a change of another job affects it. */
   jobChanged(id: string): void;
   /** The record of a reclaim was removed at the revision. */
   reclaimEnded(partitionId: number, revision: number): void;
-  /** The machine may hold claims in the partition from now on, or may no longer. */
+  /**
+   * The machine's membership entry has changed. `isMember`: whether it may hold claims in the partition from now on.
+   */
   membershipChanged(partitionId: number, machine: string, isMember: boolean): void;
 }
 
@@ -44,7 +46,7 @@
 
 type FinishedKey = Extract<ParsedKey, { kind: 'finished' | 'finishedFrom' }>;
 
-/** A page of finished tasks that came before `meta`. */
+/** A page of finished tasks that was read before `meta`. */
 interface EarlyPage {
   readonly key: string;
   readonly value: unknown;
@@ -52,35 +54,38 @@
 }
 
 /**
- * What this controller's watch cache holds, parsed. It is as recent as the cache: every change that the cache takes,
- * read or own, is applied before the cache goes on. Readers who need the newest state wait for
+ * The parsed content of this controller's watch cache. It is as recent as the cache: each change that the cache takes,
+ * read or own, is applied here before the cache goes on. Callers that need the newest state wait for
  * `WatchCache.linearizableRead` first.
  */
 export class ClusterState {
-  /** The settings of the deployment that never change; null: not read yet, or not created yet. */
+  /** The deployment's immutable settings; null if they have not been read or created yet. */
   meta: Meta | null = null;
-  /** Made of `meta`; null as long as that is. */
+  /** Created from `meta`; null while that is null. */
   partitioner: Partitioner | null = null;
-  /** The counter from which terms of ownership are taken; null: no partition was ever acquired. */
+  /** The counter from which terms of ownership are taken; null if no resource was ever acquired. */
   term: Versioned<number> | null = null;
   /** Machine types of the cloud, by name. */
   types: ReadonlyMap<string, MachineType> = new Map();
   readonly jobs: JobTable;
-  /** By resource (a partition or the leadership): its latest owner, which may have lost it. */
+  /** By resource (a partition or the leadership): its latest owner, which may have lost the resource since. */
   readonly owners = new Map<string, Versioned<OwnerRecord>>();
-  /** By resource: the hold record, which exists as long as the owner's lease in the key-value store does. */
+  /** By resource: the hold record, which exists only while the owner's store lease does. */
   readonly holds = new Map<string, Versioned<HoldRecord>>();
-  /** By resource: the last term of which the time of the acquisition is known to be right. */
+  /** By resource: the last term whose owner has confirmed the time of its failover. */
   readonly confirmedTerms = new Map<string, number>();
   /** By partition: the machines that may hold a claim there, with their addresses. */
   readonly memberships = new Map<number, Map<string, string>>();
-  /** By partition and id. */
+  /** Reclaims by partition and id. */
   readonly reclaims = new Map<number, Map<string, Versioned<ReclaimRecord>>>();
   /** By job: the record of its replica group. */
   readonly groups = new Map<string, Versioned<GroupRecord>>();
   /** Keys of finished pages whose job has been closed: nothing needs them any more. */
   readonly obsoleteKeys = new Set<string>();
-  /** Pages that wait for `meta`, which says which tasks they stand for: lists come in the order of the keys. */
+  /**
+   * Pages that wait for `meta`, which determines their tasks: a list read returns the pages first, in the order of the
+   * keys.
+   */
   #pagesBeforeMeta: EarlyPage[] = [];
 
   /** `isGroup`: whether the tasks of a job are the members of a replica group. */
@@ -98,7 +103,7 @@
     this.listener.jobChanged(id);
   }
 
-  /** All that the records say of the ownership of a resource (a partition or the leadership). */
+  /** Returns the records on the ownership of a resource (a partition or the leadership). */
   view(resource: string): OwnershipView {
     return {
       owner: this.owners.get(resource) ?? null,
@@ -118,7 +123,7 @@
     return membership;
   }
 
-  /** The address of a machine of the partition; undefined: it is no member. */
+  /** The address of a machine of the partition; undefined if it is not a member. */
   addressOf(partitionId: number, machine: string): string | undefined {
     return this.memberships.get(partitionId)?.get(machine);
   }
@@ -208,7 +213,7 @@
   }
 }
 
-/** Enters a record with its version, or removes it if the value is undefined. */
+/** Sets a record with its version, or removes it if the value is undefined. */
 function applyRecord<Value>(
   recordsById: Map<string, Versioned<Value>>,
   id: string,
--- a/packages/daemon/src/state/commit-with-retry.ts
+++ b/packages/daemon/src/state/commit-with-retry.ts
@@ -1,18 +1,18 @@
-// Compare-and-swap repeated until its outcome is known.
+// Compare-and-swap that is retried until its outcome is known.
 import { type Clock, type KeyValueStore, sleep, type Urgency, type WatchCache } from '@gingerlock/clients';
 import type { Change, Condition } from '@gingerlock/wire';
 import type { Log } from '../controller/log';
 
-/** The first pause between two attempts is this fraction of a heartbeat interval. It doubles up to a whole interval. */
-const FIRST_PAUSE_INTERVALS = 20;
+/** The first pause between two attempts is a heartbeat interval divided by this. It doubles up to a whole interval. */
+const FIRST_PAUSE_DIVISOR = 20;
 
-/** Hears of each transaction of this controller that was carried out. */
+/** Notified of each transaction of this controller that was carried out. */
 export interface CommitListener {
   /** `revision`: the store's revision at which the changes were made. */
   committed(revision: number): void;
 }
 
-/** What a committer works with. */
+/** Dependencies of `Committer`. */
 export interface CommitterOptions {
   readonly keyValueStore: KeyValueStore;
   readonly watchCache: WatchCache;
@@ -22,25 +22,24 @@
   readonly listener: CommitListener;
 }
 
-/** Carries out transactions on the key-value store and enters those that are done into the watch cache. */
+/** Carries out transactions on the key-value store and applies those carried out to the watch cache. */
 export class Committer {
   constructor(readonly options: CommitterOptions) {}
 
-  /** Enters changes that were carried out at the revision into the watch cache, then tells the listener. */
+  /** Applies changes that were carried out at the revision to the watch cache, then notifies the listener. */
   recordCommit(changes: readonly Change[], revision: number): void {
     this.options.watchCache.applyOwn(changes, revision);
     this.options.listener.committed(revision);
   }
 
   /**
-   * Carries out a transaction, repeating the very same one until its outcome is known. Its conditions must be such that
-   * they can hold only once: then a repetition of a transaction that was carried out conflicts instead of being done
-   * twice.
+   * Carries out a transaction, retrying it unchanged until its outcome is known. The caller has to choose conditions
+   * that can hold only once: then a retry of a transaction that was carried out conflicts instead of being done twice.
    *
-   * Returns the revision at which it was done; 0: not by this attempt, or it was abandoned because `isStillWanted`,
-   * asked after each pause, said no. Unless abandoned, the watch cache is at or past the outcome then. A caller who
-   * gets 0 must decide anew from the cache: a transaction whose first answer was lost may have been carried out all the
-   * same.
+   * Returns the revision at which it was carried out. Returns 0 if this attempt did not succeed, or if it was abandoned
+   * because `isStillWanted`, called after each pause, returned false. Unless abandoned, the watch cache is then at or
+   * past the outcome. A caller that gets 0 must decide anew from the cache: a transaction whose first answer was lost
+   * may have been carried out all the same.
    */
   async commitWithRetry(
     urgency: Urgency,
@@ -50,7 +49,7 @@
   ): Promise<number> {
     const { keyValueStore, clock, log, heartbeatIntervalMs } = this.options;
     for (
-      let pauseMs = heartbeatIntervalMs / FIRST_PAUSE_INTERVALS;
+      let pauseMs = heartbeatIntervalMs / FIRST_PAUSE_DIVISOR;
       ;
       pauseMs = Math.min(pauseMs * 2, heartbeatIntervalMs)
     ) {
@@ -61,9 +60,10 @@
           return result.revision;
         case 'conflict':
         case 'no lease':
-          // It may conflict with its own first attempt, whose answer was lost. Nothing may be decided anew before that
-          // is seen: a task returned without its partition's knowing could be started there and by the next partition.
-          while (!(await this.#caughtUp())) {
+          // The conflict may be with its own first attempt, whose answer was lost. The caller must not decide anew
+          // before the cache shows that: a task returned without its partition's knowledge could be started there and
+          // by the next partition.
+          while (!(await this.#catchUp())) {
             await sleep(clock, pauseMs);
             if (!isStillWanted()) return 0;
           }
@@ -80,8 +80,8 @@
     }
   }
 
-  /** Reads the store once; false: the read failed. */
-  async #caughtUp(): Promise<boolean> {
+  /** Reads the store once. Returns false if the read failed. */
+  async #catchUp(): Promise<boolean> {
     try {
       await this.options.watchCache.linearizableRead();
       return true;
--- a/packages/daemon/src/state/transaction-size-limit.ts
+++ b/packages/daemon/src/state/transaction-size-limit.ts
@@ -1,4 +1,4 @@
-// What one transaction may hold: the key-value store bounds its changes and its bytes.
+// Limits of one transaction: the key-value store bounds its number of changes and its bytes.
 import { type Change, type Condition, MAX_BODY_BYTES } from '@gingerlock/wire';
 
 /** Upper bound of the bytes of a condition or a change beside its key and value. */
@@ -21,8 +21,8 @@
 }
 
 /**
- * Counts the conditions and changes of one transaction that is being put together. Changes that each fit may not fit
- * together: a transaction beyond a limit would be rejected for good, however often it is tried.
+ * Counts the changes and bytes of a transaction under construction. A transaction beyond a limit, even if each of its
+ * changes fits alone, is rejected however often it is tried.
  */
 export class TransactionSizeLimit {
   #changes = 0;
@@ -30,11 +30,14 @@
 
   constructor(
     readonly maxChanges: number,
-    /** Of the whole request. */
+    /** Limit of the whole request. */
     readonly maxBytes: number = MAX_BODY_BYTES,
   ) {}
 
-  /** Adds these if the transaction stays within its limits with all of them; false: it does not, and none is added. */
+  /**
+   * Adds the entries if the transaction stays within its limits with all of them. Otherwise adds none and returns
+   * false.
+   */
   add(conditions: readonly Condition[], changes: readonly Change[]): boolean {
     let bytes = this.#bytes;
     for (const condition of conditions) bytes += conditionBytes(condition);
--- a/packages/daemon/test/cluster-state.test.ts
+++ b/packages/daemon/test/cluster-state.test.ts
@@ -4,8 +4,8 @@
 import { ClusterState } from '../src/state/cluster-state';
 import { specOf } from '../../core/test/fixtures';
 
-// A list gives the keys in their order, the finished pages first. Placed by a page size that is not known yet, the
-// tasks of a later page would count as other tasks of the job after a restart.
+// A list read returns keys in order, finished pages before the page size. Guards against applying pages with another
+// page size: after a restart, the tasks of a later page would count as other tasks of the job.
 test('finished pages that are read before the page size is known finish the right tasks', () => {
   const clusterState = new ClusterState();
   const spec = specOf('j-1', { tasks: 200 });
--- a/packages/daemon/test/commit-with-retry.test.ts
+++ b/packages/daemon/test/commit-with-retry.test.ts
@@ -9,10 +9,9 @@
 import { settingsOf } from '../src/settings/settings';
 import { platform } from './platform';
 
-// The first attempt is carried out and its answer lost, the second conflicts with it, and for a while nothing can be
-// read. If that counted as not done, a task that was returned would be granted here and assigned to another partition
-// as well.
-test('a transaction that conflicts counts as not done only once what it conflicts with has been read', async () => {
+// The first attempt is carried out but its answer is lost, the second conflicts with it, and reads fail for a while. If
+// the transaction counted as not done, a returned task would be granted here and also assigned to another partition.
+test('a conflicting transaction counts as not done only after the conflicting change has been read', async () => {
   const sim = new Sim(5);
   const service = new SimStateService(sim);
   let losesNextAnswer = false;
@@ -60,11 +59,11 @@
       outcome = revision;
     });
   await sim.run(6000);
-  assert.ok(transactions >= transactionsBefore + 2, 'it was tried again');
+  assert.ok(transactions >= transactionsBefore + 2, 'the transaction was not retried');
   assert.equal(outcome, null, 'decided before anything could be read');
   isUnreadable = false;
   await sim.run(8000);
   assert.equal(outcome, 0);
-  assert.ok(controller.watchCache.version(key) > 0, 'what was carried out is seen');
+  assert.ok(controller.watchCache.version(key) > 0, 'the watch cache does not show the change that was carried out');
   controller.stop();
 });
--- a/packages/daemon/test/term-announcements.test.ts
+++ b/packages/daemon/test/term-announcements.test.ts
@@ -14,7 +14,7 @@
   readonly knownAgentEpoch: number | undefined;
 }
 
-/** Announcements to that many machines, of each of which an earlier owner knew the agent epoch 7. */
+/** Announcements to `machineCount` machines, for each of which an earlier owner knew the agent epoch 7. */
 function announcementsTo(machineCount: number): {
   tick: (now: number) => Announcement[];
   unconfirmed: Map<string, string>;
@@ -43,7 +43,7 @@
   return { tick, unconfirmed };
 }
 
-test('every machine of many is sent one announcement within half a lease before any is sent a second', () => {
+test('each of many machines is sent one announcement within half a lease before any is sent a second', () => {
   const { tick } = announcementsTo(500);
   const sent: Announcement[] = [];
   for (let now = 0; now < WORKER_LEASE_MS / 2; now += TICK_MS) sent.push(...tick(now));
