--- a/packages/core/src/ownership/ownership-attempts.ts
+++ b/packages/core/src/ownership/ownership-attempts.ts
@@ -16,7 +16,7 @@
 export interface OwnershipView {
   /** The last owner; the record stays when that controller fails. Null if the resource was never acquired. */
   readonly owner: Versioned<OwnerRecord> | null;
-  /** Shows that the owner is alive: it is removed with the owner's store lease. Null if there is none. */
+  /** Shows that the owner is alive: removed with the owner's store lease, or on release. Null if there is none. */
   readonly hold: Versioned<HoldRecord> | null;
   /** The counter from which all resources take their terms; null if no resource was ever acquired. */
   readonly term: Versioned<number> | null;
--- a/packages/core/src/ownership/ownership-timing.ts
+++ b/packages/core/src/ownership/ownership-timing.ts
@@ -5,9 +5,9 @@
 import type { ClusterConfig } from '../cluster/cluster-config';
 
 /**
- * Returns how long a store lease lasts without renewal, in milliseconds. When the lease of a failed controller has
- * expired, its workers have to find the next owner within their own lease, several attempts included; until then, the
- * waiting tasks of its partitions are delayed.
+ * Returns how long a store lease lasts without renewal, in milliseconds. It is short because the workers of a failed
+ * controller have to find the next owner within their own lease, several attempts included, and because tasks that wait
+ * in its partitions are delayed that long.
  */
 export function stateLeaseMs(clusterConfig: ClusterConfig): number {
   return Math.min(clusterConfig.heartbeatIntervalMs * 2.5, clusterConfig.workerLeaseMs / 4);
--- a/packages/core/src/ownership/ownership.ts
+++ b/packages/core/src/ownership/ownership.ts
@@ -121,11 +121,11 @@
   }
 
   /**
-   * Whether this controller may acquire the resource: its hold names this controller, or it has been without a hold for
-   * the time that is left to the controllers before this one.
+   * Whether this controller may acquire the resource: the hold names this controller, or the resource has been without
+   * a hold for the time that is left to the controllers before this one.
    */
   #mayAcquire(view: OwnershipView, now: number): boolean {
-    // A hold that names this controller is of an earlier process or term. That has ended, as there is one at a time.
+    // A hold that names this controller is of an earlier process or term, which has ended: there is one at a time.
     if (view.hold !== null) return view.hold.record.node === this.localNode.node;
     return now - (this.#withoutHoldSince ?? now) >= this.acquisitionDelay() * this.clusterConfig.heartbeatIntervalMs;
   }
--- a/packages/daemon/src/owner/partition-owner.ts
+++ b/packages/daemon/src/owner/partition-owner.ts
@@ -24,10 +24,7 @@
 import { TermAnnouncements } from './term-announcements';
 import { WorkerCommandSender } from './worker-command-sender';
 
-/**
- * Placements per heartbeat interval while the claim table does not change: time alone makes some tasks placeable. Each
- * change also causes a placement.
- */
+/** Placements per heartbeat interval without a change of the claim table: time alone makes some tasks placeable. */
 const PLACEMENTS_PER_HEARTBEAT = 3;
 
 /** One partition that this controller owns, for one ownership term. */
@@ -173,7 +170,7 @@
     );
   }
 
-  /** Removes a machine that no longer exists, as the leader's directive says. */
+  /** Removes a machine that no longer exists according to the leader. */
   gone(name: string): void {
     this.claimTable.removeMachine(name, this.context.clock.now());
     this.#writes.membership.removals.add(name);
--- a/packages/daemon/src/owner/task-writes.ts
+++ b/packages/daemon/src/owner/task-writes.ts
@@ -73,7 +73,7 @@
     }));
   }
 
-  /** Plans the return of as many of the tasks as possible while the remaining record fits a value, or of none. */
+  /** Plans the return of as many of the tasks as leave a record that fits a value; plans nothing if no number does. */
   #planReturn(job: Job, tasks: readonly TaskEntry[]): Write[] {
     const { clock } = this.context;
     const byIndex = [...tasks].sort((a, b) => a.index - b.index);
--- a/packages/daemon/src/owner/worker-command-sender.ts
+++ b/packages/daemon/src/owner/worker-command-sender.ts
@@ -1,4 +1,4 @@
-// Sends an owner's commands directly to the workers of its partition, beside the answers to their heartbeats.
+// Sends an owner's commands directly to the workers of its partition, in addition to the answers to their heartbeats.
 import type { ClaimTable, Machine, TaskEntry } from '@gingerlock/core';
 import { decodeHeartbeat, encodeDirectCommands } from '@gingerlock/wire';
 import type { ControllerContext } from '../controller/controller-context';
@@ -6,7 +6,7 @@
 /** Timeout of a stop request, in heartbeat intervals. */
 const STOP_TIMEOUT_INTERVALS = 2;
 
-/** Sends direct commands. They are not retried: the answer to the worker's next heartbeat says the same. */
+/** Sends direct commands. They are not retried: the answer to the worker's next heartbeat has the same effect. */
 export class WorkerCommandSender {
   constructor(
     readonly context: ControllerContext,
--- a/packages/daemon/src/ownership/partition-releases.ts
+++ b/packages/daemon/src/ownership/partition-releases.ts
@@ -40,9 +40,9 @@
   }
 
   /**
-   * Releases a partition whose workers have long been unable to reach this controller, for a controller that they do
-   * reach. Meanwhile others relay their heartbeats, but a heartbeat takes seconds longer whenever the direct route is
-   * retried.
+   * Releases a partition whose workers have long been unable to reach this controller, so that a controller that they
+   * reach acquires it. Meanwhile others relay their heartbeats, but a heartbeat takes seconds longer whenever the
+   * direct route is retried.
    */
   #releaseUnreachable(owners: OwnersById, now: number): void {
     if (!this.#hasStoreContact()) return;
@@ -71,8 +71,8 @@
 
   /**
    * Returns a partition to its home once the home is healthy: otherwise rolling restarts leave one controller with most
-   * of the fleet, and its failure has the largest effect. Only one at a time, and only while store contact and the
-   * partition are in order: the workers of the partition have to find their new owner.
+   * of the fleet, and its failure has the largest effect. Returns one partition at a time, and only with store contact
+   * and after its fencing period, because its workers have to find their new owner.
    */
   #returnToHome(owners: OwnersById, now: number): void {
     const { context, ownership, order, peers } = this.options;
--- a/packages/daemon/src/ownership/previous-owners.ts
+++ b/packages/daemon/src/ownership/previous-owners.ts
@@ -1,5 +1,5 @@
-// Asks the previous owners of acquired partitions whether they have given them up. A previous owner that has done so
-// answers no workers of the partition any more, so the fencing period ends sooner.
+// Asks the previous owners of acquired partitions whether their ownership has ended. If it has, they answer no workers
+// of the partition any more, and the fencing period ends sooner.
 import type { PeerMessages } from '@gingerlock/peer';
 import type { PartitionOwner } from '../owner/partition-owner';
 import type { PeerChannel } from '../peers/peer-channel';
--- a/packages/daemon/src/state/commit-with-retry.ts
+++ b/packages/daemon/src/state/commit-with-retry.ts
@@ -3,7 +3,9 @@
 import type { Change, Condition } from '@gingerlock/wire';
 import type { Log } from '../controller/log';
 
-/** The first pause between two attempts is a heartbeat interval divided by this. It doubles up to a whole interval. */
+/**
+ * The first pause between two attempts is a heartbeat interval divided by this. Pauses double up to a whole interval.
+ */
 const FIRST_PAUSE_DIVISOR = 20;
 
 /** Notified of each transaction of this controller that was carried out. */
@@ -36,7 +38,7 @@
    * Carries out a transaction, retrying it unchanged until its outcome is known. The caller has to choose conditions
    * that can hold only once: then a retry of a transaction that was carried out conflicts instead of being done twice.
    *
-   * Returns the revision at which it was carried out. Returns 0 if this attempt did not succeed, or if it was abandoned
+   * Returns the revision at which it was carried out. Returns 0 if this call did not carry it out, or abandoned it
    * because `isStillWanted`, called after each pause, returned false. Unless abandoned, the watch cache is then at or
    * past the outcome. A caller that gets 0 must decide anew from the cache: a transaction whose first answer was lost
    * may have been carried out all the same.
