--- a/packages/core/src/ownership/ownership-timing.ts
+++ b/packages/core/src/ownership/ownership-timing.ts
@@ -9,7 +9,7 @@
  * controller have to find the next owner within their own lease, several attempts included, and because tasks that wait
  * in its partitions are delayed that long.
  */
-export function stateLeaseMs(clusterConfig: ClusterConfig): number {
+export function storeLeaseMs(clusterConfig: ClusterConfig): number {
   return Math.min(clusterConfig.heartbeatIntervalMs * 2.5, clusterConfig.workerLeaseMs / 4);
 }
 
@@ -19,7 +19,7 @@
  * connected again by its end, and its tasks then continue where their images are.
  */
 export function acquisitionBoundMs(clusterConfig: ClusterConfig): number {
-  return Math.max(stateLeaseMs(clusterConfig), clusterConfig.heartbeatIntervalMs);
+  return Math.max(storeLeaseMs(clusterConfig), clusterConfig.heartbeatIntervalMs);
 }
 
 /**
--- a/packages/core/test/ownership.test.ts
+++ b/packages/core/test/ownership.test.ts
@@ -8,7 +8,7 @@
   Ownership,
   type OwnershipView,
   type Resumption,
-  stateLeaseMs,
+  storeLeaseMs,
   type Acquisition,
   acquisitionBoundMs,
   type OwnershipTerm,
@@ -354,7 +354,7 @@
 // Guards against a fencing period of the full cancellation bound after a crash during a network cut, although the
 // crashed controller is back and can answer that it owns nothing.
 test('a previous owner that has ended shortens fencing to a worker lease, but not below the bound of the owner before it', () => {
-  const leaseMs = stateLeaseMs(clusterConfig);
+  const leaseMs = storeLeaseMs(clusterConfig);
   const durationMs = fc.integer({ min: 0, max: 30_000 });
   fc.assert(
     fc.property(durationMs, durationMs, durationMs, (failoverAt, ownedMs, queryDelayMs) => {
--- a/packages/daemon/src/controller/owned-resources.ts
+++ b/packages/daemon/src/controller/owned-resources.ts
@@ -66,7 +66,7 @@
       for (const machine of owner.claimTable.machines.values()) machine.draining = draining.has(machine.name);
       for (const name of gone) {
         // The directive names no zone: a machine that is gone is gone for every partition.
-        if (!owner.claimTable.isGone(name)) owner.gone(name);
+        if (!owner.claimTable.isGone(name)) owner.removeMachine(name);
       }
     }
   }
--- a/packages/daemon/src/controller/ownership-handover.ts
+++ b/packages/daemon/src/controller/ownership-handover.ts
@@ -28,7 +28,7 @@
   constructor(readonly options: OwnershipHandoverOptions) {}
 
   /** See `OwnershipListener`. */
-  opened(ownershipTerm: OwnershipTerm): void {
+  acquired(ownershipTerm: OwnershipTerm): void {
     const { owned } = this.options;
     if (ownershipTerm.resource === LEADERSHIP) owned.leader = this.#newLeader(ownershipTerm);
     else owned.addOwner(this.#newOwner(ownershipTerm));
--- a/packages/daemon/src/controller/store-lease-keeper.ts
+++ b/packages/daemon/src/controller/store-lease-keeper.ts
@@ -1,7 +1,7 @@
 // Keeps this controller's lease in the key-value store. Hold records are attached to it: when it expires, the store
 // removes them.
 import { type Clock, type KeyValueStore, sleep } from '@gingerlock/clients';
-import { type ClusterConfig, MAX_CLOCK_DRIFT, stateLeaseMs, timerMarginMs } from '@gingerlock/core';
+import { type ClusterConfig, MAX_CLOCK_DRIFT, storeLeaseMs, timerMarginMs } from '@gingerlock/core';
 import type { Log } from './log';
 
 /** The lease is renewed this many times within its term. */
@@ -62,7 +62,7 @@
 
   async #renewUntilStopped(): Promise<void> {
     const { clusterConfig, clock, keyValueStore, log } = this.options;
-    const ttlMs = stateLeaseMs(clusterConfig);
+    const ttlMs = storeLeaseMs(clusterConfig);
     while (!this.#stopped) {
       const sentAt = clock.now();
       try {
--- a/packages/daemon/src/owner/partition-owner.ts
+++ b/packages/daemon/src/owner/partition-owner.ts
@@ -172,7 +172,7 @@
   }
 
   /** Removes a machine that no longer exists according to the leader. */
-  gone(name: string): void {
+  removeMachine(name: string): void {
     this.claimTable.removeMachine(name, this.context.clock.now());
     this.#writes.membership.removals.add(name);
   }
--- a/packages/daemon/src/ownership/ownership-manager.ts
+++ b/packages/daemon/src/ownership/ownership-manager.ts
@@ -9,7 +9,7 @@
 /** Notified of the beginning and the end of each term of ownership. */
 export interface OwnershipListener {
   /** This controller owns the resource of the term from now on. */
-  opened(ownershipTerm: OwnershipTerm): void;
+  acquired(ownershipTerm: OwnershipTerm): void;
   /** The term has ended for good: no worker may be answered under it. */
   ended(ownershipTerm: OwnershipTerm): void;
 }
@@ -110,7 +110,7 @@
       { resource, term, fencedForMs: Math.round(fencedUntil - this.#clock.now()) },
       'partition acquired',
     );
-    this.listener.opened(ownershipTerm);
+    this.listener.acquired(ownershipTerm);
     this.#confirmAcquisition(ownershipTerm);
   }
 
--- a/packages/testkit/test/takeover.test.ts
+++ b/packages/testkit/test/takeover.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { settingsOf } from '@gingerlock/daemon';
-import { stateLeaseMs } from '@gingerlock/core';
+import { storeLeaseMs } from '@gingerlock/core';
 import { parseStateRequest, STATE_PATHS } from '@gingerlock/wire';
 import { runScenario, World } from '../src/index';
 
@@ -28,7 +28,7 @@
     assert.equal(owners(world).size, 5);
     const { clusterConfig } = settingsOf(world.settings('node-0'), {});
     for (const i of dead) world.crash(`node-${i}`);
-    await world.sim.run(world.sim.now + stateLeaseMs(clusterConfig) + 2 * clusterConfig.heartbeatIntervalMs);
+    await world.sim.run(world.sim.now + storeLeaseMs(clusterConfig) + 2 * clusterConfig.heartbeatIntervalMs);
     const after = owners(world);
     assert.equal(after.size, 5, `owned: ${[...after.keys()].join()}`);
     for (const [partitionId, names] of after) assert.equal(names.length, 1, `part ${partitionId}: ${names.join()}`);
