--- a/packages/daemon/src/controller/announcements.ts
+++ b/packages/daemon/src/controller/announcements.ts
@@ -1,22 +1,22 @@
-// Tells the other controllers at once of what this one has done, ahead of their own reads of the store.
+// Notifies the other controllers of changes by this controller before they read them from the key-value store.
 import type { WatchCache } from '@gingerlock/clients';
 import type { PeerChannel } from '../peers/peer-channel';
 import type { CommitListener } from '../state/commit-with-retry';
 
-/** Sends hints that others may lose without harm: they only shorten the time until something is seen. */
+/** Broadcasts hints. A lost hint does no harm: the peers only see the change later. */
 export class Announcements implements CommitListener {
   constructor(
     readonly peers: PeerChannel,
     readonly watchCache: WatchCache,
   ) {}
 
-  /** See `CommitListener`: every controller, this one included, is to read up to the revision soon. */
+  /** Makes every controller, including this one, read up to the revision soon; see `CommitListener`. */
   committed(revision: number): void {
     this.peers.broadcast({ kind: 'RevisionHint', revision });
     this.watchCache.hint(revision);
   }
 
-  /** A user is being told that the job is cancelled. */
+  /** Notifies the peers that this controller is telling a user that the job is cancelled. */
   jobCancelled(job: string): void {
     this.peers.broadcast({ kind: 'JobCancelled', job });
   }
--- a/packages/daemon/src/controller/composition.ts
+++ b/packages/daemon/src/controller/composition.ts
@@ -1,4 +1,4 @@
-// Creates the modules of one controller, each after those that it needs. Nothing runs before `Controller.start`.
+// Creates the modules of one controller in the order of their dependencies. Nothing runs before `Controller.start`.
 import { type Clock, type Http, KeyValueStore, RateLimiter, WatchCache } from '@gingerlock/clients';
 import type { PeerLink } from '@gingerlock/peer';
 import { isGroupSpec } from '@gingerlock/replica-groups';
@@ -35,14 +35,14 @@
 import { StoreLeaseKeeper } from './store-lease-keeper';
 import { WorkerEndpoint } from './worker-endpoint';
 
-/** Everything that a controller needs of the world around it. */
+/** The external dependencies of a controller. */
 export interface ControllerPorts {
   readonly settings: Settings;
   readonly clock: Clock;
   readonly http: Http;
   readonly link: PeerLink;
   readonly log: Log;
-  /** Replaces some of the bounds that stand for other reasons than the settings. */
+  /** Overrides some of the default limits. */
   readonly limits?: Partial<ControllerLimits>;
 }
 
@@ -52,22 +52,22 @@
 /** A request to the store fails after this many milliseconds, or after half a heartbeat interval if that is longer. */
 const MIN_STORE_TIMEOUT_MS = 1000;
 
-/** The watch cache reads at most this often in a heartbeat interval ... */
+/** The watch cache reads at most this often in a heartbeat interval. */
 const MAX_READS_PER_HEARTBEAT_INTERVAL = 15;
 
-/** ... and uses at most one in so many of the requests that this controller may send to the store. */
+/** The watch cache uses at most one in this many of the requests that this controller may send to the store. */
 const REQUESTS_PER_READ = 4;
 
-/** Reads of the watch cache in a heartbeat interval when nothing asks for one. */
+/** Number of reads of the watch cache in a heartbeat interval when none is requested. */
 const IDLE_READS_PER_HEARTBEAT_INTERVAL = 5;
 
-/** A partition's status counts for its spare capacity up to this age, in heartbeat intervals. */
+/** Maximum age of a partition status that is used for spare capacity, in heartbeat intervals. */
 const SPARE_CAPACITY_INTERVALS = 2;
 
 /** The modules of one controller. */
 export type ControllerModules = ReturnType<typeof composeController>;
 
-/** Creates the modules of one controller. `process` differs between two processes of one controller. */
+/** Creates the modules of one controller. `process` identifies the process and changes when the controller restarts. */
 export function composeController(ports: ControllerPorts, process: string) {
   const { settings, clock, link, http } = ports;
   const { clusterConfig, features } = settings;
@@ -99,13 +99,13 @@
     workers: new WorkerEndpoint({ context, owned, heartbeats, relay, workerConnectivity }),
     health: new HealthCheck(context, storeContact, peerFailureDetector),
     jobApi: new JobApi(context, (id) => statuses.runningTasks(id)),
-    /** Null: replica groups are off. */
+    /** Null if replica groups are off. */
     rendezvous: features.replicaGroups === null ? null : new Rendezvous(context, features.replicaGroups),
     dispatcher: new PeerDispatcher(peerMessageHandlers(modules), peerFailureDetector, clock, ports.log),
   };
 }
 
-/** The modules on which all others rest: clients, the cluster state, the context, and what is known of the peers. */
+/** Creates the modules that all others depend on: clients, cluster state, context, and the state of the peers. */
 function composeBase(ports: ControllerPorts, process: string) {
   const { settings, clock, log, link, http } = ports;
   const { clusterConfig, features } = settings;
@@ -143,7 +143,7 @@
   };
 }
 
-/** The clients of the key-value store, with this controller's share of its request rates. */
+/** Creates the clients of the key-value store, limited to this controller's share of the store's request rates. */
 function composeStore({ settings, clock, http, log }: ControllerPorts, clusterState: ClusterState) {
   const { clusterConfig } = settings;
   const { heartbeatIntervalMs } = clusterConfig;
--- a/packages/daemon/src/controller/controller-context.ts
+++ b/packages/daemon/src/controller/controller-context.ts
@@ -1,4 +1,4 @@
-// What the modules of one controller have in common: settings, clock, log, clients, and the view of the cluster state.
+// What the modules of one controller share: settings, clock, log, clients, and the view of the cluster state.
 import { ATTEMPTS_PER_TERM, type ClusterConfig, type SpareCapacity } from '@gingerlock/core';
 import type { Clock, Http, KeyValueStore, Urgency, WatchCache } from '@gingerlock/clients';
 import type { Change, Condition } from '@gingerlock/wire';
@@ -11,7 +11,7 @@
 import type { StoreLease } from './store-lease-keeper';
 
 /** Time between two recovery scans of an owner, in milliseconds. Source: DESIGN. */
-const SCAN_MS = 5000;
+const RECOVERY_SCAN_INTERVAL_MS = 5000;
 
 /** Ticks of a controller in one heartbeat interval. */
 const TICKS_PER_HEARTBEAT_INTERVAL = 15;
@@ -19,18 +19,18 @@
 /** The watch cache is fresh if its last read began less than this many heartbeat intervals ago. */
 const FRESH_INTERVALS = 2;
 
-/** What users are shown of a job that is not over may lag by this much, in milliseconds. Source: PROTOCOL. */
+/** Maximum lag of the state that users see of a job that has not ended, in milliseconds. Source: PROTOCOL. */
 export const DISPLAY_LAG_MS = 3000;
 
-/** Bounds that have other reasons than the settings; tests make them small. */
+/** Limits that are not derived from the settings; tests lower them. */
 export interface ControllerLimits {
   /** How many tasks an owner may start under one term. */
   readonly attemptsPerTerm: number;
 }
 
-const LIMITS: ControllerLimits = { attemptsPerTerm: ATTEMPTS_PER_TERM };
+const DEFAULT_LIMITS: ControllerLimits = { attemptsPerTerm: ATTEMPTS_PER_TERM };
 
-/** Bytes of a value as the key-value store counts them. Attempt numbers of late terms are bigints, which JSON lacks. */
+/** Size of a value in the key-value store, in bytes. Attempt numbers of late terms are bigints, which JSON lacks. */
 export function jsonBytes(value: unknown): number {
   try {
     return Buffer.byteLength(JSON.stringify(value));
@@ -40,7 +40,7 @@
   }
 }
 
-/** What a context is made of. */
+/** The options of a `ControllerContext`. */
 export interface ControllerContextOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -51,12 +51,12 @@
   readonly clusterState: ClusterState;
   readonly storeLease: StoreLease;
   readonly announcements: Announcements;
-  /** Free capacity on ordinary machines of all other partitions, by the latest statuses of their owners. */
+  /** Returns the free capacity on ordinary machines of all other partitions, from their latest statuses. */
   readonly spareCapacity: (exceptPartitionId: number) => SpareCapacity[];
   readonly limits?: Partial<ControllerLimits>;
 }
 
-/** Handed to the modules of one controller. It holds no state of its own. */
+/** The dependencies that the modules of one controller share. It holds no state of its own. */
 export class ControllerContext {
   readonly settings: Settings;
   readonly clusterConfig: ClusterConfig;
@@ -69,7 +69,7 @@
   readonly announcements: Announcements;
   readonly limits: ControllerLimits;
   /** Time between two recovery scans of an owner. */
-  readonly scanMs = SCAN_MS;
+  readonly scanMs = RECOVERY_SCAN_INTERVAL_MS;
   /** Time between two ticks of a controller. */
   readonly tickMs: number;
   /** See `ControllerContextOptions.spareCapacity`. */
@@ -88,7 +88,7 @@
     this.clusterState = options.clusterState;
     this.announcements = options.announcements;
     this.spareCapacity = options.spareCapacity;
-    this.limits = { ...LIMITS, ...options.limits };
+    this.limits = { ...DEFAULT_LIMITS, ...options.limits };
     const { heartbeatIntervalMs } = this.clusterConfig;
     this.tickMs = heartbeatIntervalMs / TICKS_PER_HEARTBEAT_INTERVAL;
     this.#storeLease = options.storeLease;
@@ -110,17 +110,17 @@
     return this.#storeLease.isValid();
   }
 
-  /** Whether the key-value store accepts the value, by the smallest limit that it may have. */
+  /** Whether the value is within the smallest size limit that the key-value store may have. */
   fitsValue(value: unknown): boolean {
     return jsonBytes(value) <= this.settings.valueBytes;
   }
 
-  /** An empty count of a transaction's entries against what the key-value store accepts at once. */
+  /** Creates a counter for the operations of one transaction, limited to what the key-value store accepts. */
   transactionSizeLimit(): TransactionSizeLimit {
     return new TransactionSizeLimit(this.settings.maxTransactionOps);
   }
 
-  /** Whether the watch cache is complete and was read lately. */
+  /** Whether the watch cache is loaded and its last read is recent. */
   fresh(): boolean {
     const { loaded, lastContactAt } = this.watchCache;
     if (!loaded || lastContactAt === null) return false;
--- a/packages/daemon/src/controller/controller.ts
+++ b/packages/daemon/src/controller/controller.ts
@@ -1,4 +1,4 @@
-// One controller: what users, workers and peers ask of it, and the tick that drives its modules.
+// One controller: its entry points for users, workers and peers, and the tick that drives its modules.
 import type { Clock, KeyValueStore, WatchCache } from '@gingerlock/clients';
 import type { PeerLink } from '@gingerlock/peer';
 import type { Rendezvous } from '../api/rendezvous';
@@ -15,7 +15,7 @@
 /** Random bits in the name of a process. */
 const PROCESS_NAME_BITS = 48;
 
-/** Runs from `start` to `stop`. It listens to its link from construction on. */
+/** A controller, which runs from `start` to `stop`. It receives messages from its peers once it is constructed. */
 export class Controller {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -46,14 +46,14 @@
     this.link.onMessage = (from, message) => this.#modules.dispatcher.dispatch(from, message);
   }
 
-  /** Begins to read the store, to keep a lease in it, and to tick. */
+  /** Starts reading the store, renewing the store lease, and ticking. */
   start(): void {
     this.watchCache.start(() => this.#modules.ownership.synced());
     this.#modules.leaseKeeper.start();
-    this.#tickLater();
+    this.#scheduleTick();
   }
 
-  /** Ends all timers. What is under way is not waited for, and what is owned here is left to expire. */
+  /** Stops all timers. It does not wait for pending requests, and leaves the ownership of partitions to expire. */
   stop(): void {
     const { leaseKeeper, ownership, owned, relay } = this.#modules;
     this.#stopped = true;
@@ -69,7 +69,7 @@
     return [...this.#modules.owned.owners()];
   }
 
-  #tickLater(): void {
+  #scheduleTick(): void {
     if (this.#stopped) return;
     this.clock.after(this.context.tickMs, () => {
       try {
@@ -77,14 +77,12 @@
       } catch (error) {
         this.log.error({ error: error instanceof Error ? error.stack : String(error) }, 'tick failed');
       }
-      this.#tickLater();
+      this.#scheduleTick();
     });
   }
 
-  /**
-   * A tick that comes late by more than a heartbeat interval shows that this process did not run while its clocks did.
-   */
-  #noticeStall(now: number): void {
+  /** Detects that this process stalled while its clocks ran: two ticks were more than a heartbeat interval apart. */
+  #detectStall(now: number): void {
     const stalledMs = now - this.#tickedAt;
     this.#tickedAt = now;
     if (stalledMs <= this.settings.clusterConfig.heartbeatIntervalMs) return;
@@ -96,7 +94,7 @@
   #tick(): void {
     const { peerFailureDetector, owned, previousOwners, releases, confirmation, rateSharing, relay } = this.#modules;
     const now = this.clock.now();
-    this.#noticeStall(now);
+    this.#detectStall(now);
     peerFailureDetector.tick();
     for (const owner of owned.owners()) owner.tick(now);
     previousOwners.tick(now);
@@ -108,7 +106,7 @@
     relay.tick(now);
   }
 
-  /** Tells the peers the status of the partitions owned here, and as the leader which machines get no more work. */
+  /** Publishes the statuses of the partitions owned here and, on the leader, its directives about machines. */
   #publishStatus(now: number): void {
     const { publisher, storeContact, owned, peers } = this.#modules;
     if (!publisher.publish(this.owned(), storeContact.ageMs(now), now)) return;
@@ -134,7 +132,7 @@
     return this.#modules.health.up();
   }
 
-  /** Answers what the state of a job is; see `JobApi.poll`. */
+  /** Answers a request for the state of a job; see `JobApi.poll`. */
   poll(id: string): Promise<Reply> {
     return this.#modules.jobApi.poll(id);
   }
@@ -149,7 +147,7 @@
     return this.#modules.jobApi.cancel(id);
   }
 
-  /** Answers members of replica groups; null: replica groups are off, and there is no such request. */
+  /** Answers members of replica groups; null if replica groups are off, which removes the endpoint. */
   get rendezvous(): Rendezvous | null {
     return this.#modules.rendezvous;
   }
--- a/packages/daemon/src/controller/health.ts
+++ b/packages/daemon/src/controller/health.ts
@@ -1,4 +1,4 @@
-// Whether load balancers may send users to this controller.
+// Health checks, which tell load balancers whether they may send users to this controller.
 import type { Clock } from '@gingerlock/clients';
 import { refusal, type Reply } from '../api/reply';
 import type { PeerFailureDetector } from '../peers/peer-failure-detector';
@@ -21,9 +21,9 @@
   }
 
   /**
-   * 200: users may be sent here. 503: the cluster state is not loaded yet, or this controller has lost contact with the
-   * store while a peer has it. During an outage for all controllers every one stays up: users get the errors either
-   * way.
+   * Replies 200 if users may be sent here. Replies 503 if the cluster state is not loaded yet, or if this controller
+   * has lost contact with the store while a peer still has it. If all controllers have lost contact, all of them reply
+   * 200: users get errors either way.
    */
   up(): Reply {
     const now = this.#clock.now();
--- a/packages/daemon/src/controller/log.ts
+++ b/packages/daemon/src/controller/log.ts
@@ -1,13 +1,13 @@
 // The log of a controller: JSON lines on standard error.
 import { pino } from 'pino';
 
-/** Takes events with their fields. Messages are fixed texts that operators search for; what varies is in the fields. */
+/** Logs events. Messages are constant texts that operators search for; variable values are in the fields. */
 export interface Log {
-  /** Something that this software should never meet: it needs a person. */
+  /** For conditions that should never occur and that a person must look into. */
   error(detail: object, message: string): void;
-  /** Something that on-call should find later: changes of ownership, failures of others. */
+  /** For events that on-call staff look up later: changes of ownership, failures of other systems. */
   info(detail: object, message: string): void;
-  /** Every single request, transaction or task. */
+  /** For single requests, transactions and tasks. */
   debug(detail: object, message: string): void;
 }
 
@@ -21,5 +21,5 @@
   );
 }
 
-/** Drops everything. */
+/** A log that drops all events. */
 export const SILENT: Log = { error: () => undefined, info: () => undefined, debug: () => undefined };
--- a/packages/daemon/src/controller/owned-resources.ts
+++ b/packages/daemon/src/controller/owned-resources.ts
@@ -1,19 +1,18 @@
-// What this controller owns now: the owners of its partitions by partition, and the leader if the leadership is held
-// here.
+// What this controller owns now: the owner objects of its partitions, and the leader if it has the leadership.
 import type { Leader } from '../leader/leader';
 import type { PartitionOwner } from '../owner/partition-owner';
 import type { ClusterStateListener } from '../state/cluster-state';
 
 /**
- * Registry of the partitions owned here and of the leadership. `OwnershipHandover` fills it; changes of the cluster
- * state are passed on from here to the owners and the leader that they concern.
+ * Registry of the partitions owned here and of the leadership, filled by `OwnershipHandover`. It forwards changes of
+ * the cluster state to the owners and the leader that they concern.
  */
 export class OwnedResources implements ClusterStateListener {
   readonly #ownersById = new Map<number, PartitionOwner>();
-  /** Null: another controller, or none, has the leadership. */
+  /** Null if this controller does not have the leadership. */
   leader: Leader | null = null;
 
-  /** The owner objects of the partitions owned here, by partition. */
+  /** The owner objects of the partitions owned here, by partition id. */
   get ownersById(): ReadonlyMap<number, PartitionOwner> {
     return this.#ownersById;
   }
@@ -51,21 +50,19 @@
     this.#ownersById.get(partitionId)?.claimTable.setMember(machine, isMember);
   }
 
-  /**
-   * Tells the owners and the leader that timers fired late: for a while this process did not run though its clocks did.
-   */
+  /** Notifies the owners and the leader that this process stalled while its clocks ran, so timers fired late. */
   resumedAfterStall(now: number): void {
     for (const { claimTable } of this.#ownersById.values()) claimTable.resumedAfterStall(now);
     this.leader?.resumedAfterStall(now);
   }
 
-  /** Carries out the leader's directives: machines that get no more work, and machines that no longer exist. */
+  /** Applies the leader's directives: machines in `drain` get no more work, machines in `gone` no longer exist. */
   applyDirectives(drain: readonly string[], gone: readonly string[]): void {
     const draining = new Set(drain);
     for (const owner of this.#ownersById.values()) {
       for (const machine of owner.claimTable.machines.values()) machine.draining = draining.has(machine.name);
       for (const name of gone) {
-        // The directive names no zone: a machine that is gone is gone for every partition.
+        // The directive names no zone, so the machine is gone for every partition.
         if (!owner.claimTable.isGone(name)) owner.gone(name);
       }
     }
--- a/packages/daemon/src/controller/owner-heartbeats.ts
+++ b/packages/daemon/src/controller/owner-heartbeats.ts
@@ -7,7 +7,7 @@
 import type { OwnedResources } from './owned-resources';
 import type { StoreContact } from './store-contact';
 
-/** Gives the owner's answer to a heartbeat, within the bounds on the age of the owner's knowledge. */
+/** Answers heartbeats as the owner while this controller's contact with the store is recent enough. */
 export class OwnerHeartbeats {
   constructor(
     readonly context: ControllerContext,
@@ -16,15 +16,15 @@
     readonly storeContact: StoreContact,
   ) {}
 
-  /** The answer of the owner of the partition, which must be owned here. */
+  /** Returns the owner's answer to a heartbeat. The partition must be owned here. */
   answer(partitionId: number, heartbeat: Heartbeat): Reply {
     const { context } = this;
     const owner = this.owned.ownersById.get(partitionId)!;
     const now = context.clock.now();
-    // Between the two requests of a full reload the records may show the next owner before that is acted upon.
+    // Between the two requests of a full reload, the records may show the next owner before the term is ended here.
     if (!owner.isOwner()) return refusal(503, 'part was taken over');
-    // After this bound the partition's next owner, and users who cancel, rely on this controller's silence.
-    if (now > this.storeContact.coveredUntil() + maxAnswerContactAgeMs(context.clusterConfig))
+    // After this bound, the partition's next owner and users who cancel jobs rely on this controller not answering.
+    if (now > this.storeContact.completeUntil() + maxAnswerContactAgeMs(context.clusterConfig))
       return refusal(503, 'no contact with the state service');
     const outcome = owner.claimTable.handleHeartbeat(heartbeat, now, owner.mayGrant(now));
     switch (outcome.kind) {
--- a/packages/daemon/src/controller/ownership-handover.ts
+++ b/packages/daemon/src/controller/ownership-handover.ts
@@ -1,4 +1,4 @@
-// Creates the owner of a partition, or the leader, when a term of ownership begins, and removes it when the term ends.
+// Creates the owner of a partition, or the leader, when an ownership term begins, and removes it when the term ends.
 import type { Http } from '@gingerlock/clients';
 import type { OwnershipTerm } from '@gingerlock/core';
 import { LEADERSHIP } from '@gingerlock/wire';
@@ -13,7 +13,7 @@
 import type { ControllerContext } from './controller-context';
 import type { OwnedResources } from './owned-resources';
 
-/** What owners and leaders are made from. */
+/** The dependencies of the owners and the leader. */
 export interface OwnershipHandoverOptions {
   readonly context: ControllerContext;
   readonly owned: OwnedResources;
@@ -23,7 +23,7 @@
   readonly http: Http;
 }
 
-/** Keeps `OwnedResources` in step with the terms of ownership. */
+/** Updates `OwnedResources` when ownership terms begin and end. */
 export class OwnershipHandover implements OwnershipListener {
   constructor(readonly options: OwnershipHandoverOptions) {}
 
--- a/packages/daemon/src/controller/partition-router.ts
+++ b/packages/daemon/src/controller/partition-router.ts
@@ -1,5 +1,4 @@
-// Where the partitions and their owners are, for heartbeats that come to a controller which does not own the worker's
-// partition.
+// Finds the partition and its owner for heartbeats that reach a controller which does not own the worker's partition.
 import type { Heartbeat } from '@gingerlock/wire';
 import type { Reply } from '../api/reply';
 import type { WorkerConnectivity } from '../ownership/worker-connectivity';
@@ -9,10 +8,10 @@
 import type { OwnedResources } from './owned-resources';
 import type { OwnerHeartbeats } from './owner-heartbeats';
 
-/** The owner of a partition misses a machine that has been silent to it for more than this many heartbeat intervals. */
-const MISSED_INTERVALS = 2;
+/** A machine counts as silent to its owner after this many heartbeat intervals without a heartbeat. */
+const SILENT_INTERVALS = 2;
 
-/** What the router looks things up in. */
+/** The dependencies of `PartitionRouter`. */
 export interface PartitionRouterOptions {
   readonly context: ControllerContext;
   readonly owned: OwnedResources;
@@ -21,7 +20,7 @@
   readonly heartbeats: OwnerHeartbeats;
 }
 
-/** Answers what `HeartbeatRelay` asks about partitions. */
+/** Looks up partitions and their owners for `HeartbeatRelay`. */
 export class PartitionRouter implements PartitionRouting {
   constructor(readonly options: PartitionRouterOptions) {}
 
@@ -31,9 +30,9 @@
   }
 
   /**
-   * Who owns the partition, as far as this controller knows; null: nobody now. What an owner says of itself may be
-   * newer than the watch cache: thus a controller without contact with the store still sends workers to the right
-   * owner.
+   * Returns the owner of the partition as far as this controller knows; null if there is none now. An owner's status
+   * may be newer than the watch cache, so a controller without contact with the store still redirects workers to the
+   * right owner.
    */
   ownerOf(partitionId: number): string | null {
     const { context, statuses } = this.options;
@@ -60,14 +59,14 @@
   }
 
   /** See `PartitionRouting`. */
-  missedByOwner(partitionId: number, machine: string): boolean {
+  isSilentToOwner(partitionId: number, machine: string): boolean {
     const { context, statuses } = this.options;
     const received = statuses.of(partitionId);
     const machineStatus = received?.status.machines.find(({ name }) => name === machine);
     if (machineStatus === undefined) return false;
     const { heartbeatIntervalMs, workerLeaseMs } = context.clusterConfig;
     return (
-      machineStatus.silentMs > heartbeatIntervalMs * MISSED_INTERVALS &&
+      machineStatus.silentMs > heartbeatIntervalMs * SILENT_INTERVALS &&
       machineStatus.silentMs < workerLeaseMs &&
       context.clock.now() - received!.at < heartbeatIntervalMs
     );
--- a/packages/daemon/src/controller/peer-dispatcher.ts
+++ b/packages/daemon/src/controller/peer-dispatcher.ts
@@ -1,4 +1,4 @@
-// Hands each message of another controller to the handler of its kind.
+// Dispatches each message from another controller to the handler of its kind.
 import type { Clock } from '@gingerlock/clients';
 import type { PeerMessage, PeerMessages } from '@gingerlock/peer';
 import type { PeerFailureDetector } from '../peers/peer-failure-detector';
@@ -14,10 +14,7 @@
 /** One handler for every kind of message between controllers. */
 export type PeerMessageHandlers = { readonly [Kind in PeerMessage['kind']]: PeerMessageHandler<Kind> };
 
-/**
- * Every message also counts as a sign of life of its sender. A handler that throws is logged and does not harm the
- * link.
- */
+/** Dispatches peer messages. Every message also counts as a heartbeat of its sender; errors of handlers are logged. */
 export class PeerDispatcher {
   constructor(
     readonly handlers: PeerMessageHandlers,
@@ -26,7 +23,7 @@
     readonly log: Log,
   ) {}
 
-  /** Takes one message. Never throws. */
+  /** Dispatches one message. Never throws, so an error in a handler does not affect the link. */
   dispatch(from: string, message: PeerMessage): void {
     try {
       const now = this.clock.now();
@@ -38,8 +35,7 @@
   }
 
   #handle<Kind extends PeerMessage['kind']>(kind: Kind, from: string, message: PeerMessage, now: number): void {
-    // `kind` is the message's own, so the fields are those of the kind; the compiler does not follow that through the
-    // table.
+    // The cast is safe since `kind` is `message.kind`; the compiler can't infer that through the handler table.
     this.handlers[kind](from, message as PeerMessage & PeerMessages[Kind], now);
   }
 }
--- a/packages/daemon/src/controller/peer-handlers.ts
+++ b/packages/daemon/src/controller/peer-handlers.ts
@@ -1,4 +1,4 @@
-// What this controller does with each kind of message of another controller.
+// The handlers of messages from other controllers, one for each kind of message.
 import { LEADERSHIP } from '@gingerlock/wire';
 import type { OwnershipManager } from '../ownership/ownership-manager';
 import type { PreviousOwnerQueries } from '../ownership/previous-owners';
@@ -15,7 +15,7 @@
 import type { PeerMessageHandlers } from './peer-dispatcher';
 import type { StoreContact } from './store-contact';
 
-/** The modules that take messages of other controllers. */
+/** The modules that the handlers use. */
 export interface PeerHandlerModules {
   readonly context: ControllerContext;
   readonly owned: OwnedResources;
@@ -32,7 +32,7 @@
   readonly relay: HeartbeatRelay;
 }
 
-/** The handlers of all kinds of messages. */
+/** Creates the handlers of all kinds of messages. */
 export function peerMessageHandlers(modules: PeerHandlerModules): PeerMessageHandlers {
   return {
     ...clusterHandlers(modules),
@@ -48,14 +48,14 @@
   const { context, owned, peers, statuses, peerFailureDetector } = modules;
   const { watchCache, clusterState } = context;
   return {
-    // The peer may have just started: the last statuses of the partitions show it which images their machines have.
+    // The peer may have just started: it learns from the last partition statuses which images the machines have cached.
     Hello: (from) => statuses.sendAll(peers, from),
     PeerHeartbeat: (from, { contactAgeMs, revision }, now) => {
       peerFailureDetector.recordContact(from, contactAgeMs, now);
       watchCache.hint(revision);
     },
     RevisionHint: (_from, { revision }) => watchCache.hint(revision),
-    // A stop is always safe, with or without the store. It shortens no bound: the message may be lost.
+    // Stopping tasks is safe even without contact with the store. No bound relies on this message, which may be lost.
     JobCancelled: (_from, { job }) => clusterState.markCancelled(job),
     MachineDirectives: (_from, { term, drain, gone }) => {
       if (clusterState.owners.get(LEADERSHIP)?.record.term === term) owned.applyDirectives(drain, gone);
--- a/packages/daemon/src/controller/store-contact.ts
+++ b/packages/daemon/src/controller/store-contact.ts
@@ -1,10 +1,9 @@
-// How recent this controller's knowledge of the key-value store is: the bounds on answers to workers and users rest on
-// it.
+// How recent this controller's view of the key-value store is, which bounds its answers to workers and users.
 import type { WatchCache } from '@gingerlock/clients';
 import type { PeerConfirmation } from '../peers/peer-confirmation';
 
-/** The age that peers are shown of a contact that there never was, in milliseconds. */
-const NO_CONTACT_AGE_MS = 1e9;
+/** Age of the last contact as reported to peers if there was none yet, in milliseconds. */
+const NEVER_READ_AGE_MS = 1e9;
 
 /** Times of this controller's contact with the key-value store. */
 export class StoreContact {
@@ -14,16 +13,16 @@
   ) {}
 
   /**
-   * Up to when no submission, cancellation or acquisition can have been stored that this controller has not seen: by
-   * its own reads, or during an outage of the store by the confirmation of all peers.
+   * Returns the time until which this controller has seen every stored submission, cancellation and acquisition: by its
+   * own reads or, during an outage of the store, by the confirmation of all peers.
    */
-  coveredUntil(): number {
+  completeUntil(): number {
     return Math.max(this.watchCache.lastContactAt ?? -Infinity, this.confirmation.confirmedAt);
   }
 
   /** Milliseconds since the last successful read of the store began. */
   ageMs(now: number): number {
     const { lastContactAt } = this.watchCache;
-    return lastContactAt === null ? NO_CONTACT_AGE_MS : now - lastContactAt;
+    return lastContactAt === null ? NEVER_READ_AGE_MS : now - lastContactAt;
   }
 }
--- a/packages/daemon/src/controller/store-lease-keeper.ts
+++ b/packages/daemon/src/controller/store-lease-keeper.ts
@@ -4,23 +4,23 @@
 import { type ClusterConfig, MAX_CLOCK_DRIFT, stateLeaseMs, timerMarginMs } from '@gingerlock/core';
 import type { Log } from './log';
 
-/** The lease is renewed this many times within its term. */
-const RENEWALS_PER_TERM = 4;
+/** The lease is renewed this many times within its time to live. */
+const RENEWALS_PER_TTL = 4;
 
-/** The state of the lease, as those see it who rely on it. */
+/** Read access to the state of the store lease. */
 export interface StoreLease {
-  /** The store's id of the lease, valid or not; null: none was granted, or the last one has expired. */
+  /** The store's id of the lease, valid or not; null if none was granted or the last one has expired. */
   readonly id: number | null;
   /**
-   * When the lease was granted, by the steady clock. Only reads after this show which holds ended with the lease
-   * before.
+   * When the lease was granted, by the steady clock. Only reads after this time show which holds ended with the
+   * previous lease.
    */
   readonly grantedAt: number;
-  /** Whether the lease surely has not expired yet. */
+  /** Whether the lease is certain not to have expired yet. */
   isValid(): boolean;
 }
 
-/** What the keeper works with. */
+/** The dependencies of `StoreLeaseKeeper`. */
 export interface StoreLeaseKeeperOptions {
   readonly clusterConfig: ClusterConfig;
   readonly clock: Clock;
@@ -32,7 +32,7 @@
 export class StoreLeaseKeeper implements StoreLease {
   #id: number | null = null;
   #grantedAt = -Infinity;
-  /** Until when the lease surely lasts, by the steady clock. */
+  /** Until when the lease is certain not to expire, by the steady clock. */
   #validUntil = -Infinity;
   #stopped = false;
 
@@ -50,12 +50,12 @@
     return this.options.clock.now() < this.#validUntil;
   }
 
-  /** Begins to obtain and renew the lease. */
+  /** Starts obtaining and renewing the lease. */
   start(): void {
     void this.#renewUntilStopped();
   }
 
-  /** Ends the renewals. The lease is left to expire. */
+  /** Stops the renewals and leaves the lease to expire. */
   stop(): void {
     this.#stopped = true;
   }
@@ -73,12 +73,12 @@
           this.#expired(this.#id);
           continue;
         }
-        // Counted from the sending: the store may have started counting then.
+        // Counted from when the request was sent, since the store may have started the lease then.
         this.#validUntil = sentAt + ttlMs * (1 - MAX_CLOCK_DRIFT) - timerMarginMs(clusterConfig) / 2;
       } catch (error) {
         log.info({ error: String(error) }, 'store lease renewal failed');
       }
-      await sleep(clock, Math.max(0, sentAt + ttlMs / RENEWALS_PER_TERM - clock.now()) + 1);
+      await sleep(clock, Math.max(0, sentAt + ttlMs / RENEWALS_PER_TTL - clock.now()) + 1);
     }
   }
 
--- a/packages/daemon/src/controller/worker-endpoint.ts
+++ b/packages/daemon/src/controller/worker-endpoint.ts
@@ -1,4 +1,4 @@
-// Takes the heartbeats that workers send to this controller, whichever controller owns their partition.
+// Receives the heartbeats that workers send to this controller, whichever controller owns their partition.
 import { decodeHeartbeat, type Heartbeat } from '@gingerlock/wire';
 import { malformed, refusal, type Reply } from '../api/reply';
 import type { WorkerConnectivity } from '../ownership/worker-connectivity';
@@ -7,7 +7,7 @@
 import type { OwnedResources } from './owned-resources';
 import type { OwnerHeartbeats } from './owner-heartbeats';
 
-/** What the endpoint works with. */
+/** The dependencies of `WorkerEndpoint`. */
 export interface WorkerEndpointOptions {
   readonly context: ControllerContext;
   readonly owned: OwnedResources;
@@ -20,9 +20,7 @@
 export class WorkerEndpoint {
   constructor(readonly options: WorkerEndpointOptions) {}
 
-  /**
-   * `body`: an encoded heartbeat. Replies 400 if it can't be decoded, and 503 while the partitions are not known yet.
-   */
+  /** Replies to an encoded heartbeat: 400 if it can't be decoded, 503 while the partitions are not known yet. */
   async checkin(body: Buffer): Promise<Reply> {
     const { context, owned, heartbeats, relay, workerConnectivity } = this.options;
     let heartbeat: Heartbeat;
--- a/packages/daemon/src/peers/claim-lists.ts
+++ b/packages/daemon/src/peers/claim-lists.ts
@@ -1,17 +1,17 @@
-// Lists of what machines hold, as owners publish them to the leader while borrowing is on.
+// Claim lists: the claims on each machine, which owners publish to the leader while borrowing is on.
 import type { HeldTask, MachineClaims, PartitionClaims } from '@gingerlock/borrowing';
 import type { ClaimTable, Machine } from '@gingerlock/core';
 import type { PeerMessage, PeerMessages } from '@gingerlock/peer';
 import { fragmentsOf, SenderReassemblers } from './fragments';
 import { NewestByPartition } from './newest-by-partition';
 
-/** Bytes of the numbers of one task, rounded up. */
+/** Size of the numeric fields of one task, in bytes, rounded up. */
 const TASK_BYTES = 32;
 
-/** Bytes of the lengths around one machine. */
+/** Size of the length fields of one machine, in bytes. */
 const MACHINE_BYTES = 8;
 
-/** What the machines of the partition hold, as its owner knows it. */
+/** Returns the claims on the machines of a partition, as its owner knows them. */
 export function claimsOf(table: ClaimTable, revision: number, now: number): PartitionClaims {
   const machines = [...table.machines.values()]
     .filter(({ claims }) => claims.size > 0)
@@ -32,7 +32,7 @@
   return MACHINE_BYTES + Buffer.byteLength(machine) + taskBytes;
 }
 
-/** The messages that publish a list, each within a frame of the link. */
+/** Splits a claim list into messages that each fit into a frame of the link. */
 export function claimListMessages(claims: PartitionClaims, sequence: number, frameBytes: number): PeerMessage[] {
   return fragmentsOf(claims, claims.machines, machineBytes, sequence, frameBytes).map(({ fragment, items }) => ({
     kind: 'ClaimList',
@@ -41,30 +41,30 @@
   }));
 }
 
-/** A list of claims with when it was received. */
+/** A claim list with the time when it was received. */
 interface ReceivedClaims extends PartitionClaims {
   readonly receivedAt: number;
 }
 
-/** The newest list of each partition, as the leader has received them. */
+/** The newest claim list of each partition, as received by the leader. */
 export class ClaimLists {
   readonly #newest = new NewestByPartition<ReceivedClaims>();
   readonly #reassemblers = new SenderReassemblers<PeerMessages['ClaimList']>();
 
-  /** Takes a fragment from another controller. */
+  /** Handles a fragment from another controller. */
   onFragment(from: string, fragment: PeerMessages['ClaimList'], now: number): void {
     const fragments = this.#reassemblers.add(from, fragment);
     if (fragments === null) return;
     const { partitionId, term, revision } = fragment;
-    this.note({ partitionId, term, revision, machines: fragments.flatMap(({ machines }) => machines) }, now);
+    this.put({ partitionId, term, revision, machines: fragments.flatMap(({ machines }) => machines) }, now);
   }
 
-  /** Takes a whole list, unless a newer one is known. */
-  note(claims: PartitionClaims, now: number): void {
+  /** Stores a complete claim list unless a newer one is known. */
+  put(claims: PartitionClaims, now: number): void {
     this.#newest.put({ ...claims, receivedAt: now });
   }
 
-  /** The lists that were received at `since` or later. */
+  /** Returns the claim lists that were received at `since` or later. */
   since(since: number): PartitionClaims[] {
     return [...this.#newest.values()].filter(({ receivedAt }) => receivedAt >= since);
   }
--- a/packages/daemon/src/peers/fragments.ts
+++ b/packages/daemon/src/peers/fragments.ts
@@ -1,48 +1,47 @@
-// Content that is too large for one frame of the link: split into fragments that are sent as one message each, and
-// reassembled.
+// Splits content that is too large for one frame of the link into fragments, one message each, and reassembles it.
 import type { PartitionRevision } from './newest-by-partition';
 
-/** Share of a frame that the estimated size of one message may take: the estimates leave out small things. */
+/** Maximum estimated size of one message as a share of a frame; the estimates omit small fields. */
 export const FRAME_SHARE = 0.5;
 
-/** Splits a list into runs whose estimated sizes stay within the limit; an item that is larger stands alone. */
+/** Splits a list into chunks whose estimated sizes stay within the limit; a larger item gets a chunk of its own. */
 export function splitBySize<T>(items: readonly T[], sizeOf: (item: T) => number, limit: number): T[][] {
-  const runs: T[][] = [];
+  const chunks: T[][] = [];
   let remaining = 0;
   for (const item of items) {
     const size = sizeOf(item);
-    if (runs.length === 0 || size > remaining) {
-      runs.push([]);
+    if (chunks.length === 0 || size > remaining) {
+      chunks.push([]);
       remaining = limit;
     }
-    runs.at(-1)!.push(item);
+    chunks.at(-1)!.push(item);
     remaining -= size;
   }
-  return runs;
+  return chunks;
 }
 
-/** What identifies a fragment: those of one message have the same numbers but for `index`. */
+/** Identifies a fragment. Fragments of one message differ only in `index`. */
 export interface Fragment {
   readonly term: number;
   readonly revision: number;
-  /** Numbers the messages of one process. */
+  /** Number of the message among those of one process. */
   readonly sequence: number;
   readonly index: number;
   readonly fragmentCount: number;
 }
 
-/** A fragment of what an owner publishes of a partition. */
+/** A fragment of what an owner publishes about a partition. */
 export interface PartitionFragment extends Fragment {
   readonly partitionId: number;
 }
 
-/** The numbers of a fragment, and the items that it holds. */
+/** The identification of a fragment, and its items. */
 export interface FragmentContent<T> {
   readonly fragment: PartitionFragment;
   readonly items: readonly T[];
 }
 
-/** Splits what is published of a partition; there is one fragment at least, so that an empty list is published too. */
+/** Splits what is published about a partition. An empty list gives one empty fragment, so that it is published too. */
 export function fragmentsOf<T>(
   { partitionId, term, revision }: PartitionRevision,
   items: readonly T[],
@@ -50,24 +49,21 @@
   sequence: number,
   frameBytes: number,
 ): FragmentContent<T>[] {
-  const runs = splitBySize(items, sizeOf, frameBytes * FRAME_SHARE);
-  const contents = runs.length === 0 ? [[]] : runs;
+  const chunks = splitBySize(items, sizeOf, frameBytes * FRAME_SHARE);
+  const contents = chunks.length === 0 ? [[]] : chunks;
   const fragmentCount = contents.length;
-  return contents.map((run, index) => ({
+  return contents.map((chunk, index) => ({
     fragment: { partitionId, term, revision, sequence, index, fragmentCount },
-    items: run,
+    items: chunk,
   }));
 }
 
-/**
- * Reassembles messages from one sender, one at a time: the first fragment of another message drops those of the one
- * before.
- */
+/** Reassembles messages from one sender, one at a time: a fragment of another message discards the incomplete one. */
 export class FragmentReassembler<P extends Fragment> {
   #first: P | null = null;
   readonly #byIndex = new Map<number, P>();
 
-  /** Takes a fragment; returns all of its message, in order, once they are there. */
+  /** Adds a fragment. Returns all fragments of its message in order once they are complete, otherwise null. */
   add(fragment: P): readonly P[] | null {
     if (this.#first === null || !isSameMessage(this.#first, fragment)) {
       this.#first = fragment;
@@ -85,12 +81,12 @@
   );
 }
 
-/** Reassembles messages from several senders, of several partitions each. */
+/** Reassembles messages from several senders, separately for each sender and partition. */
 export class SenderReassemblers<P extends PartitionFragment> {
-  /** By sender and partition: a message of which not all fragments have come yet. */
+  /** Incomplete messages by sender and partition. */
   readonly #reassemblers = new Map<string, FragmentReassembler<P>>();
 
-  /** Takes a fragment; returns all of its message, in order, once they are there. */
+  /** Adds a fragment. Returns all fragments of its message in order once they are complete, otherwise null. */
   add(from: string, fragment: P): readonly P[] | null {
     const key = `${from} ${fragment.partitionId}`;
     const reassembler = this.#reassemblers.get(key) ?? new FragmentReassembler<P>();
--- a/packages/daemon/src/peers/group-reports.ts
+++ b/packages/daemon/src/peers/group-reports.ts
@@ -1,17 +1,17 @@
-// Reports on the members of replica groups, as owners publish them to the leader.
+// Reports on the members of replica groups, which owners publish to the leader.
 import type { GroupReport, PartitionGroupReport } from '@gingerlock/replica-groups';
 import type { PeerGroupReport, PeerMessage, PeerMessages } from '@gingerlock/peer';
 import { GROUP_REASONS } from '@gingerlock/wire';
 import { fragmentsOf, SenderReassemblers } from './fragments';
 import { NewestByPartition } from './newest-by-partition';
 
-/** Bytes of the numbers of one member, rounded up. */
+/** Size of the numeric fields of one member, in bytes, rounded up. */
 const MEMBER_BYTES = 24;
 
-/** Bytes of the lengths around one group, rounded up. */
+/** Size of the length fields of one group, in bytes, rounded up. */
 const GROUP_BYTES = 16;
 
-/** The number that stands for no reason. */
+/** Encodes that there is no reason. */
 const NO_REASON = -1;
 
 function groupBytes({ job, members }: GroupReport): number {
@@ -37,7 +37,7 @@
   };
 }
 
-/** The messages that publish a report, each within a frame of the link. */
+/** Splits a report into messages that each fit into a frame of the link. */
 export function groupReportMessages(report: PartitionGroupReport, sequence: number, frameBytes: number): PeerMessage[] {
   return fragmentsOf(report, report.groups, groupBytes, sequence, frameBytes).map(({ fragment, items }) => ({
     kind: 'GroupReports',
@@ -51,27 +51,27 @@
   readonly byJob: ReadonlyMap<string, GroupReport>;
 }
 
-/** The newest report of each partition, as the leader has received them. */
+/** The newest report of each partition, as received by the leader. */
 export class GroupReports {
   readonly #newest = new NewestByPartition<IndexedGroupReport>();
   readonly #reassemblers = new SenderReassemblers<PeerMessages['GroupReports']>();
 
-  /** Takes a fragment from another controller. */
+  /** Handles a fragment from another controller. */
   onFragment(from: string, fragment: PeerMessages['GroupReports']): void {
     const fragments = this.#reassemblers.add(from, fragment);
     if (fragments === null) return;
     const { partitionId, term, revision } = fragment;
-    this.note({ partitionId, term, revision, groups: fragments.flatMap(({ groups }) => groups.map(fromPeer)) });
+    this.put({ partitionId, term, revision, groups: fragments.flatMap(({ groups }) => groups.map(fromPeer)) });
   }
 
-  /** Takes a whole report, unless a newer one is known. */
-  note(report: PartitionGroupReport): void {
+  /** Stores a complete report unless a newer one is known. */
+  put(report: PartitionGroupReport): void {
     this.#newest.put({ ...report, byJob: new Map(report.groups.map((group) => [group.job, group])) });
   }
 
   /**
-   * What the owner of that term reports of the group, once it has read the group's record at that version; null:
-   * nothing. A group that serves well is not reported.
+   * Returns the report on the group by the owner of that term, made after it read the group's record at that version;
+   * null if there is none. A group that serves well is not reported.
    */
   of(partitionId: number, term: number, job: string, version: number): GroupReport | null {
     const report = this.#newest.get(partitionId);
--- a/packages/daemon/src/peers/heartbeat-relay.ts
+++ b/packages/daemon/src/peers/heartbeat-relay.ts
@@ -1,5 +1,5 @@
-// Heartbeats of workers whose partition belongs to another controller: the workers are redirected to it, or their
-// heartbeats are relayed if they can't reach it. The owner alone decides on the answer.
+// Redirects workers whose partition is owned by another controller to that owner, or relays their heartbeats if they
+// can't reach it. Only the owner decides on the answer.
 import { type Clock, sleep } from '@gingerlock/clients';
 import type { PeerMessage, PeerMessages } from '@gingerlock/peer';
 import { decodeHeartbeat, encodeRedirect, type Heartbeat } from '@gingerlock/wire';
@@ -7,52 +7,52 @@
 import { refusal, type Reply } from '../api/reply';
 import type { Settings } from '../settings/settings';
 
-/** How long a worker waits for an answer, by the protocol. */
-const WORKER_PATIENCE_MS = 4000;
+/** How long a worker waits for an answer, as set by the protocol. */
+const WORKER_TIMEOUT_MS = 4000;
 
-/** The share of it for which a heartbeat may wait for its partition to get an owner: the answer takes time too. */
-const HOLD_SHARE = 0.7;
+/** Share of `WORKER_TIMEOUT_MS` for which a heartbeat may wait for an owner; the rest is left for the answer. */
+const OWNER_WAIT_SHARE = 0.7;
 
-/** The share of it for which a relayed heartbeat may wait for the owner's answer. */
-const RELAY_SHARE = 0.5;
+/** Share of `WORKER_TIMEOUT_MS` for which a relayed heartbeat may wait for the owner's answer. */
+const RELAY_TIMEOUT_SHARE = 0.5;
 
-/** While a heartbeat waits for an owner, it is looked for so many times in a heartbeat interval. */
+/** While a heartbeat waits for an owner, the owner is looked up this many times in a heartbeat interval. */
 const OWNER_CHECKS_PER_HEARTBEAT = 10;
 
-/** After how many worker leases a redirection is forgotten. */
-const FORGET_LEASES = 4;
+/** A redirection is forgotten after this many worker leases. */
+const REDIRECTION_TTL_LEASES = 4;
 
-/** For how many worker leases heartbeats are relayed before the worker is redirected once more. */
-const RELAY_LEASES = 2;
+/** Heartbeats are relayed for this many worker leases before the worker is redirected again. */
+const MAX_RELAY_LEASES = 2;
 
-/** Where a worker's last heartbeat went. */
+/** The owner that a worker's last heartbeat was redirected or relayed to. */
 interface Redirection {
   readonly owner: string;
   readonly at: number;
-  /** Since when its heartbeats are relayed; null: the worker was redirected. */
+  /** Since when the worker's heartbeats are relayed; null if it was redirected. */
   readonly relayedSince: number | null;
 }
 
-/** What the relay needs to know of partitions and their owners. */
+/** Looks up partitions and their owners for the relay. */
 export interface PartitionRouting {
-  /** The partition of the machine; undefined: not known yet. */
+  /** Returns the partition of the machine; undefined if it is not known yet. */
   partitionOf(heartbeat: Heartbeat): number | undefined;
-  /** Who owns the partition, as far as we know; null: nobody now. */
+  /** Returns the owner of the partition as far as this controller knows; null if there is none now. */
   ownerOf(partitionId: number): string | null;
-  /** Whether this controller owns it. */
+  /** Whether this controller owns the partition. */
   owns(partitionId: number): boolean;
-  /** Answers a heartbeat as the owner. */
+  /** Answers a heartbeat as the owner of the partition. */
   answer(partitionId: number, heartbeat: Heartbeat): Reply;
-  /** A heartbeat for a partition of ours was relayed: its worker can't reach us. */
+  /** Called when a heartbeat for a partition owned here was relayed: its worker can't reach this controller. */
   onRelayed(partitionId: number): void;
-  /** Whether, by the owner's status, it has had no heartbeat of the machine for a while. */
-  missedByOwner(partitionId: number, machine: string): boolean;
+  /** Whether the owner's status shows that it has received no heartbeat from the machine for a while. */
+  isSilentToOwner(partitionId: number, machine: string): boolean;
 }
 
-/** Redirects and relays for one controller. */
+/** Redirects workers and relays heartbeats for one controller. */
 export class HeartbeatRelay {
   readonly #redirectionByMachine = new Map<string, Redirection>();
-  /** By id of the request: resolves a relayed heartbeat that waits for the owner's answer. */
+  /** Functions that resolve relayed heartbeats waiting for the owner's answer, by request id. */
   readonly #pendingRelays = new Map<string, (reply: Reply) => void>();
   #isStopped = false;
 
@@ -63,27 +63,26 @@
     readonly routing: PartitionRouting,
   ) {}
 
-  /** Heartbeats that wait for an owner are refused at their next check. */
+  /** Stops the relay: heartbeats that wait for an owner are refused at their next check. */
   stop(): void {
     this.#isStopped = true;
   }
 
   /** Forgets old redirections. */
   tick(now: number): void {
-    const forgetMs = this.settings.clusterConfig.workerLeaseMs * FORGET_LEASES;
+    const forgetMs = this.settings.clusterConfig.workerLeaseMs * REDIRECTION_TTL_LEASES;
     for (const [machine, { at }] of this.#redirectionByMachine)
       if (now - at > forgetMs) this.#redirectionByMachine.delete(machine);
   }
 
   /**
-   * Answers a heartbeat for a partition of another controller, or of none now. Refused without an owner's name, the
-   * worker would try the next controller, which may be dead or cut off too: that costs it seconds of its lease at each.
-   * So its heartbeat waits here, for as long as the worker waits, until the partition has an owner that the worker can
-   * be redirected to.
+   * Answers a heartbeat for a partition that this controller does not own. If the owner is unknown or out of reach, the
+   * heartbeat waits here until there is another owner, for as long as the worker waits. If it were refused at once, the
+   * worker would try the next controller, which may be dead or cut off too, and lose seconds of its lease with each.
    */
   async forward(partitionId: number, heartbeat: Heartbeat, body: Buffer): Promise<Reply> {
     const { clock, routing } = this;
-    const waitUntil = clock.now() + WORKER_PATIENCE_MS * HOLD_SHARE;
+    const waitUntil = clock.now() + WORKER_TIMEOUT_MS * OWNER_WAIT_SHARE;
     for (;;) {
       const owner = routing.ownerOf(partitionId);
       const reply = await this.#redirectOrRelay(owner, partitionId, heartbeat, body);
@@ -96,7 +95,7 @@
     }
   }
 
-  /** Status 503: there is no owner, or it can't be reached. */
+  /** Replies 503 if there is no owner or it can't be reached. */
   async #redirectOrRelay(
     owner: string | null,
     partitionId: number,
@@ -108,8 +107,8 @@
     const now = this.clock.now();
     const last = this.#redirectionByMachine.get(heartbeat.machine);
     const relayedSince = last?.relayedSince ?? null;
-    const mayRelay = relayedSince === null || now - relayedSince < clusterConfig.workerLeaseMs * RELAY_LEASES;
-    if (mayRelay && this.#isCutOff(owner, partitionId, heartbeat.machine, last, now)) {
+    const mayRelay = relayedSince === null || now - relayedSince < clusterConfig.workerLeaseMs * MAX_RELAY_LEASES;
+    if (mayRelay && this.#shouldRelay(owner, partitionId, heartbeat.machine, last, now)) {
       this.#redirectionByMachine.set(heartbeat.machine, { owner, at: now, relayedSince: relayedSince ?? now });
       return this.#relay(owner, body);
     }
@@ -118,18 +117,24 @@
   }
 
   /**
-   * Whether the worker can't reach the owner, but we may: it is back within its lease after it was redirected, or the
-   * owner's status says that it has had no heartbeat of it for a while. Also if the owner seems dead while other
-   * controllers are alive: redirected to a dead owner, a worker would lose several seconds of its lease.
+   * Whether the worker seems unable to reach the owner: it has come back within its lease after a redirection, or the
+   * owner's status shows no heartbeat from it for a while. Also true if the owner seems dead while other controllers
+   * are alive: a worker redirected to a dead owner would lose several seconds of its lease.
    */
-  #isCutOff(owner: string, partitionId: number, machine: string, last: Redirection | undefined, now: number): boolean {
+  #shouldRelay(
+    owner: string,
+    partitionId: number,
+    machine: string,
+    last: Redirection | undefined,
+    now: number,
+  ): boolean {
     if (last?.owner === owner && now - last.at < this.settings.clusterConfig.workerLeaseMs) return true;
     const { peers } = this;
     const seemsDead = !peers.isAlive(owner) && peers.nodes.some((node) => peers.isAlive(node));
-    return seemsDead || this.routing.missedByOwner(partitionId, machine);
+    return seemsDead || this.routing.isSilentToOwner(partitionId, machine);
   }
 
-  /** Sends the heartbeat to the owner, through another controller if need be. */
+  /** Sends the heartbeat to the owner, through another controller if the owner can't be reached directly. */
   #relay(owner: string, body: Buffer): Promise<Reply> {
     const { peers } = this;
     const id = peers.nextRequestId();
@@ -142,7 +147,10 @@
   }
 
   #awaitAnswer(id: string): Promise<Reply> {
-    const timeoutMs = Math.min(this.settings.clusterConfig.heartbeatIntervalMs, WORKER_PATIENCE_MS * RELAY_SHARE);
+    const timeoutMs = Math.min(
+      this.settings.clusterConfig.heartbeatIntervalMs,
+      WORKER_TIMEOUT_MS * RELAY_TIMEOUT_SHARE,
+    );
     return new Promise((resolve) => {
       const cancel = this.clock.after(timeoutMs, () => {
         this.#pendingRelays.delete(id);
@@ -156,7 +164,7 @@
     });
   }
 
-  /** Another controller relays a heartbeat: to us as the owner, or through us. */
+  /** Handles a heartbeat that another controller relays: answers it as the owner, or forwards it to the owner. */
   onRelay(from: string, message: PeerMessages['Relay']): void {
     const { peers } = this;
     if (message.to === this.settings.node) {
@@ -167,7 +175,7 @@
     }
   }
 
-  /** The owner's answer to a relayed heartbeat: for us, or to be passed on. */
+  /** Handles the owner's answer to a relayed heartbeat, or forwards it to the controller that relayed the heartbeat. */
   onAnswer(message: PeerMessages['RelayAnswer']): void {
     if (message.to !== this.settings.node) this.peers.send(message.to, { kind: 'RelayAnswer', ...message });
     else this.#pendingRelays.get(message.id)?.({ status: message.status, body: Buffer.from(message.body) });
--- a/packages/daemon/src/peers/newest-by-partition.ts
+++ b/packages/daemon/src/peers/newest-by-partition.ts
@@ -1,9 +1,6 @@
-// What owners publish of their partitions: of each partition only the newest is kept.
+// Keeps the newest of the values that owners publish for each partition.
 
-/**
- * Of which partition something was published, under which ownership term, and at which revision of the owner's watch
- * cache.
- */
+/** The partition, ownership term and revision of the owner's watch cache for which a value was published. */
 export interface PartitionRevision {
   readonly partitionId: number;
   readonly term: number;
@@ -14,11 +11,11 @@
   return one.term < other.term || (one.term === other.term && one.revision < other.revision);
 }
 
-/** The newest value of each partition, by term and revision; messages may come in any order. */
+/** The newest value of each partition, by term and revision; messages may arrive in any order. */
 export class NewestByPartition<T extends PartitionRevision> {
   readonly #newest = new Map<number, T>();
 
-  /** Takes a value, unless a newer one is known. */
+  /** Stores a value unless a newer one is known. */
   put(value: T): void {
     const known = this.#newest.get(value.partitionId);
     if (known !== undefined && isOlder(value, known)) return;
--- a/packages/daemon/src/peers/partition-statuses.ts
+++ b/packages/daemon/src/peers/partition-statuses.ts
@@ -1,5 +1,5 @@
-// The statuses of all partitions, as their owners publish them: what runs and what is free. Hints for the leader's
-// assignment, for what users are shown and for new owners; no safety rests on them.
+// The statuses of all partitions, as published by their owners: running tasks and free capacity. They are hints for the
+// leader's assignment, for users and for new owners; no safety property depends on them.
 import type { SpareCapacity, PartitionStatus } from '@gingerlock/core';
 import type { PeerMessages, PeerPartitionStatus } from '@gingerlock/peer';
 import type { PartitionOwner } from '../owner/partition-owner';
@@ -7,7 +7,7 @@
 import { SenderReassemblers } from './fragments';
 import { statusFrom, statusMessages } from './status-fragments';
 
-/** A status with when and from whom it came. */
+/** A status with its time of arrival and its owner. */
 export interface ReceivedStatus {
   readonly status: PartitionStatus;
   readonly at: number;
@@ -15,24 +15,24 @@
   readonly owner: string;
 }
 
-/** The last status of each partition, of our own partitions too. */
+/** The last status of each partition, including those owned here. */
 export class PartitionStatuses {
   readonly #received = new Map<number, ReceivedStatus>();
   readonly #reassemblers = new SenderReassemblers<PeerMessages['PartitionStatusFragment']>();
-  /** Numbers the statuses that this process sends. */
+  /** Number of the last status that this process sent. */
   #sequence = 0;
 
-  /** The last status of every partition of which one has come. */
+  /** Returns the last status of every partition that has one. */
   all(): readonly ReceivedStatus[] {
     return [...this.#received.values()];
   }
 
-  /** The last status of the partition; undefined: none has come. */
+  /** Returns the last status of the partition; undefined if none has arrived. */
   of(partitionId: number): ReceivedStatus | undefined {
     return this.#received.get(partitionId);
   }
 
-  /** Takes an owner's status, unless one of a later owner is known. */
+  /** Stores a status unless one of a later ownership term is known. */
   onStatus(message: PeerPartitionStatus, now: number): void {
     const { owner, partitionId, term, revision, machines, missing } = message;
     if (term < (this.#received.get(partitionId)?.status.term ?? 0)) return;
@@ -44,13 +44,13 @@
     });
   }
 
-  /** Takes a fragment; the status counts once all of its fragments have come. */
+  /** Handles a fragment; the status is stored once all of its fragments have arrived. */
   onFragment(from: string, fragment: PeerMessages['PartitionStatusFragment'], now: number): void {
     const all = this.#reassemblers.add(from, fragment);
     if (all !== null) this.onStatus(statusFrom(fragment, all), now);
   }
 
-  /** Takes the status of a partition of our own, and sends it to the given peers. */
+  /** Stores the status of a partition owned here, and sends it to the given peers. */
   publish(owner: PartitionOwner, node: string, now: number, peers: PeerChannel, to: readonly string[]): void {
     const status = owner.status(now);
     this.#received.set(owner.partitionId, { status, at: now, owner: node });
@@ -58,14 +58,14 @@
     for (const peer of to) peers.sendGroup(peer, messages);
   }
 
-  /** Sends a peer that has just connected the last status of every partition. */
+  /** Sends the last status of every partition to a peer that has just connected. */
   sendAll(peers: PeerChannel, to: string): void {
     for (const { status, owner } of this.#received.values()) {
       peers.sendGroup(to, statusMessages(status, owner, ++this.#sequence, peers.link.frameBytes));
     }
   }
 
-  /** How many tasks of the job run, by the last statuses. */
+  /** Returns how many tasks of the job run according to the last statuses. */
   runningTasks(job: string): number {
     let running = 0;
     for (const { status } of this.#received.values()) {
@@ -74,7 +74,7 @@
     return running;
   }
 
-  /** Free capacity on ordinary machines of all other partitions, by statuses that came after `since`. */
+  /** Returns the free capacity on ordinary machines of all other partitions, from statuses received after `since`. */
   spareCapacity(exceptPartitionId: number, since: number): SpareCapacity[] {
     return this.all()
       .filter(({ status, at }) => status.partitionId !== exceptPartitionId && at > since)
--- a/packages/daemon/src/peers/peer-channel.ts
+++ b/packages/daemon/src/peers/peer-channel.ts
@@ -7,7 +7,7 @@
 
   constructor(
     readonly link: PeerLink,
-    /** Identifies this process: differs from that of the controller's process before. */
+    /** Identifies this process; each process of a controller has a different value. */
     readonly process: string,
   ) {}
 
@@ -21,7 +21,7 @@
     return this.link.isAlive(node);
   }
 
-  /** Sends one message; false: there is no connection. */
+  /** Sends one message; returns false if there is no connection. */
   send(node: string, message: PeerMessage): boolean {
     return this.link.send(node, message);
   }
@@ -37,9 +37,9 @@
   }
 
   /**
-   * A new id for a request to other controllers. It contains the process, since a late answer to an earlier process
-   * could match a number alone: a worker would get the commands of another, or a peer would confirm what it was not
-   * asked.
+   * Returns a new id for a request to other controllers. It contains the process: with a number alone, a late answer to
+   * an earlier process could match a request of this one, so that a worker would get the commands of another, or an old
+   * confirmation would count for a new request.
    */
   nextRequestId(): string {
     return `${this.process}-${++this.#requestCount}`;
--- a/packages/daemon/src/peers/peer-confirmation.ts
+++ b/packages/daemon/src/peers/peer-confirmation.ts
@@ -1,5 +1,5 @@
-// During an outage of the key-value store: whether all peers confirm that they can't reach it either and know of
-// nothing newer. Then no cancellation and no failover exists that this controller has not seen, and it may go on
+// During an outage of the key-value store, asks all peers to confirm that they can't reach it either and know of no
+// newer revision. If all of them confirm, this controller has seen every cancellation and failover, and may go on
 // answering its workers.
 import type { WatchCache, KeyValueStore } from '@gingerlock/clients';
 import type { PeerMessages } from '@gingerlock/peer';
@@ -12,11 +12,9 @@
   readonly confirmedBy: Set<string>;
 }
 
-/** Asks the peers for their confirmation, and gives them ours. */
+/** Requests confirmations from the peers, and answers their requests. */
 export class PeerConfirmation {
-  /**
-   * The last moment at which, by all peers, nothing had happened that this controller has not seen; by our own clock.
-   */
+  /** The last time, by this controller's clock, until which all peers confirmed that it has seen every change. */
   confirmedAt = -Infinity;
   #request: ConfirmationRequest | null = null;
 
@@ -28,7 +26,7 @@
     readonly intervalMs: number,
   ) {}
 
-  /** Sends the next request if it is due. `isNeeded`: something depends on a confirmation. */
+  /** Sends the next request if it is due. `isNeeded`: whether this controller needs a confirmation. */
   tick(now: number, isNeeded: boolean): void {
     const { watchCache, peers } = this;
     if (!isNeeded || watchCache.failures === 0 || watchCache.lastContactAt === null) {
@@ -40,12 +38,12 @@
     peers.broadcast({ kind: 'ConfirmationRequest', id: this.#request.id, revision: watchCache.revision });
   }
 
-  /** A peer asks whether we know of anything past its revision. */
+  /** Answers a peer that asks whether this controller knows of nothing newer than the peer's revision. */
   onRequest(from: string, { id, revision }: PeerMessages['ConfirmationRequest'], contactAgeMs: number): void {
     this.peers.send(from, { kind: 'Confirmation', id, confirms: this.#canConfirm(revision), contactAgeMs });
   }
 
-  /** A peer has answered; what matters is when it was asked. */
+  /** Handles a peer's answer. A confirmation holds for the time when the request was sent. */
   onAnswer(from: string, { id, confirms }: PeerMessages['Confirmation']): void {
     const request = this.#request;
     if (request === null || request.id !== id || !confirms) return;
@@ -55,9 +53,9 @@
   }
 
   /**
-   * Whether we know of nothing past that revision. A process that has not reached the store since its start can't say
-   * what the controller's earlier process has promised users; nor can one with a transaction whose outcome it does not
-   * know.
+   * Whether this controller can't reach the store either and knows of nothing newer than the revision. It can't confirm
+   * if this process has not reached the store since its start, since it does not know what the controller's earlier
+   * process has told users, or if it does not know the outcome of a transaction.
    */
   #canConfirm(revision: number): boolean {
     const { keyValueStore, watchCache } = this;
--- a/packages/daemon/src/peers/peer-failure-detector.ts
+++ b/packages/daemon/src/peers/peer-failure-detector.ts
@@ -2,21 +2,21 @@
 import type { Clock } from '@gingerlock/clients';
 import type { PeerLink } from '@gingerlock/peer';
 
-/** For how many heartbeat intervals a peer's statement of its contact counts. */
+/** A peer's report of its contact with the store is used for this many heartbeat intervals. */
 const CONTACT_INTERVALS = 2;
 
-/** A peer's contact with the key-value store, by its last heartbeat. */
+/** A peer's contact with the key-value store, as reported in its last heartbeat. */
 interface PeerContact {
-  /** How long before its heartbeat it had read the store. */
+  /** Age of the peer's last read of the store when it sent the heartbeat. */
   readonly ageMs: number;
   readonly receivedAt: number;
-  /** Since when it has had contact without a gap; when the heartbeat came, if it has none. */
+  /** Since when the peer has had contact without a gap; the arrival time of the heartbeat if it has none. */
   readonly contactSince: number;
 }
 
-/** Observes the other controllers for one process. */
+/** Tracks the liveness of the other controllers and their contact with the key-value store. */
 export class PeerFailureDetector {
-  /** By controller that was ever alive: since when it has been so without a gap; null: it is silent now. */
+  /** Since when each controller that was ever alive has been so without a gap; null if it is silent now. */
   readonly #aliveSince = new Map<string, number | null>();
   readonly #contactByNode = new Map<string, PeerContact>();
 
@@ -26,12 +26,12 @@
     readonly heartbeatIntervalMs: number,
   ) {}
 
-  /** Whether this process has ever had a heartbeat from the controller. */
+  /** Whether this process has ever received a message from the controller. */
   wasSeen(node: string): boolean {
     return this.#aliveSince.has(node);
   }
 
-  /** A heartbeat of the controller has come. */
+  /** Records a message from the controller, which counts as a heartbeat. */
   recordHeartbeat(node: string, now: number): void {
     if ((this.#aliveSince.get(node) ?? null) === null) this.#aliveSince.set(node, now);
   }
@@ -41,12 +41,12 @@
     for (const node of this.#aliveSince.keys()) if (!this.link.isAlive(node)) this.#aliveSince.set(node, null);
   }
 
-  /** This process has stalled: the gap counts for every controller. */
+  /** Records that this process stalled, which counts as a gap for every controller. */
   resumedAfterStall(): void {
     for (const node of this.#aliveSince.keys()) this.#aliveSince.set(node, null);
   }
 
-  /** The controller says that it read the store `ageMs` ago. */
+  /** Records the controller's report that it read the store `ageMs` ago. */
   recordContact(node: string, ageMs: number, now: number): void {
     const known = this.#contactByNode.get(node);
     const hasContact = ageMs <= this.heartbeatIntervalMs;
--- a/packages/daemon/src/peers/rate-sharing.ts
+++ b/packages/daemon/src/peers/rate-sharing.ts
@@ -1,4 +1,4 @@
-// Controllers whose share of the write rate runs short borrow from the others, which lend what they can spare.
+// Shares the store's write rate: a controller that needs more than its share borrows spare writes from the others.
 import type { RateLimiter, Clock } from '@gingerlock/clients';
 import type { PeerMessages } from '@gingerlock/peer';
 import type { PeerChannel } from './peer-channel';
@@ -6,24 +6,24 @@
 /** A request to all other controllers. */
 interface RateRequest {
   readonly sentAt: number;
-  /** Who has granted writes: a repeated message grants nothing more. */
+  /** The peers that have granted writes; a repeated grant is ignored. */
   readonly grantedBy: Set<string>;
 }
 
 /** Lends and borrows writes for one controller. */
 export class RateSharing {
-  /** By id: requests that may still be answered. */
+  /** Requests that may still be answered, by id. */
   readonly #openRequests = new Map<string, RateRequest>();
 
   constructor(
     readonly rateLimiter: RateLimiter,
     readonly peers: PeerChannel,
     readonly clock: Clock,
-    /** For how long after a request a grant counts. */
-    readonly patienceMs: number,
+    /** How long after its request a grant is accepted. */
+    readonly grantTimeoutMs: number,
   ) {}
 
-  /** Requests writes if some are missing, and drops requests that are too old. */
+  /** Requests writes if this controller is short of them, and drops requests that are too old. */
   tick(now: number): void {
     const writes = this.rateLimiter.missingWrites();
     if (writes > 0) {
@@ -32,16 +32,16 @@
       this.peers.broadcast({ kind: 'BudgetRequest', id, writes });
     }
     for (const [id, request] of this.#openRequests)
-      if (now - request.sentAt > this.patienceMs) this.#openRequests.delete(id);
+      if (now - request.sentAt > this.grantTimeoutMs) this.#openRequests.delete(id);
   }
 
-  /** Another controller's writes run short. */
+  /** Grants spare writes to another controller that is short of them. */
   onRequest(from: string, { id, writes }: PeerMessages['BudgetRequest']): void {
     const granted = this.rateLimiter.lend(writes);
     if (granted > 0) this.peers.send(from, { kind: 'BudgetGrant', id, writes: granted });
   }
 
-  /** Another controller grants us writes. */
+  /** Handles a grant from another controller. */
   onGrant(from: string, { id, writes }: PeerMessages['BudgetGrant']): void {
     const request = this.#openRequests.get(id);
     if (request === undefined || request.grantedBy.has(from)) return;
--- a/packages/daemon/src/peers/status-fragments.ts
+++ b/packages/daemon/src/peers/status-fragments.ts
@@ -1,18 +1,18 @@
-// Statuses of partitions, of any size, as messages that each fit a frame of the link, and back.
+// Splits partition statuses of any size into messages that each fit into a frame of the link, and reassembles them.
 import type { MachineStatus, PartitionStatus } from '@gingerlock/core';
 import type { PeerMachineStatus, PeerMessage, PeerMessages, PeerPartitionStatus } from '@gingerlock/peer';
 import { FRAME_SHARE, FragmentReassembler, splitBySize } from './fragments';
 
-/** Bytes of the numbers and flags of one machine, rounded up: eight for each number, and the lengths of its lists. */
+/** Size of the numbers, flags and list lengths of one machine, in bytes, rounded up; a number takes eight. */
 const MACHINE_BYTES = 80;
 
-/** Bytes of the three numbers of resources. */
+/** Size of the three numbers of a `Resources` value, in bytes. */
 const RESOURCES_BYTES = 24;
 
-/** Bytes of one running job, beside its name. */
+/** Size of one running job without its name, in bytes. */
 const RUNNING_BYTES = 12;
 
-/** Bytes of the length that stands before a text. */
+/** Size of the length prefix of a string, in bytes. */
 const LENGTH_BYTES = 2;
 
 type RunningJob = PeerPartitionStatus['running'][number];
@@ -27,7 +27,7 @@
   return RUNNING_BYTES + Buffer.byteLength(job);
 }
 
-/** One message with the whole status if that fits a frame, otherwise fragments. */
+/** Returns one message with the whole status if it fits into a frame, otherwise fragments. */
 export function statusMessages(
   status: PartitionStatus,
   owner: string,
@@ -43,13 +43,13 @@
   }));
   const running = status.running.map(([job, tasks]) => ({ job, tasks }));
   const limit = frameBytes * FRAME_SHARE;
-  const machineRuns = splitBySize(machines, machineBytes, limit);
-  const runningRuns = splitBySize(running, runningBytes, limit);
-  if (machineRuns.length <= 1 && runningRuns.length <= 1)
+  const machineChunks = splitBySize(machines, machineBytes, limit);
+  const runningChunks = splitBySize(running, runningBytes, limit);
+  if (machineChunks.length <= 1 && runningChunks.length <= 1)
     return [{ kind: 'PartitionStatus', ...head, machines, running }];
   const contents = [
-    ...machineRuns.map((run) => ({ machines: run, running: [] })),
-    ...runningRuns.map((run) => ({ machines: [], running: run })),
+    ...machineChunks.map((chunk) => ({ machines: chunk, running: [] })),
+    ...runningChunks.map((chunk) => ({ machines: [], running: chunk })),
   ];
   const fragmentCount = contents.length;
   return contents.map((content, index) => ({
@@ -62,7 +62,7 @@
   }));
 }
 
-/** The status of which `fragment` came last and `all` are all fragments, in order. */
+/** Joins the fragments of a status: `all` has all of them in order, `fragment` is the one that arrived last. */
 export function statusFrom(
   { owner, partitionId, term, revision, missing }: PeerMessages['PartitionStatusFragment'],
   all: readonly PeerMessages['PartitionStatusFragment'][],
@@ -76,7 +76,7 @@
 export class StatusReassembler {
   readonly #fragments = new FragmentReassembler<PeerMessages['PartitionStatusFragment']>();
 
-  /** Takes a fragment; returns the status once all of its fragments are there. */
+  /** Adds a fragment. Returns the status once all of its fragments have arrived, otherwise null. */
   add(fragment: PeerMessages['PartitionStatusFragment']): PeerPartitionStatus | null {
     const all = this.#fragments.add(fragment);
     return all === null ? null : statusFrom(fragment, all);
--- a/packages/daemon/src/peers/status-publisher.ts
+++ b/packages/daemon/src/peers/status-publisher.ts
@@ -1,4 +1,4 @@
-// When and to whom a controller publishes the statuses of its partitions, and what its leader needs beside them.
+// Decides when and to whom a controller publishes its partition statuses, claim lists and group reports.
 import { LEADERSHIP } from '@gingerlock/wire';
 import type { PeerMessage } from '@gingerlock/peer';
 import { type ClaimLists, claimListMessages, claimsOf } from './claim-lists';
@@ -8,25 +8,25 @@
 import { DISPLAY_LAG_MS, type ControllerContext } from '../controller/controller-context';
 import type { PartitionStatuses } from './partition-statuses';
 
-/** Statuses are published so many times in a heartbeat interval at most, however often something changes. */
+/** Statuses are published at most this many times in a heartbeat interval, however often something changes. */
 const MAX_PER_HEARTBEAT = 6;
 
-/** Statuses are published so many times in a heartbeat interval at least, though nothing changes. */
+/** Statuses are published at least this many times in a heartbeat interval, even if nothing changes. */
 const MIN_PER_HEARTBEAT = 2;
 
-/** How often in a heartbeat interval the leader is sent lists of claims. */
+/** Claim lists are sent to the leader this many times in a heartbeat interval. */
 const CLAIM_LISTS_PER_HEARTBEAT = 3;
 
-/** Publishes for one controller; the leader may be this controller itself. */
+/** Publishes what peers need to know about the partitions of one controller, which may be the leader itself. */
 export class StatusPublisher {
   #sentAt = -Infinity;
   #sentToAllAt = -Infinity;
-  /** The number of changes of all claim tables when statuses were sent last. */
+  /** The number of changes of all claim tables when statuses were last sent. */
   #sentChanges = -1;
   #claimsSentAt = -Infinity;
-  /** Numbers the lists of claims that this process sends. */
+  /** Number of the last claim list that this process sent. */
   #claimListSequence = 0;
-  /** Numbers the reports on replica groups that this process sends. */
+  /** Number of the last group report that this process sent. */
   #groupReportSequence = 0;
 
   constructor(
@@ -38,8 +38,8 @@
   ) {}
 
   /**
-   * Publishes the partitions' statuses, if that is due; false: it is not. `contactAgeMs`: time since the store was
-   * read.
+   * Publishes the partitions' statuses if that is due; returns whether it was. `contactAgeMs`: time since the last read
+   * of the store.
    */
   publish(owners: readonly PartitionOwner[], contactAgeMs: number, now: number): boolean {
     const { settings, watchCache } = this.context;
@@ -47,7 +47,7 @@
     if (!this.#isDue(changes, now)) return false;
     this.#sentAt = now;
     this.#sentChanges = changes;
-    // It is small and urgent: sent before the statuses, which may fill the connection.
+    // The heartbeat is small and urgent, so it is sent before the statuses, which may fill the connection.
     this.peers.broadcast({ kind: 'PeerHeartbeat', contactAgeMs, revision: watchCache.revision });
     const receivers = this.#statusReceivers(now);
     for (const owner of owners) this.statuses.publish(owner, settings.node, now, this.peers, receivers);
@@ -64,18 +64,18 @@
   }
 
   /**
-   * The leader assigns tasks by the statuses and gets every one. The other controllers show users by them what runs,
-   * and take cached images from them at a failover: they get one from time to time.
+   * Returns the peers that get the statuses now. The leader gets every status, since it assigns tasks by them. The
+   * other controllers get them less often: they show users what runs, and learn the cached images for a failover.
    */
   #statusReceivers(now: number): string[] {
     const { clusterConfig, clusterState } = this.context;
     const leaderNode = clusterState.owners.get(LEADERSHIP)?.record.node;
-    const isForAll = now - this.#sentToAllAt > Math.min(clusterConfig.heartbeatIntervalMs, DISPLAY_LAG_MS / 2);
-    if (isForAll) this.#sentToAllAt = now;
-    return this.peers.link.nodes.filter((node) => isForAll || node === leaderNode);
+    const isDueForAll = now - this.#sentToAllAt > Math.min(clusterConfig.heartbeatIntervalMs, DISPLAY_LAG_MS / 2);
+    if (isDueForAll) this.#sentToAllAt = now;
+    return this.peers.link.nodes.filter((node) => isDueForAll || node === leaderNode);
   }
 
-  /** Publishes what machines hold to the leader, if it takes that. */
+  /** Publishes the claim lists to the leader if it accepts them. */
   #publishClaims(owners: readonly PartitionOwner[], now: number): void {
     const { clusterState, settings, clusterConfig, watchCache } = this.context;
     const leadershipHold = clusterState.holds.get(LEADERSHIP)?.record;
@@ -85,13 +85,13 @@
     for (const { claimTable } of owners) {
       const claims = claimsOf(claimTable, watchCache.revision, now);
       this.#publishToLeader(leadershipHold.node, {
-        take: () => this.claimLists.note(claims, now),
+        storeLocally: () => this.claimLists.put(claims, now),
         messages: (frameBytes) => claimListMessages(claims, ++this.#claimListSequence, frameBytes),
       });
     }
   }
 
-  /** Publishes how the members of replica groups are to the leader, if it takes that. */
+  /** Publishes reports on the members of replica groups to the leader if it accepts them. */
   #publishGroupReports(owners: readonly PartitionOwner[], now: number): void {
     const leadershipHold = this.context.clusterState.holds.get(LEADERSHIP)?.record;
     if (leadershipHold?.takesGroupReports !== true) return;
@@ -99,18 +99,18 @@
       if (groups === null) continue;
       const report = groups.report(claimTable, now);
       this.#publishToLeader(leadershipHold.node, {
-        take: () => this.groupReports.note(report),
+        storeLocally: () => this.groupReports.put(report),
         messages: (frameBytes) => groupReportMessages(report, ++this.#groupReportSequence, frameBytes),
       });
     }
   }
 
-  /** `take` is called if this controller is the leader; otherwise the messages are sent. */
+  /** Calls `storeLocally` if this controller is the leader; otherwise sends the messages to the leader. */
   #publishToLeader(
     leaderNode: string,
-    content: { readonly take: () => void; readonly messages: (frameBytes: number) => PeerMessage[] },
+    content: { readonly storeLocally: () => void; readonly messages: (frameBytes: number) => PeerMessage[] },
   ): void {
-    if (leaderNode === this.context.settings.node) content.take();
+    if (leaderNode === this.context.settings.node) content.storeLocally();
     else this.peers.sendGroup(leaderNode, content.messages(this.peers.link.frameBytes));
   }
 }
--- a/packages/daemon/test/peer-request-ids.test.ts
+++ b/packages/daemon/test/peer-request-ids.test.ts
@@ -8,7 +8,7 @@
 import { settingsOf } from '../src/settings/settings';
 import { platform } from './platform';
 
-/** One process of a controller with a peer that keeps all messages it gets; the key-value store does not answer. */
+/** Starts a process of a controller. Its peer records all received messages; the key-value store does not answer. */
 function startProcess(sim: Sim): { controller: Controller; link: PeerLink; received: PeerMessage[] } {
   const received: PeerMessage[] = [];
   const link: PeerLink = {
@@ -35,8 +35,8 @@
 }
 
 // Answers are matched by the id of their request. If two processes of a controller used the same ids, a late answer to
-// the earlier one would lend request rate, confirm what nobody had asked, or hand one worker the commands for another.
-test('an answer counts once, and only for the process that asked', async () => {
+// the earlier one would lend writes, confirm another request, or give a worker the commands for another worker.
+test('an answer is accepted once, and only by the process that sent the request', async () => {
   const sim = new Sim(4);
   const ids: string[] = [];
   for (let process = 0; process < 2; process++) {
@@ -49,11 +49,11 @@
     const missingWrites = (): number => rateLimiter.missingWrites();
     const before = missingWrites();
     for (const id of ids) link.onMessage('n1', { kind: 'BudgetGrant', id, writes: 50 });
-    assert.equal(missingWrites(), before, 'an answer to the process before');
+    assert.equal(missingWrites(), before, 'an answer to the previous process');
     link.onMessage('n1', { kind: 'BudgetGrant', id: request.id, writes: 50 });
     assert.equal(missingWrites(), before - 50);
     link.onMessage('n1', { kind: 'BudgetGrant', id: request.id, writes: 50 });
-    assert.equal(missingWrites(), before - 50, 'a copy of an answer');
+    assert.equal(missingWrites(), before - 50, 'a repeated answer');
     ids.push(...received.flatMap((message) => (message.kind === 'BudgetRequest' ? [message.id] : [])));
     assert.equal(new Set(ids).size, ids.length);
     controller.stop();
--- a/packages/daemon/test/status-fragments.test.ts
+++ b/packages/daemon/test/status-fragments.test.ts
@@ -1,4 +1,4 @@
-// Summaries of any size come out of their pieces as they went in, and no piece is larger than a frame.
+// Statuses of any size are reassembled unchanged from their messages, and no message is larger than a frame.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -60,33 +60,36 @@
   return { machines, running: running.map(({ job, tasks }) => [job, tasks]) };
 }
 
-test('a summary of any size comes out of its messages, each of which fits a frame', () => {
+test('a status of any size is reassembled from its messages, each of which fits into a frame', () => {
   fc.assert(
-    fc.property(status, (told) => {
-      const messages = statusMessages(told, 'node-1', 1, FRAME_BYTES);
+    fc.property(status, (original) => {
+      const messages = statusMessages(original, 'node-1', 1, FRAME_BYTES);
       const reassembler = new StatusReassembler();
-      const whole = messages.map((message) => assemble(reassembler, message));
+      const results = messages.map((message) => assemble(reassembler, message));
       for (const message of messages) assert.ok(encodePeer(message).length <= FRAME_BYTES);
-      assert.ok(whole.slice(0, -1).every((none) => none === null));
-      assert.deepEqual(contentOf(whole.at(-1)!), { machines: told.machines, running: told.running });
+      assert.ok(results.slice(0, -1).every((result) => result === null));
+      assert.deepEqual(contentOf(results.at(-1)!), { machines: original.machines, running: original.running });
     }),
     { seed: 391, numRuns: 200 },
   );
 });
 
-test('with pieces lost and repeated a summary is taken whole or not at all, and the next one is taken', () => {
+test('with fragments lost and repeated, a status is reassembled whole or not at all, and the next one is whole', () => {
   fc.assert(
-    fc.property(status, fc.array(fc.nat(5)), (told, copies) => {
-      const first = statusMessages(told, 'node-1', 1, FRAME_BYTES);
+    fc.property(status, fc.array(fc.nat(5)), (original, copyCounts) => {
+      const first = statusMessages(original, 'node-1', 1, FRAME_BYTES);
       const reassembler = new StatusReassembler();
       first.forEach((message, i) => {
-        for (let n = 0; n < (copies[i] ?? 1); n++) {
-          const whole = assemble(reassembler, message);
-          if (whole !== null) assert.deepEqual(contentOf(whole), { machines: told.machines, running: told.running });
+        for (let n = 0; n < (copyCounts[i] ?? 1); n++) {
+          const assembled = assemble(reassembler, message);
+          if (assembled !== null)
+            assert.deepEqual(contentOf(assembled), { machines: original.machines, running: original.running });
         }
       });
-      const second = statusMessages(told, 'node-1', 2, FRAME_BYTES).map((message) => assemble(reassembler, message));
-      assert.deepEqual(contentOf(second.at(-1)!), { machines: told.machines, running: told.running });
+      const second = statusMessages(original, 'node-1', 2, FRAME_BYTES).map((message) =>
+        assemble(reassembler, message),
+      );
+      assert.deepEqual(contentOf(second.at(-1)!), { machines: original.machines, running: original.running });
     }),
     { seed: 391, numRuns: 200 },
   );
