--- a/packages/daemon/src/controller/announcements.ts
+++ b/packages/daemon/src/controller/announcements.ts
@@ -10,7 +10,7 @@
     readonly watchCache: WatchCache,
   ) {}
 
-  /** Makes every controller, including this one, read up to the revision soon; see `CommitListener`. */
+  /** Asks every controller, including this one, to read up to the revision soon; see `CommitListener`. */
   committed(revision: number): void {
     this.peers.broadcast({ kind: 'RevisionHint', revision });
     this.watchCache.hint(revision);
--- a/packages/daemon/src/controller/controller-context.ts
+++ b/packages/daemon/src/controller/controller-context.ts
@@ -56,7 +56,7 @@
   readonly limits?: Partial<ControllerLimits>;
 }
 
-/** The dependencies that the modules of one controller share. It holds no state of its own. */
+/** Gives the modules of one controller their shared dependencies. It holds no state of its own. */
 export class ControllerContext {
   readonly settings: Settings;
   readonly clusterConfig: ClusterConfig;
--- a/packages/daemon/src/controller/owner-heartbeats.ts
+++ b/packages/daemon/src/controller/owner-heartbeats.ts
@@ -23,7 +23,7 @@
     const now = context.clock.now();
     // Between the two requests of a full reload, the records may show the next owner before the term is ended here.
     if (!owner.isOwner()) return refusal(503, 'part was taken over');
-    // After this bound, the partition's next owner and users who cancel jobs rely on this controller not answering.
+    // The partition's next owner and users who cancel jobs rely on this controller not answering after this bound.
     if (now > this.storeContact.completeUntil() + maxAnswerContactAgeMs(context.clusterConfig))
       return refusal(503, 'no contact with the state service');
     const outcome = owner.claimTable.handleHeartbeat(heartbeat, now, owner.mayGrant(now));
--- a/packages/daemon/src/controller/peer-handlers.ts
+++ b/packages/daemon/src/controller/peer-handlers.ts
@@ -55,7 +55,7 @@
       watchCache.hint(revision);
     },
     RevisionHint: (_from, { revision }) => watchCache.hint(revision),
-    // Stopping tasks is safe even without contact with the store. No bound relies on this message, which may be lost.
+    // Stopping tasks is safe even without contact with the store. No bound relies on the message: it may be lost.
     JobCancelled: (_from, { job }) => clusterState.markCancelled(job),
     MachineDirectives: (_from, { term, drain, gone }) => {
       if (clusterState.owners.get(LEADERSHIP)?.record.term === term) owned.applyDirectives(drain, gone);
--- a/packages/daemon/src/controller/store-contact.ts
+++ b/packages/daemon/src/controller/store-contact.ts
@@ -1,4 +1,4 @@
-// How recent this controller's view of the key-value store is, which bounds its answers to workers and users.
+// Tracks how recent this controller's view of the key-value store is: its answers to workers and users depend on that.
 import type { WatchCache } from '@gingerlock/clients';
 import type { PeerConfirmation } from '../peers/peer-confirmation';
 
--- a/packages/daemon/src/peers/fragments.ts
+++ b/packages/daemon/src/peers/fragments.ts
@@ -24,7 +24,7 @@
 export interface Fragment {
   readonly term: number;
   readonly revision: number;
-  /** Number of the message among those of one process. */
+  /** Counts the messages of one kind that a process sends. */
   readonly sequence: number;
   readonly index: number;
   readonly fragmentCount: number;
--- a/packages/daemon/src/peers/peer-confirmation.ts
+++ b/packages/daemon/src/peers/peer-confirmation.ts
@@ -14,7 +14,7 @@
 
 /** Requests confirmations from the peers, and answers their requests. */
 export class PeerConfirmation {
-  /** The last time, by this controller's clock, until which all peers confirmed that it has seen every change. */
+  /** When the last request that all peers confirmed was sent: until then, this controller has seen every change. */
   confirmedAt = -Infinity;
   #request: ConfirmationRequest | null = null;
 
--- a/packages/daemon/src/peers/peer-failure-detector.ts
+++ b/packages/daemon/src/peers/peer-failure-detector.ts
@@ -1,4 +1,4 @@
-// Which controllers are alive, since when without a gap, and how recently each of them has read the key-value store.
+// Tracks which controllers are alive, since when without a gap, and how recently each has read the key-value store.
 import type { Clock } from '@gingerlock/clients';
 import type { PeerLink } from '@gingerlock/peer';
 
--- a/packages/daemon/src/peers/rate-sharing.ts
+++ b/packages/daemon/src/peers/rate-sharing.ts
@@ -19,7 +19,7 @@
     readonly rateLimiter: RateLimiter,
     readonly peers: PeerChannel,
     readonly clock: Clock,
-    /** How long after its request a grant is accepted. */
+    /** A grant is accepted for this long after the request was sent. */
     readonly grantTimeoutMs: number,
   ) {}
 
