--- a/packages/daemon/src/leader/autoscaling-loop.ts
+++ b/packages/daemon/src/leader/autoscaling-loop.ts
@@ -117,7 +117,7 @@
 
   /** Whether fleet changes may be requested from the cloud now; checked again before each request. */
   #mayChangeFleet(): boolean {
-    return this.#isLeading() && this.context.leaseValid() && this.context.fresh();
+    return this.#isLeading() && this.context.isLeaseValid() && this.context.isFresh();
   }
 
   async #loop(): Promise<void> {
--- a/packages/daemon/src/leader/leader.ts
+++ b/packages/daemon/src/leader/leader.ts
@@ -120,7 +120,7 @@
     const { context } = this;
     this.#isAssigning = true;
     try {
-      while (this.#isLeading() && context.leaseValid() && context.fresh()) {
+      while (this.#isLeading() && context.isLeaseValid() && context.isFresh()) {
         if (!(await this.#assignOnce())) break;
       }
     } catch (error) {
--- a/packages/daemon/src/owner/owner-writes.ts
+++ b/packages/daemon/src/owner/owner-writes.ts
@@ -48,7 +48,7 @@
   /** Commits one transaction. Returns whether it was committed and the term has not ended since. */
   async #writeOnce(): Promise<boolean> {
     const { context } = this;
-    if (!this.isOwner() || !context.fresh()) return false;
+    if (!this.isOwner() || !context.isFresh()) return false;
     const { writes, urgency } = this.#dueWrites(context.clock.now());
     if (writes.length === 0) return false;
     const batch = this.#fittingWrites(writes);
--- a/packages/daemon/src/owner/partition-owner.ts
+++ b/packages/daemon/src/owner/partition-owner.ts
@@ -107,7 +107,7 @@
   tick(now: number): void {
     for (const name of this.claimTable.tick(now)) this.#writes.membership.removals.add(name);
     this.#announcements.tick(now);
-    if (now - this.#scannedAt > this.context.scanMs) {
+    if (now - this.#scannedAt > this.context.recoveryScanIntervalMs) {
       this.#scannedAt = now;
       this.claimTable.recoverWakes();
     }
@@ -163,10 +163,10 @@
     return (
       this.ownershipTerm.state === 'held' &&
       this.isOwner() &&
-      this.context.leaseValid() &&
+      this.context.isLeaseValid() &&
       watchCache.lastContactAt !== null &&
       // Holds attached to an earlier lease may have passed to another controller: a read under the new lease is needed.
-      watchCache.lastContactAt >= this.context.leaseSince &&
+      watchCache.lastContactAt >= this.context.leaseGrantedAt &&
       now < watchCache.lastContactAt + maxGrantContactAgeMs(clusterConfig)
     );
   }
--- a/packages/daemon/src/ownership/ownership-manager.ts
+++ b/packages/daemon/src/ownership/ownership-manager.ts
@@ -75,7 +75,7 @@
 
   #decide(ownership: Ownership): void {
     const { context } = this;
-    const lease = context.leaseValid() ? context.leaseId : null;
+    const lease = context.isLeaseValid() ? context.leaseId : null;
     const view = context.clusterState.view(ownership.resource);
     const decision = ownership.decide(view, lease, this.#clock.now(), this.#clock.wallNow());
     switch (decision.kind) {
--- a/packages/daemon/src/ownership/partition-releases.ts
+++ b/packages/daemon/src/ownership/partition-releases.ts
@@ -36,7 +36,7 @@
   /** Whether the watch cache is recent and the last read of the store succeeded. */
   #hasStoreContact(): boolean {
     const { context } = this.options;
-    return context.fresh() && context.watchCache.failures === 0;
+    return context.isFresh() && context.watchCache.failures === 0;
   }
 
   /**
@@ -62,7 +62,7 @@
    */
   #releaseExhausted(owners: OwnersById): void {
     const { context, ownership } = this.options;
-    if (!context.fresh()) return;
+    if (!context.isFresh()) return;
     for (const { ownershipTerm, claimTable } of [...owners.values()]) {
       if (ownershipTerm.state !== 'held' || !claimTable.needsNewTerm) continue;
       ownership.release(ownershipTerm, 'attempt numbers exhausted');
