--- a/packages/borrowing/src/accounts.ts
+++ b/packages/borrowing/src/accounts.ts
@@ -1,4 +1,4 @@
-// What each team uses, lends and borrows, in CPUs and GPUs.
+// Resource accounts of teams: what each team uses, lends and borrows, in CPUs and GPUs.
 import {
   type Resources,
   type ClusterConfig,
@@ -14,17 +14,17 @@
 import { parseTaskName } from '@gingerlock/wire';
 import type { PartitionClaims } from './claims';
 
-/** Sums of decimal amounts are compared with this tolerance. */
+/** Tolerance for comparing sums of decimal amounts. */
 const TOLERANCE = 1e-6;
 
-/** The use and the demand of one team. What a team uses is known between two bounds, because heartbeats lag behind. */
+/** The use and the demand of one team. The use is known only as two bounds, because heartbeats lag behind. */
 export interface TeamAccount {
   readonly team: Team;
-  /** Lower bound of its use: what surely runs and no decided reclaim stops. */
+  /** Lower bound of its use: tasks that surely run and that no decided reclaim stops. */
   readonly surelyUsed: Resources;
   /** Upper bound of its use: all tasks that are assigned and not finished. */
   readonly possiblyUsed: Resources;
-  /** What its unschedulable tasks would use besides, within its limit. */
+  /** Resources that its unschedulable tasks would use in addition, within its limit. */
   readonly unschedulable: Resources;
 }
 
@@ -34,17 +34,17 @@
 /** A resource that teams are guaranteed. */
 export type GuaranteedResource = (typeof GUARANTEED_RESOURCES)[number];
 
-/** What the team surely uses beyond its guarantee. */
+/** The amount that the team surely uses beyond its guarantee. */
 export function borrowed({ team, surelyUsed: low }: TeamAccount, resource: GuaranteedResource): number {
   return team[resource] > 0 ? Math.max(0, low[resource] - team[resource]) : hasNoGuarantee(team) ? low[resource] : 0;
 }
 
-/** What of its guarantee the team surely leaves to others. */
+/** The part of its guarantee that the team surely does not use, so that other teams can. */
 export function lent({ team, possiblyUsed: high }: TeamAccount, resource: GuaranteedResource): number {
   return Math.max(0, team[resource] - high[resource]);
 }
 
-/** What of its guarantee the team can claim: no more than it has work for. */
+/** The part of its guarantee that the team can claim: at most what its assigned and unschedulable tasks need. */
 function claimableGuarantee(
   { team, possiblyUsed: high, unschedulable: waiting }: TeamAccount,
   resource: GuaranteedResource,
@@ -52,12 +52,12 @@
   return Math.min(team[resource], high[resource] + waiting[resource]);
 }
 
-/** Whether the team's use stays within its guarantee with the task. */
+/** Whether one more task that needs `need` fits into the team's guarantee. */
 export function isWithinGuarantee({ team, possiblyUsed: high }: TeamAccount, need: Resources): boolean {
   return countWithinGuarantee(team, high, need) > 0;
 }
 
-/** Whether the team keeps all of its guarantee that it can claim when `stopped` of it is preempted. */
+/** Whether the team keeps all of its guarantee that it can claim if its tasks that use `stopped` are preempted. */
 export function keepsGuaranteeWithout(account: TeamAccount, stopped: Resources): boolean {
   return GUARANTEED_RESOURCES.every(
     (resource) =>
@@ -67,9 +67,9 @@
 }
 
 /**
- * By team: GPUs of its guarantee that it has unassigned work for and does not use. A task that no machine holds any
- * more uses none, even if it is not recorded as finished yet: work of others that started on its GPUs would have to be
- * preempted at once.
+ * By team: GPUs of its guarantee that it does not use but has unassigned tasks for. They are held back from other
+ * teams, whose tasks there would have to be preempted at once. GPUs count as unused as soon as no machine holds their
+ * task, even if the task is not recorded as finished yet.
  */
 export function heldBackGpus(
   clusterConfig: ClusterConfig,
@@ -93,19 +93,19 @@
   }
   const heldBack = new Map<string, number>();
   for (const { name, gpus } of clusterConfig.teams.values()) {
-    const missing = Math.min(gpus - (used.get(name) ?? 0), waiting.get(name) ?? 0);
-    if (missing > 0) heldBack.set(name, missing);
+    const claimable = Math.min(gpus - (used.get(name) ?? 0), waiting.get(name) ?? 0);
+    if (claimable > 0) heldBack.set(name, claimable);
   }
   return heldBack;
 }
 
-/** The accounts of all teams, kept up to date while reclaims are planned. */
+/** The accounts of all teams. The planner updates them with each reclaim that it decides. */
 export class Accounts {
   readonly #accountByTeam = new Map<string, TeamAccount>();
 
   /**
-   * @param surelyRunning by team: what surely runs
-   * @param waiting by team: what is unschedulable
+   * @param surelyRunning by team: resources of the tasks that surely run
+   * @param waiting by team: resources of the unschedulable tasks
    */
   constructor(
     clusterConfig: ClusterConfig,
@@ -116,17 +116,17 @@
     const high = teamUse(jobs);
     for (const team of clusterConfig.teams.values()) {
       const { name } = team;
-      const of = (use: ReadonlyMap<string, Resources>): Resources => use.get(name) ?? NO_RESOURCES;
+      const resourcesOf = (use: ReadonlyMap<string, Resources>): Resources => use.get(name) ?? NO_RESOURCES;
       this.#accountByTeam.set(name, {
         team,
-        surelyUsed: of(surelyRunning),
-        possiblyUsed: of(high),
-        unschedulable: of(waiting),
+        surelyUsed: resourcesOf(surelyRunning),
+        possiblyUsed: resourcesOf(high),
+        unschedulable: resourcesOf(waiting),
       });
     }
   }
 
-  /** The account of a team; undefined: the settings have no such team. */
+  /** The account of a team; undefined if the settings have no such team. */
   of(team: string): TeamAccount | undefined {
     return this.#accountByTeam.get(team);
   }
@@ -136,12 +136,12 @@
     return [...this.#accountByTeam.values()];
   }
 
-  /** Accounts for a decided reclaim that stops these resources of the team. */
+  /** Records that a decided reclaim stops tasks of the team with these resources in total. */
   recordStop(team: string, resources: Resources): void {
     this.#change(team, (account) => ({ ...account, surelyUsed: subtractResources(account.surelyUsed, resources) }));
   }
 
-  /** Accounts for unschedulable tasks of the team that a decided reclaim gets these resources. */
+  /** Records that a decided reclaim frees these resources for unschedulable tasks of the team. */
   recordAssignment(team: string, resources: Resources): void {
     this.#change(team, (account) => ({
       ...account,
--- a/packages/borrowing/src/claims-view.ts
+++ b/packages/borrowing/src/claims-view.ts
@@ -1,4 +1,4 @@
-// What the leader knows of the tasks that machines hold, as the planner of reclaims needs it.
+// The reclaim planner's view of the tasks that machines hold, made from what the owners reported to the leader.
 import {
   addResources,
   type ClusterConfig,
@@ -19,12 +19,12 @@
   readonly partitionId: number;
   /** The term of the partition's owner. */
   readonly term: number;
-  /** The tasks that it holds, but for the victims of reclaims in progress. */
+  /** The tasks that it holds, without the victims of reclaims in progress. */
   readonly candidates: readonly Candidate[];
   readonly free: Resources;
 }
 
-/** What the view is made from; see `PlannerInput`. */
+/** Input of the view. `PlannerInput` describes the fields. */
 export interface ClaimsViewInput {
   readonly clusterConfig: ClusterConfig;
   readonly jobs: ReadonlyMap<string, Job>;
@@ -34,9 +34,9 @@
   readonly pending: readonly ReclaimRecord[];
 }
 
-/** The tasks that machines hold: what surely runs, and on which machines tasks may be preempted. */
+/** Which tasks surely run, and on which machines tasks may be preempted. */
 export class ClaimsView {
-  /** By team: the resources of the tasks that run or fetch on healthy machines and that nothing stops. */
+  /** By team: the resources of the tasks that run or fetch on healthy machines and are not being stopped. */
   readonly surelyRunning = new Map<string, Resources>();
   /** By name: the machines on which tasks may be preempted. */
   readonly machinesByName = new Map<string, ReclaimMachine>();
@@ -77,14 +77,14 @@
   #candidateOf(held: HeldTask): Candidate | null {
     const name = parseTaskName(held.task);
     const job = this.input.jobs.get(name?.job ?? '');
-    // The record of a finished task is newer than the list. Counted as running, it would make its team seem to use more
-    // than it does.
+    // A task may be recorded as finished after the owner reported it. Counting it as running would overstate its team's
+    // use.
     if (name === null || job === undefined || job.isFinished(name.index)) return null;
     return this.#victimKeys.has(keyOf(held)) ? null : { held, job };
   }
 }
 
-/** Whether the machine is expected to go on running. What an unhealthy one holds may not run, or not for long. */
+/** Whether the machine is expected to keep running. Tasks on an unhealthy machine may have stopped or may stop soon. */
 function isHealthy(status: MachineStatus, clusterConfig: ClusterConfig): boolean {
   const isSuspect = status.silentMs > clusterConfig.heartbeatIntervalMs * SUSPECT_INTERVALS;
   return !isSuspect && !status.draining && !status.evictionNotice && !status.isQuarantined;
--- a/packages/borrowing/src/claims.ts
+++ b/packages/borrowing/src/claims.ts
@@ -1,4 +1,4 @@
-// What owners report to the leader of the tasks that machines hold: enough to choose the victims of reclaims.
+// The reports of owners to the leader on the tasks that machines hold, from which victims of reclaims are chosen.
 import type { Claim } from '@gingerlock/core';
 
 /** One task that a machine holds. */
@@ -6,9 +6,9 @@
   readonly task: string;
   readonly attempt: number;
   readonly stage: Claim['stage'];
-  /** How long it has run, in milliseconds; 0 while it does not. */
+  /** How long it has run, in milliseconds; 0 if it does not run. */
   readonly runMs: number;
-  /** A stop command has been issued. */
+  /** Whether a stop command has been issued. */
   readonly stopping: boolean;
 }
 
@@ -18,14 +18,12 @@
   readonly held: readonly HeldTask[];
 }
 
-/** The tasks that the machines of one partition hold, as its owner reported them. */
+/** The tasks that the machines of one partition hold, as reported by its owner. */
 export interface PartitionClaims {
   readonly partitionId: number;
   /** The owner's term. */
   readonly term: number;
-  /**
-   * Revision of the owner's watch cache: tasks that were stopped by reclaims that ended by then are not in the list.
-   */
+  /** Revision of the owner's watch cache. The list has no tasks stopped by reclaims that were over at this revision. */
   readonly revision: number;
   readonly machines: readonly MachineClaims[];
 }
--- a/packages/borrowing/src/execution.ts
+++ b/packages/borrowing/src/execution.ts
@@ -1,5 +1,5 @@
-// How the owner of a partition carries out reclaims on its machines. Only the record of a reclaim is stored: after a
-// failover the new owner begins at `decided` and finds out from heartbeats how far it is.
+// Execution of reclaims by the owner of a partition, on its machines. Only the record of a reclaim is stored, not its
+// state: after a failover the new owner begins at `decided` and derives the state from heartbeats.
 import {
   type Resources,
   type ClaimTable,
@@ -17,13 +17,13 @@
  * The states of a reclaim:
  * - decided: the record is stored; nothing is stopped yet.
  * - stopping: the victims are being stopped, and some may still run.
- * - freed: no victim runs; what they used is reserved for the tasks that the reclaim is for.
- * - granted: the tasks are on a machine, here or elsewhere. The record is removed.
- * - withdrawn: the tasks will not start here. The record is removed, and victims that still run go on.
+ * - freed: the victims no longer run; their resources are reserved for the tasks that the reclaim is for.
+ * - granted: the tasks are held by the machine of the reclaim or by another one. The record is removed.
+ * - withdrawn: the tasks will not start here. The record is removed; victims without a stop command keep running.
  */
 export type ReclaimState = 'decided' | 'stopping' | 'freed' | 'granted' | 'withdrawn';
 
-/** The states that may follow each state; none: it is final. */
+/** The states that may follow each state; a final state has none. */
 const RECLAIM_TRANSITIONS: Record<ReclaimState, readonly ReclaimState[]> = {
   decided: ['stopping', 'freed', 'granted', 'withdrawn'],
   stopping: ['freed', 'granted', 'withdrawn'],
@@ -32,13 +32,13 @@
   withdrawn: [],
 };
 
-/** Why a reclaim was withdrawn. The texts are written to the log, where operators look for them. */
+/** Why a reclaim was withdrawn. The texts are part of the log, which operators search. */
 export type WithdrawReason =
   'its tasks are gone' | 'its machine takes no work' | 'its room was taken' | 'it took too long';
 
 /** Receives the state changes of all reclaims of a partition. */
 export interface ReclaimListener {
-  /** A reclaim has changed its state; `detail` belongs to the line of the log. */
+  /** Called after a reclaim has changed its state; `detail` holds additional fields for the log line. */
   stateChanged(reclaim: Reclaim, detail: Record<string, unknown>): void;
 }
 
@@ -47,7 +47,7 @@
   #state: ReclaimState = 'decided';
   #withdrawReason: WithdrawReason | null = null;
 
-  /** @param id names the record within the partition */
+  /** @param id identifies the record within the partition */
   constructor(
     readonly id: string,
     readonly record: ReclaimRecord,
@@ -58,7 +58,7 @@
     return this.#state;
   }
 
-  /** Why it was withdrawn; null: it was not. */
+  /** Why it was withdrawn; null if it was not. */
   get withdrawReason(): WithdrawReason | null {
     return this.#withdrawReason;
   }
@@ -68,7 +68,7 @@
     return RECLAIM_TRANSITIONS[this.#state].length === 0;
   }
 
-  /** The only function that changes the state. */
+  /** Changes the state; nothing else does. */
   #transitionTo(next: ReclaimState, detail: Record<string, unknown> = {}): void {
     if (!RECLAIM_TRANSITIONS[this.#state].includes(next))
       throw new Error(`reclaim ${this.id}: no transition from ${this.#state} to ${next}`);
@@ -82,7 +82,7 @@
   }
 
   /**
-   * Goes as far as what is known allows; returns the tasks that are to be stopped now.
+   * Advances the state as far as the claim table allows, and returns the victims to stop now.
    * @param wallNow time of day, in milliseconds
    * @param now steady time, in milliseconds
    */
@@ -116,7 +116,7 @@
   ): readonly TaskEntry[] {
     const need = sumOf(waiting);
     const available = addResources(table.freeResources(machine), sumOf(victims));
-    // Victims are stopped only if that makes the waiting tasks fit.
+    // Victims are stopped only if the waiting tasks fit after that.
     if (!fitsIn(need, available)) {
       this.#withdraw('its room was taken');
       return [];
@@ -132,7 +132,7 @@
   }
 }
 
-/** The tasks that the reclaim is for, as far as the table has them. */
+/** The tasks that the reclaim is for and that are in the table. */
 function tasksOf(table: ClaimTable, { job, tasks }: ReclaimRecord): TaskEntry[] {
   return tasks.flatMap((index) => table.findTask(taskName(job, index)) ?? []);
 }
@@ -149,7 +149,7 @@
   return tasksOf(table, record).some(({ state }) => state === 'claimed' || state === 'finishing');
 }
 
-/** The victims that the machine still holds, in the attempts that the record names. */
+/** The victims of which the machine still holds the attempt that the record names. */
 function heldVictims(table: ClaimTable, { machine, victims }: ReclaimRecord): TaskEntry[] {
   return victims.flatMap(({ task, attempt }) => {
     const entry = table.findTask(task);
@@ -157,7 +157,7 @@
   });
 }
 
-/** Whether the owner is new and has not had a heartbeat of the machine yet. */
+/** Whether a new owner has not yet received a heartbeat from the machine with its own fencing token. */
 function isUnconfirmed(table: ClaimTable, name: string): boolean {
   const machine = table.machines.get(name);
   return (
@@ -174,13 +174,13 @@
   return tasks.reduce((sum, task) => addResources(sum, task.job.spec), NO_RESOURCES);
 }
 
-/** The reclaims of one partition, and the resources that they reserve. */
+/** The reclaims of one partition and the resources that they reserve. */
 export class PartitionReclaims implements Reservations {
   readonly #reclaimById = new Map<string, Reclaim>();
   #reclaimByTask = new Map<string, Reclaim>();
   #reclaimsByMachine = new Map<string, Reclaim[]>();
 
-  /** The partition's claim table; set once, right after both were made. */
+  /** The partition's claim table. Table and reclaims refer to each other, so it is set after construction. */
   table: ClaimTable | null = null;
 
   constructor(readonly listener: ReclaimListener) {}
@@ -190,7 +190,7 @@
     return [...this.#reclaimById.values()];
   }
 
-  /** The reclaims whose records are to be removed. */
+  /** The reclaims that are over, so that their records can be removed. */
   get over(): readonly Reclaim[] {
     return this.all.filter((reclaim) => reclaim.isOver);
   }
@@ -224,7 +224,7 @@
     }
   }
 
-  /** Takes the next steps of all reclaims, as `Reclaim.step` does; returns the tasks that are to be stopped now. */
+  /** Runs `Reclaim.step` on all reclaims, and returns the victims to stop now. */
   step(table: ClaimTable, wallNow: number, now: number): readonly TaskEntry[] {
     return this.all.flatMap((reclaim) => reclaim.step(table, wallNow, now));
   }
--- a/packages/borrowing/src/index.ts
+++ b/packages/borrowing/src/index.ts
@@ -1,4 +1,4 @@
-// Borrowing of GPUs between teams, and reclaims of what is borrowed. See docs/borrowing-design.md.
+// Borrowing of GPUs between teams, and reclaims of borrowed GPUs. See docs/borrowing-design.md.
 export * from './accounts';
 export * from './claims';
 export * from './execution';
--- a/packages/borrowing/src/planner.ts
+++ b/packages/borrowing/src/planner.ts
@@ -1,5 +1,5 @@
-// Plans reclaims for the leader: for which unschedulable tasks running ones are preempted, which ones and where. See
-// docs/borrowing-design.md.
+// Plans reclaims for the leader: which running tasks to preempt, on which machines, and for which unschedulable tasks.
+// See docs/borrowing-design.md.
 import {
   type Resources,
   type ClusterConfig,
@@ -31,23 +31,21 @@
   type VictimChoice,
 } from './victims';
 
-/** A reclaim: on one machine, tasks are preempted to free capacity for some tasks of one job. */
+/** A decided reclaim: the preemption of tasks on one machine, to free capacity for some tasks of one job. */
 export interface Decision {
   readonly job: Job;
   readonly tasks: readonly number[];
-  /** Where each of `tasks` is assigned, in the same order. */
+  /** The placement of each of `tasks`, in the same order. */
   readonly placements: readonly Placement[];
   readonly machine: string;
   /** The tasks to preempt. */
   readonly victims: readonly TaskAttempt[];
   readonly reason: ReclaimReason;
-  /** What the preemption costs. */
+  /** The cost of the preemption. */
   readonly loss: Loss;
 }
 
-/**
- * Why nothing is reclaimed for unschedulable tasks. The texts are written to the log, where operators look for them.
- */
+/** Why nothing is reclaimed for unschedulable tasks. The texts are part of the log, which operators search. */
 export type RefusalReason =
   | 'no task may be stopped for it'
   | 'others would fall below their guarantees'
@@ -58,44 +56,44 @@
 /** Tasks for which nothing is reclaimed. */
 export interface Refused {
   readonly job: Job;
-  /** How many. */
+  /** The number of tasks. */
   readonly tasks: number;
   readonly why: RefusalReason;
-  /** The account of the job's team at that moment of the planning. */
+  /** The account of the job's team when the planner refused the tasks. */
   readonly account: TeamAccount;
 }
 
-/** What reclaims are planned by. */
+/** Input of `planReclaims`. */
 export interface PlannerInput {
   readonly clusterConfig: ClusterConfig;
   readonly settings: BorrowingSettings;
   readonly jobs: ReadonlyMap<string, Job>;
-  /** The demand that has found no free resources, the most urgent first. */
+  /** The demand for which there are no free resources, the most urgent first. */
   readonly unschedulable: readonly UnschedulableDemand[];
   readonly statuses: readonly PartitionStatus[];
   /** Free resources after all assignments, by the name of each machine that takes work. */
   readonly free: ReadonlyMap<string, Resources>;
-  /** The tasks that machines hold, for the partitions whose owners have reported them. */
+  /** The tasks that machines hold; a partition is absent until its owner has reported them. */
   readonly claims: readonly PartitionClaims[];
   /** Reclaims in progress. */
   readonly pending: readonly ReclaimRecord[];
-  /** The most that may be decided now. */
+  /** The maximum number of reclaims to decide now. */
   readonly maxDecisions: number;
-  /** The time until a machine that is rented now could run a task of the job, in milliseconds. */
+  /** How long until a machine that is rented now could run a task of the job, in milliseconds. */
   readonly scaleOutMs: (job: Job) => number;
-  /** The time until a stopped task is known to be gone, in milliseconds, without the time that it takes to save. */
+  /** How long until a stopped task is known to be gone, in milliseconds, excluding the time that it gets to save. */
   readonly stopMs: number;
 }
 
-/** What is to be reclaimed, and what is not. */
+/** The decided reclaims, and the demand for which nothing is reclaimed. */
 export interface Plan {
   readonly decisions: readonly Decision[];
   readonly refused: readonly Refused[];
-  /** The accounts of all teams once the decisions are carried out. */
+  /** The accounts of all teams after the decisions. */
   readonly accounts: readonly TeamAccount[];
 }
 
-/** Decides on reclaims for unschedulable demand, in its order. The input is left unchanged. */
+/** Decides on reclaims for the unschedulable demand, in its order. Does not change the input. */
 export function planReclaims(input: PlannerInput): Plan {
   return new Planner(input).run();
 }
@@ -103,7 +101,7 @@
 class Planner {
   readonly #input: PlannerInput;
   readonly #accounts: Accounts;
-  /** By name: machines on which tasks may be preempted, and that no decision uses yet. */
+  /** By name: machines on which tasks may be preempted and for which no reclaim is decided yet. */
   readonly #machinesByName: Map<string, ReclaimMachine>;
   readonly #decisions: Decision[] = [];
   readonly #refused: Refused[] = [];
@@ -137,7 +135,7 @@
     if (this.#accounts.of(job.spec.team) === undefined) return;
     let remaining = count;
     const tasks = unassignedTasks(job, count);
-    const zones = new ZoneChoice(job, () => this.#richestZone(job));
+    const zones = new ZoneChoice(job, () => this.#zoneWithMostMachines(job));
     while (remaining > 0) {
       if (this.#decisions.length >= this.#allowedDecisions)
         return this.#refuse(job, remaining, 'enough reclaims under way');
@@ -154,12 +152,12 @@
     this.#refused.push({ job, tasks, why, account: this.#accounts.of(job.spec.team)! });
   }
 
-  /** The victims for one more task of the job on the machine. */
+  /** The victims for one more task of the job on the machine; null if preemption cannot free enough. */
   #choose(job: Job, { free, candidates }: ReclaimMachine): VictimChoice | null {
     return chooseVictims(job, job.spec, free, candidates, this.#accounts);
   }
 
-  /** The machine on which preempting for one task of the job costs least; among equals one that has the image. */
+  /** The machine on which preempting for one task of the job costs least; among equals, one that has the image. */
   #cheapestMachine(job: Job, zones: ZoneChoice): ReclaimMachine | null {
     let best: ReclaimMachine | null = null;
     let bestLoss: Loss | null = null;
@@ -177,7 +175,7 @@
     return best;
   }
 
-  /** Decides on a reclaim for as many of the first tasks as the machine can be made to hold; returns their number. */
+  /** Decides on a reclaim for as many of the tasks as fit on the machine after preemption; returns their number. */
   #reclaimOn(machine: ReclaimMachine, job: Job, tasks: readonly number[], zones: ZoneChoice): number {
     const { status, partitionId, term } = machine;
     const placements: Placement[] = [];
@@ -223,7 +221,7 @@
     this.#accounts.recordAssignment(job.spec.team, job.spec);
   }
 
-  /** Why no machine can be made to hold a task of the job. */
+  /** Why no machine can free enough for a task of the job. */
   #refusalReason(job: Job): RefusalReason {
     const { claims, statuses } = this.#input;
     if (claims.length < statuses.length) return 'what machines hold is not known';
@@ -237,16 +235,16 @@
     return hasCandidate ? 'others would fall below their guarantees' : 'no task may be stopped for it';
   }
 
-  /** The zone with the most machines that can be made to hold a task, for a job of one zone that has no task yet. */
-  #richestZone(job: Job): string | null {
+  /** The zone for a one-zone job without tasks yet: the one with the most machines that fit a task after preemption. */
+  #zoneWithMostMachines(job: Job): string | null {
     const machinesByZone = new Map<string, number>();
     for (const machine of this.#machinesByName.values()) {
       if (!mayRunOn(job, machine) || this.#choose(job, machine) === null) continue;
       const { zone } = machine.status;
       machinesByZone.set(zone, (machinesByZone.get(zone) ?? 0) + 1);
     }
-    const richest = [...machinesByZone].sort((a, b) => b[1] - a[1])[0];
-    return job.spec.zone ?? richest?.[0] ?? null;
+    const largest = [...machinesByZone].sort((a, b) => b[1] - a[1])[0];
+    return job.spec.zone ?? largest?.[0] ?? null;
   }
 }
 
@@ -258,7 +256,7 @@
   return status.images.includes(spec.image);
 }
 
-/** The machine once the victims are stopped and one task of the job runs in their place. */
+/** The machine after the victims are stopped and one task of the job is placed there. */
 function afterReclaim(machine: ReclaimMachine, { victims }: VictimChoice, job: Job): ReclaimMachine {
   const stopped = new Set(victims);
   const freed = victims.reduce((sum, victim) => addResources(sum, victim.job.spec), machine.free);
--- a/packages/borrowing/src/settings.ts
+++ b/packages/borrowing/src/settings.ts
@@ -1,31 +1,31 @@
-// The operators' settings of borrowing, and the times that follow from the platform's settings.
+// The operators' settings for borrowing, and the times derived from the platform's settings.
 import type { ClusterConfig } from '@gingerlock/core';
 
-/** What operators set for borrowing. */
+/** Settings of borrowing that operators may change. */
 export interface BorrowingSettings {
-  /** The share of the machines that may have a reclaim in progress at once; one machine always may. */
+  /** The largest share of the machines with a reclaim in progress at once; one machine is always allowed. */
   readonly maxShare: number;
 }
 
-/** What holds for settings that are left out. */
+/** The values of settings that are not set. */
 export const BORROWING_DEFAULTS: BorrowingSettings = { maxShare: 0.25 };
 
-/** A stopped task gets this many times what it says it needs for saving. */
+/** A stopped task gets the save time that its job states, multiplied by this factor. */
 const SAVE_GRACE_FACTOR = 1.25;
 
-/** How long a task that a reclaim stops gets to save, in seconds; 0: it never saves. */
+/** How long a task that a reclaim stops gets to save, in seconds; 0 if the task has no checkpoints. */
 export function saveGraceS(spec: { readonly checkpointS: number; readonly saveS: number }): number {
   return spec.checkpointS > 0 ? spec.saveS * SAVE_GRACE_FACTOR : 0;
 }
 
 /**
- * The longest that a reclaim may take, in milliseconds; then it is withdrawn, whatever its state, so that no capacity
- * is reserved for ever. It covers the saving of the victims and, after a failover of the partition, the first
+ * Time limit of a reclaim, in milliseconds. After it the reclaim is withdrawn in any state, so that it does not reserve
+ * capacity for ever. The limit allows for the victims to save and, after a failover of the partition, for the first
  * heartbeats of its machines.
  */
 export function reclaimBoundMs(clusterConfig: ClusterConfig, longestGraceS: number): number {
   return clusterConfig.cancellationBoundMs + longestGraceS * 1000;
 }
 
-/** The leader withdraws a reclaim that its owner has left in progress for this many times `reclaimBoundMs`. */
+/** The leader removes a reclaim that is still in progress after this many times `reclaimBoundMs`. */
 export const ABANDONED_BOUNDS = 2;
--- a/packages/borrowing/src/victims.ts
+++ b/packages/borrowing/src/victims.ts
@@ -1,5 +1,5 @@
-// Victims of a reclaim: which tasks of one machine are preempted for a task of another team or of higher priority, and
-// what that costs.
+// Chooses the victims of a reclaim: the tasks of one machine to preempt for a task of another team or of higher
+// priority, and the cost of that.
 import { type Resources, fitsIn, type Job, NO_RESOURCES, addResources, subtractResources } from '@gingerlock/core';
 import { PRIORITIES } from '@gingerlock/wire';
 import { type Accounts, keepsGuaranteeWithout, isWithinGuarantee } from './accounts';
@@ -7,10 +7,10 @@
 import { saveGraceS } from './settings';
 
 /**
- * A start counts for users only if nothing stops the task within 30 s (PROTOCOL): tasks that have run for less are
- * preempted last.
+ * A start counts for users only if the task is not stopped within 30 s (PROTOCOL). So tasks that have run for less are
+ * preempted last, among batch tasks and among replicas.
  */
-const COUNTED_START_MS = 30_000;
+const MIN_COUNTED_RUN_MS = 30_000;
 
 /** Replicas of services of this priority are never preempted. */
 const PRODUCTION_PRIORITY = PRIORITIES.indexOf('production');
@@ -18,62 +18,62 @@
 /** Why a task may be preempted: for work of higher priority, or to give a team its guarantee. */
 export type ReclaimReason = 'priority' | 'guarantee';
 
-/** A task that a machine holds, with its job: it may be preempted if `isStoppable` and `reasonToStop` say so. */
+/** A task that a machine holds, and its job. `isStoppable` and `reasonToStop` tell whether it may be preempted. */
 export interface Candidate {
   readonly held: HeldTask;
   readonly job: Job;
 }
 
-/** What preempting some tasks costs. The figures are compared one after the other, in this order. */
+/** The cost of preempting some tasks. `compareLoss` compares the fields in this order. */
 export interface Loss {
-  /** Replicas of services. */
+  /** Number of replicas of services. */
   readonly replicas: number;
-  /** Tasks whose start would not count for users; see `COUNTED_START_MS`. */
-  readonly young: number;
-  /** Work that has to be done again, in GPU seconds. */
+  /** Number of tasks that have run for less than `MIN_COUNTED_RUN_MS`. */
+  readonly recentStarts: number;
+  /** Work that has to be repeated, in GPU seconds. */
   readonly work: number;
-  /** All tasks. */
+  /** Number of tasks. */
   readonly tasks: number;
 }
 
 /** The loss of preempting nothing. */
-export const NO_LOSS: Loss = { replicas: 0, young: 0, work: 0, tasks: 0 };
+export const NO_LOSS: Loss = { replicas: 0, recentStarts: 0, work: 0, tasks: 0 };
 
-/** Compares as functions for `sort` do: less than 0 if `a` is the smaller loss. */
+/** Comparator for `sort`: less than 0 if `a` is the smaller loss. */
 export function compareLoss(a: Loss, b: Loss): number {
-  return a.replicas - b.replicas || a.young - b.young || a.work - b.work || a.tasks - b.tasks;
+  return a.replicas - b.replicas || a.recentStarts - b.recentStarts || a.work - b.work || a.tasks - b.tasks;
 }
 
-/** The loss of preempting both. */
+/** The sum of two losses. */
 export function addLoss(a: Loss, b: Loss): Loss {
   return {
     replicas: a.replicas + b.replicas,
-    young: a.young + b.young,
+    recentStarts: a.recentStarts + b.recentStarts,
     work: a.work + b.work,
     tasks: a.tasks + b.tasks,
   };
 }
 
 /**
- * Work that has to be done again if the task is preempted, in GPU seconds; tasks without GPUs count a little by their
- * CPUs.
+ * Work that has to be repeated if the task is preempted, in GPU seconds. A task counts with its GPUs, or with a
+ * thousandth of its CPUs if that is more.
  */
 function lostWork({ held, job: { spec } }: Candidate): number {
   const size = Math.max(spec.gpus, spec.cpus / 1000);
   const runS = held.runMs / 1000;
-  // A task with checkpoints saves when it is stopped: only the time that saving takes is lost.
+  // A task with checkpoints saves when it is stopped, so it loses only the time that saving takes.
   const lostS = spec.checkpointS > 0 ? Math.min(runS, saveGraceS(spec)) : runS;
   return lostS * size;
 }
 
 function lossOf(candidate: Candidate): Loss {
   const isReplica = candidate.job.spec.kind === 'service';
-  const isYoung = candidate.held.stage === 'running' && candidate.held.runMs < COUNTED_START_MS;
-  return { replicas: isReplica ? 1 : 0, young: isYoung ? 1 : 0, work: lostWork(candidate), tasks: 1 };
+  const isRecentStart = candidate.held.stage === 'running' && candidate.held.runMs < MIN_COUNTED_RUN_MS;
+  return { replicas: isReplica ? 1 : 0, recentStarts: isRecentStart ? 1 : 0, work: lostWork(candidate), tasks: 1 };
 }
 
 /**
- * Why a task of `victim` may be preempted for `job`; null: it may not. See PROTOCOL, "Preemption", and
+ * Why a task of `victim` may be preempted for `job`; null if it may not. See PROTOCOL, "Preemption", and
  * docs/borrowing-design.md.
  */
 export function reasonToStop(job: Job, victim: Job, accounts: Accounts): ReclaimReason | null {
@@ -85,8 +85,8 @@
 }
 
 /**
- * Members of replica groups and replicas of production services are never preempted, and replicas of other services not
- * for a service of lower priority.
+ * Whether preemption of `victim` for `job` is ruled out: members of replica groups and replicas of production services
+ * are never preempted, and replicas of other services are not preempted for a service of lower priority.
  */
 function isProtectedReplica(job: Job, victim: Job): boolean {
   if (victim.isGroup) return true;
@@ -98,37 +98,41 @@
 }
 
 /**
- * Whether the victim's team keeps its guarantee without this task and what else is preempted of it here. Within one
- * team, priority alone decides.
- * @param stopped by team: what is preempted already
+ * Whether the guarantee of the victim's team allows the preemption of this task. Within one team, only priority counts.
+ * @param stopped by team: resources of the victims chosen before
  */
-function mayLose(victim: Job, job: Job, stopped: ReadonlyMap<string, Resources>, accounts: Accounts): boolean {
+function isAllowedByGuarantee(
+  victim: Job,
+  job: Job,
+  stopped: ReadonlyMap<string, Resources>,
+  accounts: Accounts,
+): boolean {
   const { team } = victim.spec;
   if (team === job.spec.team) return true;
   const account = accounts.of(team);
-  // The tasks of a team that is gone from the settings are left alone.
+  // The guarantee of a team that is not in the settings is unknown, so its tasks are not preempted.
   if (account === undefined) return false;
   return keepsGuaranteeWithout(account, addResources(stopped.get(team) ?? NO_RESOURCES, victim.spec));
 }
 
-/** The victims for one task, and what they cost. */
+/** The victims for one task, and the cost of preempting them. */
 export interface VictimChoice {
   readonly victims: readonly Candidate[];
-  /** Null: there are no victims, as the task fits without. */
+  /** Null if there are no victims because the task fits without preemption. */
   readonly reason: ReclaimReason | null;
   readonly loss: Loss;
-  /** The longest time that one of them gets to save, in seconds. */
+  /** The longest time that any victim gets to save, in seconds. */
   readonly graceS: number;
 }
 
-/** Whether the task may be preempted at all: it runs or fetches its image, and nothing stops it already. */
+/** Whether the task may be preempted at all: it runs or fetches its image, and is not being stopped. */
 export function isStoppable({ held, job }: Candidate): boolean {
   return !held.stopping && !job.isCancelled && (held.stage === 'running' || held.stage === 'fetching');
 }
 
 /**
- * The tasks to preempt so that `need` fits into what they leave and `free`: replicas only if batch work is not enough,
- * then the least lost work, then the fewest. Null: what may be preempted is not enough.
+ * Chooses the tasks to preempt so that `need` fits into `free` and what they use. Candidates are taken in the order of
+ * `compareLoss`; among equals, the least urgent first. Null if preempting all that may be preempted is not enough.
  */
 export function chooseVictims(
   job: Job,
@@ -148,7 +152,7 @@
   let available = free;
   for (const { candidate } of byLoss) {
     if (fitsIn(need, available)) break;
-    if (!mayLose(candidate.job, job, stopped, accounts)) continue;
+    if (!isAllowedByGuarantee(candidate.job, job, stopped, accounts)) continue;
     const { spec } = candidate.job;
     chosen.push(candidate);
     stopped.set(spec.team, addResources(stopped.get(spec.team) ?? NO_RESOURCES, spec));
@@ -158,7 +162,7 @@
   return choiceOf(job, withoutUnneeded(chosen, need, available), accounts);
 }
 
-/** Leaves out victims that a later, larger one has made unnecessary, the costliest first. */
+/** Removes victims that are not needed because larger ones were chosen after them, the costliest first. */
 function withoutUnneeded(chosen: readonly Candidate[], need: Resources, available: Resources): Candidate[] {
   let remaining = available;
   const needed: Candidate[] = [];
--- a/packages/borrowing/test/execution.test.ts
+++ b/packages/borrowing/test/execution.test.ts
@@ -1,4 +1,4 @@
-// The states of a reclaim at the owner of its machine, driven by what a claim table knows.
+// Execution of reclaims by the owner of their machine: the state transitions that follow from its claim table.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ClaimTable, JobTable, type TaskEntry } from '@gingerlock/core';
@@ -7,7 +7,7 @@
 import { clusterConfigOf, jobOf, teamOf } from './fixtures';
 
 const CLUSTER_CONFIG = clusterConfigOf([teamOf('red', 4), teamOf('blue', 4)]);
-const BOX = {
+const MACHINE_TYPE = {
   name: 'box',
   cpus: 100,
   gpus: 4,
@@ -21,12 +21,14 @@
 };
 const TERM = 3;
 
-/** One machine full of a batch job's tasks, and a service of two replicas that is to run there instead. */
-class Scene {
+/** One machine full of a batch job's tasks, and a service of two replicas that waits for its resources. */
+class ReclaimFixture {
   readonly jobs = new JobTable(() => 64);
   readonly table: ClaimTable;
-  readonly moves: string[] = [];
-  readonly reclaims = new PartitionReclaims({ stateChanged: (reclaim) => this.moves.push(moveOf(reclaim)) });
+  readonly transitions: string[] = [];
+  readonly reclaims = new PartitionReclaims({
+    stateChanged: (reclaim) => this.transitions.push(transitionOf(reclaim)),
+  });
   now = 1000;
   #sequenceNumber = 0;
   #tasks: ReportedTask[] = [];
@@ -41,7 +43,7 @@
       fencedUntil: 0,
       openedAt: 0,
       jobs: this.jobs,
-      types: () => new Map([[BOX.name, BOX]]),
+      types: () => new Map([[MACHINE_TYPE.name, MACHINE_TYPE]]),
       membership: [],
       reservations: this.reclaims,
       preempts: false,
@@ -70,7 +72,7 @@
     this.jobs.applyJob(id, jobRecord.write(record), ++this.now);
   }
 
-  /** The machine reports all it has, and does as the answer says. */
+  /** Sends a heartbeat with all tasks of the machine, and carries out the commands in the answer. */
   report(): void {
     this.now += 100;
     const heartbeat: Heartbeat = {
@@ -88,12 +90,12 @@
     const outcome = this.table.handleHeartbeat(heartbeat, this.now, true);
     assert.equal(outcome.kind, 'answer');
     for (const command of outcome.kind === 'answer' ? outcome.commands : []) {
-      const isIt = (t: ReportedTask): boolean => t.task === command.task && t.attempt === command.attempt;
+      const isTarget = (t: ReportedTask): boolean => t.task === command.task && t.attempt === command.attempt;
       if (command.op === 'start') {
         const { task, attempt } = command;
         this.#tasks = [...this.#tasks, { task, attempt, state: 'running', cause: null, saved: false }];
-      } else if (command.op === 'forget') this.#tasks = this.#tasks.filter((t) => !isIt(t));
-      else this.#tasks = this.#tasks.map((t) => (isIt(t) ? { ...t, state: 'exited', cause: 'stopped' } : t));
+      } else if (command.op === 'forget') this.#tasks = this.#tasks.filter((t) => !isTarget(t));
+      else this.#tasks = this.#tasks.map((t) => (isTarget(t) ? { ...t, state: 'exited', cause: 'stopped' } : t));
     }
   }
 
@@ -101,7 +103,7 @@
     return [...this.table.machines.get('m')!.claims.values()];
   }
 
-  recordOf(victims: number, over: Partial<ReclaimRecord> = {}): ReclaimRecord {
+  recordOf(victims: number, overrides: Partial<ReclaimRecord> = {}): ReclaimRecord {
     const chosen = this.held().slice(0, victims);
     return {
       machine: 'm',
@@ -110,7 +112,7 @@
       victims: chosen.map((task) => ({ task: task.name, attempt: task.claim!.attempt })),
       decidedAt: 0,
       reason: 'priority',
-      ...over,
+      ...overrides,
     };
   }
 
@@ -120,79 +122,79 @@
   }
 }
 
-function moveOf({ state, withdrawReason }: Reclaim): string {
+function transitionOf({ state, withdrawReason }: Reclaim): string {
   return withdrawReason === null ? state : `${state}: ${withdrawReason}`;
 }
 
-test('victims are stopped with the time that they need to save, and what they free goes to no one else', () => {
-  const scene = new Scene(4);
-  const record = scene.recordOf(2);
-  const stopped = scene.step(record);
+test('victims get time to save, and the resources that they free go only to the tasks of the reclaim', () => {
+  const fixture = new ReclaimFixture(4);
+  const record = fixture.recordOf(2);
+  const stopped = fixture.step(record);
   assert.deepEqual(
     stopped.map((task) => [task.name, task.claim!.stopGraceS]),
     record.victims.map(({ task }) => [task, 5]),
   );
-  // Work that is as urgent and came earlier waits for capacity, too.
-  scene.store('j-000000', jobOf('j-000000', { kind: 'service', priority: 'production' }).spec, 4);
-  scene.table.syncJob('j-000000', scene.now);
-  assert.deepEqual(scene.step(record), []);
-  scene.report();
-  scene.report();
-  scene.step(record);
-  scene.report();
-  scene.step(record);
-  const names = scene.held().map((task) => task.job.id);
+  // A more urgent job that came earlier waits for capacity, too.
+  fixture.store('j-000000', jobOf('j-000000', { kind: 'service', priority: 'production' }).spec, 4);
+  fixture.table.syncJob('j-000000', fixture.now);
+  assert.deepEqual(fixture.step(record), []);
+  fixture.report();
+  fixture.report();
+  fixture.step(record);
+  fixture.report();
+  fixture.step(record);
+  const names = fixture.held().map((task) => task.job.id);
   assert.deepEqual(names.filter((id) => id !== 'j-000001').sort(), ['j-000002', 'j-000002']);
-  assert.deepEqual(scene.moves, ['stopping', 'granted']);
+  assert.deepEqual(fixture.transitions, ['stopping', 'granted']);
 });
 
-test('a new owner goes on with a reclaim from the record and the reports alone', () => {
-  const scene = new Scene();
-  const record = scene.recordOf(2);
-  scene.step(record);
-  scene.report();
-  const successor = new PartitionReclaims({ stateChanged: (reclaim) => scene.moves.push(reclaim.state) });
-  successor.table = scene.table;
-  scene.table.reservations = successor;
+test('a new owner continues a reclaim from its record and the heartbeats alone', () => {
+  const fixture = new ReclaimFixture();
+  const record = fixture.recordOf(2);
+  fixture.step(record);
+  fixture.report();
+  const successor = new PartitionReclaims({ stateChanged: (reclaim) => fixture.transitions.push(reclaim.state) });
+  successor.table = fixture.table;
+  fixture.table.reservations = successor;
   successor.sync(new Map([['1-1', record]]));
-  successor.step(scene.table, 0, scene.now);
-  scene.report();
-  successor.step(scene.table, 0, scene.now);
-  scene.report();
-  successor.step(scene.table, 0, scene.now);
+  successor.step(fixture.table, 0, fixture.now);
+  fixture.report();
+  successor.step(fixture.table, 0, fixture.now);
+  fixture.report();
+  successor.step(fixture.table, 0, fixture.now);
   assert.equal(successor.all[0]!.state, 'granted');
 });
 
-test('nobody is stopped in vain: with too few victims, or another attempt of one, the reclaim is withdrawn', () => {
-  const few = new Scene();
+test('a reclaim is withdrawn and stops no task if its victims are too few or have other attempt numbers', () => {
+  const few = new ReclaimFixture();
   assert.deepEqual(few.step(few.recordOf(1)), []);
-  const other = new Scene();
+  const other = new ReclaimFixture();
   const record = other.recordOf(2);
   const victims = record.victims.map((victim) => ({ ...victim, attempt: victim.attempt + 1 }));
   assert.deepEqual(other.step({ ...record, victims }), []);
-  for (const scene of [few, other]) {
-    assert.deepEqual(scene.moves, ['withdrawn: its room was taken']);
-    assert.equal(scene.table.reservations.reservedOn('m').gpus, 0);
+  for (const fixture of [few, other]) {
+    assert.deepEqual(fixture.transitions, ['withdrawn: its room was taken']);
+    assert.equal(fixture.table.reservations.reservedOn('m').gpus, 0);
   }
 });
 
-test('a reclaim ends when its job is cancelled, its machine takes no more work, or its time is over', () => {
-  const cancelled = new Scene();
+test('a reclaim is withdrawn if its job is cancelled, its machine takes no work, or its time limit is exceeded', () => {
+  const cancelled = new ReclaimFixture();
   const record = cancelled.recordOf(2);
   cancelled.step(record);
   cancelled.jobs.markCancelled('j-000002');
   cancelled.step(record);
-  assert.deepEqual(cancelled.moves, ['stopping', 'withdrawn: its tasks are gone']);
+  assert.deepEqual(cancelled.transitions, ['stopping', 'withdrawn: its tasks are gone']);
 
-  const drained = new Scene();
+  const drained = new ReclaimFixture();
   drained.table.machines.get('m')!.draining = true;
   assert.deepEqual(drained.step(drained.recordOf(2)), []);
-  assert.deepEqual(drained.moves, ['withdrawn: its machine takes no work']);
+  assert.deepEqual(drained.transitions, ['withdrawn: its machine takes no work']);
 
-  const late = new Scene(4);
+  const late = new ReclaimFixture(4);
   const bound = reclaimBoundMs(CLUSTER_CONFIG, 5);
   late.step(late.recordOf(2), bound);
-  assert.deepEqual(late.moves, ['stopping']);
+  assert.deepEqual(late.transitions, ['stopping']);
   late.step(late.recordOf(2), bound + 1);
-  assert.deepEqual(late.moves, ['stopping', 'withdrawn: it took too long']);
+  assert.deepEqual(late.transitions, ['stopping', 'withdrawn: it took too long']);
 });
--- a/packages/borrowing/test/fixtures.ts
+++ b/packages/borrowing/test/fixtures.ts
@@ -20,7 +20,7 @@
 }
 
 /** A job with the first `assigned` tasks assigned to partition 0. */
-export function jobOf(id: string, over: Partial<JobSpec> = {}, assigned = 0): Job {
+export function jobOf(id: string, overrides: Partial<JobSpec> = {}, assigned = 0): Job {
   const job = new Job(id);
   job.spec = {
     id,
@@ -44,14 +44,14 @@
     saveS: 0,
     deadlineS: null,
     awaits: [],
-    ...over,
+    ...overrides,
   };
   job.effectivePriority = PRIORITIES.indexOf(job.spec.priority);
   if (assigned > 0) job.assignedRanges = [{ from: 0, count: assigned, partitionId: 0, zone: null, term: 3 }];
   return job;
 }
 
-export function machineStatusOf(name: string, over: Partial<MachineStatus> = {}): MachineStatus {
+export function machineStatusOf(name: string, overrides: Partial<MachineStatus> = {}): MachineStatus {
   return {
     name,
     type: 'box',
@@ -68,6 +68,6 @@
     empty: false,
     emptyMs: 0,
     silentMs: 0,
-    ...over,
+    ...overrides,
   };
 }
--- a/packages/borrowing/test/planner.test.ts
+++ b/packages/borrowing/test/planner.test.ts
@@ -1,4 +1,5 @@
-// Decisions of the leader on generated fleets: whatever is waiting and running, what is stopped is allowed to be and is no more than needed.
+// Reclaims that the leader plans on given and generated fleets: victims are only tasks that may be preempted, and no
+// more of them than needed.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -7,7 +8,7 @@
 import { type HeldTask, type Plan, type PlannerInput, planReclaims } from '../src/index';
 import { clusterConfigOf, jobOf, machineStatusOf, teamOf } from './fixtures';
 
-interface Autoscaler {
+interface Fleet {
   readonly input: PlannerInput;
   readonly held: ReadonlyMap<string, readonly HeldTask[]>;
   readonly jobs: ReadonlyMap<string, Job>;
@@ -21,13 +22,13 @@
 
 const MACHINE: Resources = { cpus: 100, gpus: 4, memoryGb: 100 };
 
-/** Machines that hold the given tasks, numbered within their jobs in this order, and a job that waits. */
+/** Machines that hold the given tasks, numbered within their jobs in this order, and jobs that wait. */
 function fleetOf(
   teams: Parameters<typeof clusterConfigOf>[0],
   machines: readonly (readonly RunningTask[])[],
   waiting: readonly Job[],
-  over: Partial<PlannerInput> = {},
-): Autoscaler {
+  overrides: Partial<PlannerInput> = {},
+): Fleet {
   const next = new Map<Job, number>();
   const held = new Map(
     machines.map((tasks, i) => [
@@ -66,7 +67,7 @@
     maxDecisions: 100,
     scaleOutMs: () => Infinity,
     stopMs: 1000,
-    ...over,
+    ...overrides,
   };
   return { input, held, jobs };
 }
@@ -78,7 +79,7 @@
 const RED = teamOf('red', 4);
 const BLUE = teamOf('blue', 4);
 
-test('batch work goes before replicas, and of batch work what loses least', () => {
+test('batch tasks are preempted before replicas, and among them those that lose the least work', () => {
   const service = jobOf('j-000001', { team: 'blue', kind: 'service', priority: 'low' });
   const old = jobOf('j-000002', { team: 'blue' });
   const young = jobOf('j-000003', { team: 'blue' });
@@ -88,7 +89,7 @@
   assert.deepEqual(victimsOf(planReclaims(input)), ['j-000003/0']);
 });
 
-test('work that saves when it is stopped loses least', () => {
+test('tasks that save when they are stopped are preempted first', () => {
   const saving = jobOf('j-000004', { team: 'blue', checkpointS: 30, saveS: 2 });
   const other = jobOf('j-000005', { team: 'blue' });
   const surge = jobOf('j-000006', { kind: 'service', priority: 'high', tasks: 1 });
@@ -97,7 +98,7 @@
   assert.deepEqual(victimsOf(planReclaims(input)), ['j-000004/0']);
 });
 
-test('of two teams exactly at their guarantees neither gets anything of the other, and the log says why', () => {
+test('teams exactly at their guarantees get nothing from each other, and the refusal has the reason', () => {
   const blue = jobOf('j-000007', { team: 'blue' });
   const red = jobOf('j-000008', { team: 'red' });
   const surge = jobOf('j-000006', { team: 'red', kind: 'service', priority: 'high', tasks: 2, gpus: 4 });
@@ -117,7 +118,7 @@
   );
 });
 
-test('a team below its guarantee gets it back from a surge of higher priority, and no more than that', () => {
+test('a team below its guarantee gets exactly its guarantee back from a surge of higher priority', () => {
   const surge = jobOf('j-000006', { team: 'red', kind: 'service', priority: 'high' });
   const batch = jobOf('j-000009', { team: 'blue', tasks: 20 });
   const full = [surge, surge, surge, surge].map((job) => ({ job }));
@@ -127,7 +128,7 @@
   assert.ok(plan.decisions.every(({ reason }) => reason === 'guarantee'));
 });
 
-test('replicas of production are stopped for nobody', () => {
+test('replicas of production services are never preempted', () => {
   const production = jobOf('j-000010', { team: 'red', kind: 'service', priority: 'production' });
   const batch = jobOf('j-000009', { team: 'blue' });
   const surge = jobOf('j-000006', { team: 'blue', kind: 'service', priority: 'high' });
@@ -138,12 +139,12 @@
   assert.deepEqual([...new Set(plan.refused.map(({ why }) => why))], ['no task may be stopped for it']);
 });
 
-test('nothing is stopped where renting is sooner, while too many are in progress, or of partitions that are not known', () => {
+test('no task is preempted if renting is sooner, reclaims are at their limit, or claims are unknown', () => {
   const batch = jobOf('j-000009', { team: 'blue', checkpointS: 10, saveS: 20 });
   const surge = jobOf('j-000006', { kind: 'service', priority: 'high', tasks: 1 });
   const full = [batch, batch, batch, batch].map((job) => ({ job }));
-  const whyOf = (over: Partial<PlannerInput>): string[] => {
-    const plan = planReclaims(fleetOf([RED, teamOf('blue', 0)], [full], [surge], over).input);
+  const whyOf = (overrides: Partial<PlannerInput>): string[] => {
+    const plan = planReclaims(fleetOf([RED, teamOf('blue', 0)], [full], [surge], overrides).input);
     return [...victimsOf(plan), ...plan.refused.map(({ why }) => why)];
   };
   assert.deepEqual(whyOf({ scaleOutMs: () => 20_000 }), ['renting is sooner']);
@@ -154,7 +155,7 @@
   assert.deepEqual(whyOf({ scaleOutMs: () => 40_000 }), ['j-000009/0']);
 });
 
-test('a machine with a reclaim in progress, and victims of one, are left alone', () => {
+test('a reclaim in progress excludes its machine and its victims from further reclaims', () => {
   const batch = jobOf('j-000009', { team: 'blue' });
   const surge = jobOf('j-000006', { kind: 'service', priority: 'high', tasks: 8 });
   const full = [batch, batch, batch, batch].map((job) => ({ job }));
@@ -195,8 +196,8 @@
   waiting: fc.array(fc.tuple(anyJob, fc.integer({ min: 1, max: 12 })), { minLength: 1, maxLength: 5 }),
 });
 
-/** Fills machines with as many of the drawn tasks as fit. */
-function fleetFrom(drawn: typeof anyFleet extends fc.Arbitrary<infer T> ? T : never): Autoscaler {
+/** A fleet whose machines hold as many of the drawn tasks as fit. */
+function fleetFrom(drawn: typeof anyFleet extends fc.Arbitrary<infer T> ? T : never): Fleet {
   const teams = [
     teamOf('red', drawn.guarantees[0], drawn.limit),
     teamOf('blue', drawn.guarantees[1], drawn.limit),
@@ -218,34 +219,34 @@
   return fleetOf(teams, machines, waiting);
 }
 
-function useOf(autoscaler: Autoscaler, without: ReadonlySet<string>): Map<string, number> {
+function useOf(fleet: Fleet, without: ReadonlySet<string>): Map<string, number> {
   const use = new Map<string, number>();
-  for (const tasks of autoscaler.held.values()) {
+  for (const tasks of fleet.held.values()) {
     for (const { task } of tasks) {
-      const { team, gpus } = autoscaler.jobs.get(parseTaskName(task)!.job)!.spec;
+      const { team, gpus } = fleet.jobs.get(parseTaskName(task)!.job)!.spec;
       if (!without.has(task)) use.set(team, (use.get(team) ?? 0) + gpus);
     }
   }
   return use;
 }
 
-test('on any fleet: victims free enough, nobody is stopped in vain or twice, and no team is left below its guarantee', () => {
+test('on generated fleets, victims free enough, none is unneeded or chosen twice, and no guarantee is broken', () => {
   let decided = 0;
   fc.assert(
     fc.property(anyFleet, (drawn) => {
-      const autoscaler = fleetFrom(drawn);
-      const plan = planReclaims(autoscaler.input);
+      const fleet = fleetFrom(drawn);
+      const plan = planReclaims(fleet.input);
       decided += plan.decisions.length;
       const stopped = new Set(victimsOf(plan));
       assert.equal(stopped.size, victimsOf(plan).length);
       assert.equal(new Set(plan.decisions.map(({ machine }) => machine)).size, plan.decisions.length);
       for (const { job, machine, victims, tasks, placements } of plan.decisions) {
-        const held = autoscaler.held.get(machine)!;
+        const held = fleet.held.get(machine)!;
         const specs = victims.map(({ task }) => {
           assert.ok(held.some((h) => h.task === task));
-          return autoscaler.jobs.get(parseTaskName(task)!.job)!.spec;
+          return fleet.jobs.get(parseTaskName(task)!.job)!.spec;
         });
-        const available = specs.reduce((sum, spec) => addResources(sum, spec), autoscaler.input.free.get(machine)!);
+        const available = specs.reduce((sum, spec) => addResources(sum, spec), fleet.input.free.get(machine)!);
         assert.ok(fitsIn(addResources(NO_RESOURCES, job.spec, tasks.length), available));
         for (const spec of specs)
           assert.ok(
@@ -255,13 +256,13 @@
         assert.equal(tasks.length, placements.length);
         for (const spec of specs) assert.ok(spec.team !== 'gone');
       }
-      const before = useOf(autoscaler, new Set());
+      const before = useOf(fleet, new Set());
       for (const account of plan.accounts) {
         const { name, gpus } = account.team;
         const foreign = plan.decisions
           .filter(({ job }) => job.spec.team !== name)
           .flatMap(({ victims }) => victims.map((v) => v.task));
-        const left = useOf(autoscaler, new Set(foreign)).get(name) ?? 0;
+        const left = useOf(fleet, new Set(foreign)).get(name) ?? 0;
         assert.ok(left >= Math.min(gpus, before.get(name) ?? 0) - 1e-6, `${name}: ${left} of ${before.get(name)}`);
         assert.ok(account.possiblyUsed.gpus <= Math.max(account.team.gpusMax, before.get(name) ?? 0) + 1e-6);
       }
@@ -271,22 +272,22 @@
   assert.ok(decided > 300, `${decided} decisions`);
 });
 
-test('what planning costs grows no faster than the machines', () => {
-  const timesLooked = (machines: number): number => {
+test('the cost of planning grows at most linearly with the number of machines', () => {
+  const countPriorityReads = (machines: number): number => {
     const batch = jobOf('j-000009', { team: 'blue', gpus: 0.1, tasks: 40 * machines });
     const surge = jobOf('j-000006', { kind: 'service', priority: 'high', tasks: 4, gpus: 1 });
     const full = Array.from({ length: 40 }, () => ({ job: batch }));
-    const autoscaler = fleetOf(
+    const fleet = fleetOf(
       [RED, teamOf('blue', 0)],
       Array.from({ length: machines }, () => full),
       [surge],
     );
-    let looked = 0;
+    let reads = 0;
     const priority = batch.effectivePriority;
-    Object.defineProperty(batch, 'effectivePriority', { get: () => (looked++, priority) });
-    assert.ok(planReclaims(autoscaler.input).decisions.length > 0);
-    return looked;
+    Object.defineProperty(batch, 'effectivePriority', { get: () => (reads++, priority) });
+    assert.ok(planReclaims(fleet.input).decisions.length > 0);
+    return reads;
   };
-  const [small, large] = [timesLooked(20), timesLooked(200)] as [number, number];
+  const [small, large] = [countPriorityReads(20), countPriorityReads(200)] as [number, number];
   assert.ok(large <= small * 12, `${small}, then ${large}`);
 });
--- a/packages/replica-groups/src/next-record.ts
+++ b/packages/replica-groups/src/next-record.ts
@@ -1,5 +1,5 @@
-// The state machine of a replica group: which record follows the stored one, given what owners report. Only this module
-// changes a group's state.
+// The state machine of a replica group: derives the next record from the stored one and the reports of owners. Only
+// this module changes a group's state.
 import { assignedUnfinished, type ClusterConfig, type Job } from '@gingerlock/core';
 import type { GroupMember, GroupReason, GroupRecord, GroupState, MachineType } from '@gingerlock/wire';
 import type { GroupReport, MemberReport } from './reports';
@@ -21,7 +21,7 @@
   ending: ['waiting'],
 };
 
-/** What the next record of a group depends on besides its job and its stored record. */
+/** What the next record of a group depends on, besides its job and its stored record. */
 export interface GroupContext {
   readonly settings: ReplicaGroupSettings;
   readonly clusterConfig: ClusterConfig;
@@ -31,13 +31,13 @@
   readonly wallNow: number;
   /** How long this process has known the stored record, in milliseconds of steady time. */
   readonly storedForMs: number;
-  /** The longest that a task preempted for members may take to save, in seconds. */
+  /** The longest time that a task preempted for members may take to save, in seconds. */
   readonly longestSaveS: number;
-  /** What the partition's owner reports on the group, having read its stored record; null: nothing yet. */
+  /** The report of a partition's owner that has read the group's stored record; null if there is none yet. */
   readonly reportOf: (partitionId: number) => GroupReport | null;
 }
 
-/** Stands for the record of a group that was never placed. */
+/** Used for a group that was never placed and so has no stored record. */
 const NEVER_PLACED: GroupRecord = {
   generation: 0,
   state: 'waiting',
@@ -49,7 +49,7 @@
   members: [],
 };
 
-/** The only function that changes the state. */
+/** Changes the state; nothing else does. */
 function transitionTo(record: GroupRecord, state: GroupState, change: Partial<GroupRecord>): GroupRecord {
   if (!GROUP_TRANSITIONS[record.state].includes(state))
     throw new Error(`replica group: no transition from ${record.state} to ${state}`);
@@ -61,18 +61,18 @@
   return isWaiting(job, stored) && context.wallNow >= backoffUntil(job, stored, context);
 }
 
-/** Whether the group waits and could be placed but for its backoff. */
+/** Whether the group waits and only its backoff prevents its placement. */
 export function isBackingOff(job: Job, stored: GroupRecord | null, context: GroupContext): boolean {
   return isWaiting(job, stored) && context.wallNow < backoffUntil(job, stored, context);
 }
 
-/** Whether the group is to be placed, now or after its backoff. */
+/** Whether the group waits to be placed, now or after its backoff. */
 function isWaiting(job: Job, stored: GroupRecord | null): boolean {
   if (job.isCancelled || assignedUnfinished(job) > 0) return false;
   return stored === null || stored.state === 'waiting';
 }
 
-/** When the backoff of a group that waits is over, as time of day in milliseconds; -Infinity: it has none. */
+/** When the backoff of a waiting group is over, as time of day in milliseconds; -Infinity if it was never placed. */
 export function backoffUntil(
   { id }: Job,
   stored: GroupRecord | null,
@@ -83,7 +83,7 @@
 }
 
 /**
- * The record of the next generation, to be written in one transaction with the assigned ranges of its members.
+ * The record of the next generation. It has to be written in one transaction with the assigned ranges of its members.
  * @param wall time of day, in milliseconds
  */
 export function reserve(stored: GroupRecord | null, members: readonly GroupMember[], wall: number): GroupRecord {
@@ -98,13 +98,13 @@
   });
 }
 
-/** The record that is to replace the stored one; null: it stays for now. */
+/** The record that replaces the stored one; null if the stored one does not change now. */
 export function nextRecord(job: Job, stored: GroupRecord | null, context: GroupContext): GroupRecord | null {
   if (job.isCancelled) return null;
   const record = stored ?? NEVER_PLACED;
   switch (record.state) {
     case 'waiting':
-      // Its tasks were started one by one, before its class was declared or while replica groups were off.
+      // The tasks were started as single tasks, before their class was declared or while replica groups were off.
       return assignedUnfinished(job) > 0 ? end(record, 'started as single tasks', null, context) : null;
     case 'ending':
       return afterEnding(job, record, context);
@@ -114,8 +114,8 @@
 }
 
 /**
- * All members are stopped: the group waits again. A controller that has not seen the end yet may have answered a member
- * until this process knew the record, so the lease of that answer has to run out first.
+ * The group waits again after all members are stopped and all serve leases have expired. Another controller may have
+ * granted a lease until this process knew the record, so the lease time is counted from then.
  */
 function afterEnding(job: Job, record: GroupRecord, context: GroupContext): GroupRecord | null {
   const { settings, clusterConfig, wallNow: wall, storedForMs } = context;
@@ -124,7 +124,7 @@
   return transitionTo(record, 'waiting', { since: wall, hasServed: false, members: [] });
 }
 
-/** The group is reserved, admitted or serving: it ends as soon as a member is lost. */
+/** For a group that is reserved, admitted or serving: it ends as soon as a member is lost. */
 function whileAssigned(job: Job, record: GroupRecord, context: GroupContext): GroupRecord | null {
   const members = membersOf(record, context);
   const lost = members.find((member) => member.report?.phase === 'lost');
@@ -135,7 +135,7 @@
   return null;
 }
 
-/** A member with what its owner reports on it; null: nothing in this generation yet. */
+/** A member with its owner's report on it; null if there is none in this generation yet. */
 interface ReportedMember extends GroupMember {
   readonly report: MemberReport | null;
 }
@@ -183,7 +183,8 @@
 }
 
 /**
- * The record that ends the generation. `machine`: the one at fault, which the next generation avoids; null: none is.
+ * The record that ends the generation.
+ * @param machine the machine at fault, which the next generation avoids; null if there is none
  */
 function end(record: GroupRecord, reason: GroupReason, machine: string | null, context: GroupContext): GroupRecord {
   const { clusterConfig, wallNow: wall } = context;
--- a/packages/replica-groups/src/partition-groups.ts
+++ b/packages/replica-groups/src/partition-groups.ts
@@ -1,6 +1,6 @@
 // The members of replica groups on one partition, at its owner: reserves resources for them, decides when each may be
-// started, stops and returns those of a generation that ends, and reports on them to the leader. Nothing but the
-// groups' records is kept over a failover.
+// started, stops and returns the members of a generation that ends, and reports on them to the leader. Only the groups'
+// records outlive a failover.
 import {
   type Resources,
   type ClaimTable,
@@ -23,7 +23,7 @@
 
 /** The members of replica groups on one partition, as one owner handles them in one term. */
 export class PartitionGroups implements Reservations, MemberPolicy {
-  /** The claim table that asks this policy; set once, right after both were made. */
+  /** The claim table that asks this policy. Both refer to each other, so it is set after construction. */
   table: ClaimTable | null = null;
   /** By machine: the resources reserved for members that it does not hold yet. */
   #reservedByMachine = new Map<string, Resources>();
@@ -47,7 +47,7 @@
     return this.#machineByTask.get(taskName) ?? null;
   }
 
-  /** Reconciles the reservations with the records and with what has been started. */
+  /** Reconciles the reservations with the records and with the members started so far. */
   sync(): void {
     this.#reservedByMachine = new Map();
     this.#machineByTask = new Map();
@@ -55,14 +55,14 @@
       if (record.state !== 'reserved' && record.state !== 'admitted') continue;
       for (const task of tasks) {
         const member = record.members[task.index];
-        if (member === undefined || task.state !== 'waiting' || this.#isSpent(task, record)) continue;
+        if (member === undefined || task.state !== 'waiting' || this.#mayHaveStarted(task, record)) continue;
         this.#machineByTask.set(task.name, member.machine);
         this.#reservedByMachine.set(member.machine, addResources(this.reservedOn(member.machine), task.job.spec));
       }
     }
   }
 
-  /** The groups with members on this partition: job, stored record and the members' tasks. */
+  /** The groups with members on this partition: job id, stored record and the members' tasks. */
   *#groupsHere(): Generator<[string, Versioned<GroupRecord>, TaskEntry[]]> {
     for (const [id, stored] of this.groups) {
       const tasksByIndex = this.table?.tasksByJob.get(id);
@@ -70,11 +70,8 @@
     }
   }
 
-  /**
-   * Whether the member may have been started in this generation already: by this owner, or by an earlier one to which
-   * it was assigned.
-   */
-  #isSpent(task: TaskEntry, { generation }: GroupRecord): boolean {
+  /** Whether the member may have been started in this generation, by this owner or by an earlier one. */
+  #mayHaveStarted(task: TaskEntry, { generation }: GroupRecord): boolean {
     return task.startedIn === generation || task.term !== this.table!.term;
   }
 
@@ -85,15 +82,15 @@
   }
 
   /**
-   * A member is started once in a generation, on its machine and by the owner to which it was assigned, after the
-   * leader has stored that resources are reserved for all members. A record older than the job's says nothing about the
-   * tasks that are assigned now.
+   * Whether the member may be started on the machine. It is started once in a generation, on its machine and by the
+   * owner to which it was assigned, after the leader has stored that resources are reserved for all members. A group's
+   * record that is older than the job's record does not cover the tasks that are assigned now.
    */
   mayStart(task: TaskEntry, machine: Machine): boolean {
     const stored = this.groups.get(task.job.id);
     if (stored === undefined || stored.record.state !== 'admitted' || stored.version <= task.job.version) return false;
     const member = stored.record.members[task.index];
-    return member?.machine === machine.name && !this.#isSpent(task, stored.record);
+    return member?.machine === machine.name && !this.#mayHaveStarted(task, stored.record);
   }
 
   mustReturn(task: TaskEntry): boolean {
@@ -104,7 +101,7 @@
     return this.groups.get(job.id)?.record.state === 'ending';
   }
 
-  /** Stops the members of generations that end, without time to save; returns those that are to be stopped now. */
+  /** Stops the members of generations that end, without time to save; returns the members to stop now. */
   step(): TaskEntry[] {
     this.sync();
     const stopped: TaskEntry[] = [];
@@ -121,7 +118,7 @@
 
   // --- reports to the leader ---------------------------------------------------------------------------------------
 
-  /** Reports on all groups that are placed here; `now` is steady time. Of a group that serves, only lost members. */
+  /** Reports on all groups that are placed here, for a serving group only on lost members; `now` is steady time. */
   reports(now: number): GroupReport[] {
     const reports: GroupReport[] = [];
     for (const [job, { record }, tasks] of this.#groupsHere()) {
@@ -134,7 +131,7 @@
   }
 
   #reportOn(task: TaskEntry, record: GroupRecord, now: number): MemberReport {
-    const reason = this.#whyLost(task, record, now);
+    const reason = this.#lossReason(task, record, now);
     const attempt = task.claim?.attempt ?? 0;
     if (reason !== null) return { rank: task.index, phase: 'lost', attempt, reason };
     return { rank: task.index, phase: this.#phaseOf(task, record, now), attempt, reason: null };
@@ -158,32 +155,32 @@
     );
   }
 
-  /** Why the member has ended, will not start or is about to end; null: none of that is known. */
-  #whyLost(task: TaskEntry, record: GroupRecord, now: number): GroupReason | null {
+  /** Why the member has ended, will not start or is about to end; null if no such reason is known. */
+  #lossReason(task: TaskEntry, record: GroupRecord, now: number): GroupReason | null {
     const table = this.table!;
     const member = record.members[task.index];
-    // Machines of an earlier owner have yet to send a heartbeat: one of them may run it.
+    // A machine that has not sent a heartbeat to this owner yet may run the member.
     if (task.state === 'uncertain') return null;
     if (member === undefined) return 'started as single tasks';
     const machine = table.machines.get(member.machine);
-    const threat = machine === undefined ? null : this.#threatTo(machine, now);
-    if (task.claim !== null) return threat ?? this.#whyClaimLost(task, member);
+    const machineReason = machine === undefined ? null : this.#machineLossReason(machine, now);
+    if (task.claim !== null) return machineReason ?? this.#claimLossReason(task, member);
     const isLost = table.isGone(member.machine) || (machine !== undefined && machine.answeredAt === null);
     if (isLost) return 'machine lost';
     if (task.startedIn === record.generation || task.state !== 'waiting') return 'member ended';
     if (task.term !== table.term) return 'partition changed hands';
-    return record.state === 'serving' ? 'member ended' : threat;
+    return record.state === 'serving' ? 'member ended' : machineReason;
   }
 
-  /** Why a member that a machine holds counts as lost; null: it runs, or starts, as the record says. */
-  #whyClaimLost({ claim }: TaskEntry, member: GroupRecord['members'][number]): GroupReason | null {
+  /** Why a member that a machine holds counts as lost; null if it runs or starts as recorded. */
+  #claimLossReason({ claim }: TaskEntry, member: GroupRecord['members'][number]): GroupReason | null {
     if (claim!.stopGraceS !== null || claim!.stage === 'saving') return 'member ended';
     const isOtherAttempt = member.attempt !== null && member.attempt !== claim!.attempt;
     return isOtherAttempt || claim!.machine.name !== member.machine ? 'member ended' : null;
   }
 
-  /** Why members on the machine are expected to end; null: nothing says so. */
-  #threatTo(machine: Machine, now: number): GroupReason | null {
+  /** Why members on the machine are expected to end; null if they are not. */
+  #machineLossReason(machine: Machine, now: number): GroupReason | null {
     const table = this.table!;
     if (machine.evictionNotice) return 'machine is taken back';
     if (machine.draining || table.isQuarantined(machine)) return 'machine drains';
--- a/packages/replica-groups/src/placement.ts
+++ b/packages/replica-groups/src/placement.ts
@@ -1,10 +1,10 @@
-// Chooses machines for all members of a replica group at once, or finds how much is missing. Members are alike, so the
-// choice is exact: if there is any placement within the bounds on zones, one is found.
+// Chooses machines for all members of a replica group at once, or finds how many members do not fit. All members need
+// the same resources, so the choice is exact: if there is a placement within the limits on zones, it finds one.
 import type { GroupCandidate, GroupChoice, Job } from '@gingerlock/core';
 
 /**
- * The machines of least cost for the job's members: in one zone, spread over zones or anywhere, as the job asks.
- * @param avoid a machine that is chosen only if there is no placement without it; null: none
+ * The machines of least cost for the job's members: in one zone, spread over zones or anywhere, as the job requires.
+ * @param avoid a machine that is chosen only if there is no placement without it; null if there is none to avoid
  */
 export function chooseMachines(
   { spec }: Job,
@@ -15,7 +15,7 @@
   const allowedZones = spec.zone === null ? zones : [spec.zone];
   const choose = (among: readonly string[]): GroupChoice => chooseAvoiding(spec, candidates, among, avoid);
   if (!spec.oneZone) return choose(allowedZones);
-  // The zone in which fewest members find no machine; among equals the one of least cost.
+  // The zone in which the fewest members find no machine; among equals, the zone of least cost.
   const choices = allowedZones.map((zone) => choose([zone]));
   const best = choices.reduce<GroupChoice | null>((least, choice) => (isBetter(choice, least) ? choice : least), null);
   return best ?? { chosen: [], missing: spec.tasks, zones: allowedZones, cost: 0 };
--- a/packages/replica-groups/src/reports.ts
+++ b/packages/replica-groups/src/reports.ts
@@ -1,11 +1,11 @@
-// What the owner of a partition reports to the leader on the members of replica groups there. These are hints: no
-// safety property depends on them.
+// The reports of a partition's owner to the leader on the members of replica groups there. They are hints: no safety
+// property depends on them.
 import type { GroupReason } from '@gingerlock/wire';
 
 /**
  * The phases of a member:
- * - pending: not known yet, or what is reserved for it is not free yet.
- * - held: resources are reserved for it and free.
+ * - pending: its owner does not know its state yet, or the resources reserved for it are not free yet.
+ * - held: the resources reserved for it are free.
  * - starting: it was started and fetches its image.
  * - running: it runs.
  * - lost: it has ended, will not start, or is about to end.
@@ -19,9 +19,9 @@
   /** The index of its task. */
   readonly rank: number;
   readonly phase: MemberPhase;
-  /** 0: it was not started. */
+  /** The attempt that a machine holds; 0 if no machine holds the member. */
   readonly attempt: number;
-  /** Why it is lost; null: it is not. */
+  /** Why it is lost; null if it is not. */
   readonly reason: GroupReason | null;
 }
 
@@ -33,7 +33,7 @@
   readonly members: readonly MemberReport[];
 }
 
-/** The reports of one owner. There is none on a group that serves and whose members here all run as its record says. */
+/** The reports of one owner. A serving group is left out if all of its members here run as recorded. */
 export interface PartitionGroupReport {
   readonly partitionId: number;
   /** The owner's term. */
--- a/packages/replica-groups/src/settings.ts
+++ b/packages/replica-groups/src/settings.ts
@@ -1,26 +1,26 @@
-// The operators' settings of replica groups, and the times that follow from the platform's settings. Times are in
+// The operators' settings for replica groups, and the times derived from the platform's settings. All times are in
 // milliseconds.
 import { bootMsOf, MAX_CLOCK_DRIFT, type ClusterConfig, hashName, timerMarginMs } from '@gingerlock/core';
 import type { JobSpec, MachineType } from '@gingerlock/wire';
 
-/** What operators set for replica groups. */
+/** Settings of replica groups that operators may change. */
 export interface ReplicaGroupSettings {
   /** Services of these classes are replica groups: their tasks run all together or not at all. */
   readonly classes: ReadonlySet<string>;
   /**
-   * Time limit for reserving resources for all members, in heartbeat intervals, besides what preempted tasks need for
-   * saving.
+   * Time limit for reserving resources for all members, in heartbeat intervals, in addition to the time that preempted
+   * tasks need to save.
    */
   readonly holdReports: number;
-  /** Time limit for starting all members, in fetches of their image, besides `holdReports`. */
+  /** Time limit for starting all members, in fetches of their image, in addition to `holdReports`. */
   readonly startFetches: number;
-  /** Backoff after a failed generation, in heartbeat intervals; it doubles with each further one. */
+  /** Longest backoff after one failed generation, in heartbeat intervals; it doubles with each further failure. */
   readonly backoffReports: number;
-  /** How long a member may serve without asking again, as a share of a worker's lease. */
+  /** Length of a serve lease, which a member has to renew, as a share of a worker lease. */
   readonly serveLeaseShare: number;
 }
 
-/** What holds for settings that are left out. */
+/** The values of settings that are not set. */
 export const REPLICA_GROUP_DEFAULTS: Omit<ReplicaGroupSettings, 'classes'> = {
   holdReports: 8,
   startFetches: 4,
@@ -28,25 +28,25 @@
   serveLeaseShare: 0.5,
 };
 
-/** How often the backoff doubles at most. */
+/** How often the backoff can double. */
 const MAX_DOUBLINGS = 4;
 
-/** A generation that has served for this many worker leases has not failed, whatever ends it. */
+/** A generation that has served for this many worker leases does not count as failed when it ends. */
 const STABLE_LEASES = 3;
 
-/** A machine that is silent for this share of a worker's lease counts as hung, but not before `HUNG_HEARTBEATS`. */
+/** A silent machine counts as hung after this share of a worker lease, but not before `HUNG_HEARTBEATS`. */
 const HUNG_LEASES = 0.5;
 
-/** The fewest heartbeat intervals after which a silent machine counts as hung. */
+/** A silent machine does not count as hung within this many heartbeat intervals. */
 const HUNG_HEARTBEATS = 3;
 
 /**
- * While a group waits for capacity, what it finds is kept from the jobs after it in windows of this many boots of the
- * slowest machine type, with pauses of the same length between them.
+ * A group that waits for capacity holds back what it finds from the jobs after it in windows of this many boots of the
+ * slowest machine type, with pauses of the same length before each.
  */
 const HOLD_WINDOW_BOOTS = 2;
 
-/** How long a fetch is assumed to take on a machine type whose fetch rate is unknown. */
+/** The assumed time of a fetch on a machine type whose fetch rate is unknown. */
 const UNKNOWN_FETCH_MS = 60_000;
 
 /** Whether the tasks of the job are the members of a replica group. */
@@ -54,9 +54,7 @@
   return settings !== null && spec.kind === 'service' && settings.classes.has(spec.jobClass);
 }
 
-/**
- * The longest that a group may be reserved without all owners reporting its members as held; then the generation ends.
- */
+/** Time limit for a reserved group until owners report all members as held; after it the generation ends. */
 export function holdBoundMs(
   settings: ReplicaGroupSettings,
   clusterConfig: ClusterConfig,
@@ -65,7 +63,7 @@
   return settings.holdReports * clusterConfig.heartbeatIntervalMs + longestSaveS * 1000;
 }
 
-/** The longest that a group may be admitted without all members running; then the generation ends. */
+/** Time limit for an admitted group until all members run; after it the generation ends. */
 export function startBoundMs(
   settings: ReplicaGroupSettings,
   clusterConfig: ClusterConfig,
@@ -82,32 +80,29 @@
   return Math.max(0, ...times);
 }
 
-/** How long a member may serve, from when it sent its rendezvous request. */
+/** The length of a serve lease, which begins when the member sends its rendezvous request. */
 export function serveLeaseMs(settings: ReplicaGroupSettings, clusterConfig: ClusterConfig): number {
   return clusterConfig.workerLeaseMs * settings.serveLeaseShare;
 }
 
-/**
- * The time after which members that sent their last request before a moment have surely stopped serving, by another
- * machine's clock.
- */
+/** The time after its request at which a serve lease has surely expired, by the clock of another machine. */
 export function serveLeaseBoundMs(settings: ReplicaGroupSettings, clusterConfig: ClusterConfig): number {
   return serveLeaseMs(settings, clusterConfig) * (1 + MAX_CLOCK_DRIFT) + timerMarginMs(clusterConfig);
 }
 
-/** A generation that has served for this long has not failed, whatever ends it. */
+/** A generation that has served for this long does not count as failed when it ends. */
 export function stableMs(clusterConfig: ClusterConfig): number {
   return clusterConfig.workerLeaseMs * STABLE_LEASES;
 }
 
-/** The longest backoff after any number of failed generations. */
+/** The longest backoff, for any number of failed generations. */
 export function longestBackoffMs(settings: ReplicaGroupSettings, clusterConfig: ClusterConfig): number {
   return settings.backoffReports * clusterConfig.heartbeatIntervalMs * 2 ** MAX_DOUBLINGS;
 }
 
 /**
- * The backoff before the next generation: none after one that was stable, otherwise growing with the failures in a row
- * and with a jitter that differs between groups and generations.
+ * The backoff before the next generation: 0 without failures, otherwise it grows with the failures in a row and has a
+ * jitter that differs between groups and generations.
  */
 export function backoffMs(
   settings: ReplicaGroupSettings,
@@ -123,12 +118,12 @@
   return longest * (0.5 + 0.5 * jitter);
 }
 
-/** A machine that is silent for longer than this counts as hung. */
+/** A silent machine counts as hung after this time. */
 export function hungMs(clusterConfig: ClusterConfig): number {
   return Math.max(clusterConfig.workerLeaseMs * HUNG_LEASES, clusterConfig.heartbeatIntervalMs * HUNG_HEARTBEATS);
 }
 
-/** Whether a group that has waited for this long keeps what capacity it finds from the jobs after it. */
+/** Whether a group that has waited for this long holds back the capacity that it finds from the jobs after it. */
 export function holdsPartialCapacity(waitedMs: number, types: ReadonlyMap<string, MachineType>): boolean {
   const windowMs = HOLD_WINDOW_BOOTS * Math.max(0, ...[...types.values()].map(bootMsOf));
   return windowMs > 0 && Math.floor(waitedMs / windowMs) % 2 === 1;
--- a/packages/replica-groups/test/assignment.test.ts
+++ b/packages/replica-groups/test/assignment.test.ts
@@ -1,10 +1,8 @@
-// The leader's assignment asks for all machines of a group, and looks at none, as soon as fewer GPUs are free than the
-// group needs in all. What happened: a group of three members of 4 GPUs waited while two machines with 4 free GPUs each
-// stood idle. Why: with nothing held back for other teams, "would fewer GPUs than are held back stay free" is "are too
-// few free", so the group counted as held back and no machine was searched. Two things followed. The free machines were
-// not known as of use to the group, so that they were scaled in as idle, and work of lower priority never made way. In
-// the runs that showed it the leader wrote `group unschedulable` with `missing: 3` while its statuses had two machines
-// with `takesWork` and all GPUs free.
+// Assignment of a replica group while fewer GPUs are free than the group needs in total. The failure: a group of three
+// members with 4 GPUs each asked for three machines although two machines with 4 free GPUs each were idle; the leader
+// logged `group unschedulable` with `missing: 3`. The cause: the check that GPUs held back for other teams stay free
+// also failed if nothing was held back but too few GPUs were free, and then no machine was searched. So the idle
+// machines were scaled in instead of being kept for the group, and work of lower priority was not preempted.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -19,12 +17,12 @@
 } from '@gingerlock/core';
 import { jobRecord, PRIORITIES } from '@gingerlock/wire';
 import { chooseMachines } from '../src/index';
-import { BOX, CLUSTER_CONFIG, specOf } from './fixtures';
+import { CLUSTER_CONFIG, MACHINE_TYPE, specOf } from './fixtures';
 
 const TEAM = { name: 'red', cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 0 };
 const CONFIG = { ...CLUSTER_CONFIG, teams: new Map([[TEAM.name, TEAM]]) };
 const WHOLE_MACHINE: Resources = { cpus: 8, gpus: 4, memoryGb: 32 };
-/** Three members, of which each takes a machine. */
+/** Three members, each of which needs a whole machine. */
 const GROUP = specOf({ ...WHOLE_MACHINE, tasks: 3 });
 
 const PLANNER: GroupPlanner = {
@@ -34,11 +32,11 @@
   holdsPartialCapacity: () => false,
 };
 
-/** A machine that is free, or full of work of that priority. */
+/** A machine that is full of work of the priority `usedBy`, or free if it is null. */
 function machineOf(name: string, usedBy: (typeof PRIORITIES)[number] | null): MachineStatus {
   return {
     name,
-    type: BOX.name,
+    type: MACHINE_TYPE.name,
     zone: 'a',
     spot: false,
     agentEpoch: 1,
@@ -77,7 +75,7 @@
     statuses: [{ partitionId: 0, term: 1, revision: 0, machines, missing: NO_RESOURCES, running: [] }],
     pendingAssignments: [],
     clusterConfig: CONFIG,
-    types: new Map([[BOX.name, BOX]]),
+    types: new Map([[MACHINE_TYPE.name, MACHINE_TYPE]]),
     maxAssignments: 12,
     preempts,
     heldBack: heldBack ?? null,
@@ -87,19 +85,19 @@
 
 const missingOf = ({ unschedulable }: AssignmentResult): number[] => unschedulable.map(({ count }) => count);
 
-test('a group that lacks one machine asks for one, and the machines that fit its other members are known', () => {
+test('a group that lacks one machine asks for one, and the machines that fit its other members are reported', () => {
   const result = assignGroup([machineOf('m-1', null), machineOf('m-2', null)]);
   assert.deepEqual(missingOf(result), [1]);
   assert.deepEqual([...result.partlyFittingMachines].sort(), ['m-1', 'm-2']);
 });
 
-test('work of lower priority makes way for a group when too few GPUs are free', () => {
+test('work of lower priority is preempted for a group if too few GPUs are free', () => {
   const result = assignGroup([machineOf('m-1', null), machineOf('m-2', 'low'), machineOf('m-3', 'normal')]);
   assert.deepEqual(missingOf(result), []);
   assert.deepEqual(result.groups[0]?.members.map(({ machine }) => machine).sort(), ['m-1', 'm-2', 'm-3']);
 });
 
-test('a group that would use GPUs held back for another team asks for what lacks, not for all its machines', () => {
+test('a group that would use GPUs held back for another team asks only for the machines that it lacks', () => {
   const machines = ['m-1', 'm-2', 'm-3'].map((name) => machineOf(name, null));
   const result = assignGroup(machines, { preempts: false, heldBack: new Map([['blue', 4]]) });
   assert.deepEqual(result.groups, []);
@@ -107,7 +105,7 @@
   assert.deepEqual([...result.partlyFittingMachines].sort(), ['m-1', 'm-2', 'm-3']);
 });
 
-test('a group is placed on free machines beside those held back for another team', () => {
+test('a group is placed if enough machines are free besides the GPUs held back for another team', () => {
   const machines = ['m-1', 'm-2', 'm-3', 'm-4'].map((name) => machineOf(name, null));
   const result = assignGroup(machines, { preempts: false, heldBack: new Map([['blue', 4]]) });
   assert.deepEqual(missingOf(result), []);
--- a/packages/replica-groups/test/fixtures.ts
+++ b/packages/replica-groups/test/fixtures.ts
@@ -15,7 +15,7 @@
 
 export const SETTINGS: ReplicaGroupSettings = { ...REPLICA_GROUP_DEFAULTS, classes: new Set(['replicated']) };
 
-export const BOX: MachineType = {
+export const MACHINE_TYPE: MachineType = {
   name: 'box',
   cpus: 8,
   gpus: 4,
@@ -29,7 +29,7 @@
 };
 
 /** A service of three members. */
-export function specOf(over: Partial<JobSpec> = {}): JobSpec {
+export function specOf(overrides: Partial<JobSpec> = {}): JobSpec {
   return {
     id: 'j-1',
     jobClass: 'replicated',
@@ -52,6 +52,6 @@
     saveS: 0,
     deadlineS: null,
     awaits: [],
-    ...over,
+    ...overrides,
   };
 }
--- a/packages/replica-groups/test/next-record.test.ts
+++ b/packages/replica-groups/test/next-record.test.ts
@@ -19,16 +19,16 @@
   stableMs,
   startBoundMs,
 } from '../src/index';
-import { BOX, CLUSTER_CONFIG, SETTINGS, specOf } from './fixtures';
+import { CLUSTER_CONFIG, MACHINE_TYPE, SETTINGS, specOf } from './fixtures';
 
-const TYPES = new Map([[BOX.name, BOX]]);
+const TYPES = new Map([[MACHINE_TYPE.name, MACHINE_TYPE]]);
 const MEMBERS: readonly GroupMember[] = [
   { partitionId: 0, machine: 'm-1', attempt: null },
   { partitionId: 0, machine: 'm-2', attempt: null },
   { partitionId: 1, machine: 'm-3', attempt: null },
 ];
 
-/** A group of three, all of which are assigned or none. */
+/** A group of three members; all of them are assigned, or none. */
 function groupJob(isAssigned = true): Job {
   const job = new Job('j-1');
   job.spec = specOf();
@@ -54,9 +54,15 @@
   };
 }
 
-/** What the two owners tell if all members are in the same phase, but for those that are named. */
-function reportsOf(phase: MemberReport['phase'], over: Record<number, Partial<MemberReport>> = {}): GroupReport[] {
-  const member = (rank: number): MemberReport => ({ rank, phase, attempt: 100 + rank, reason: null, ...over[rank] });
+/** The reports of the two owners: all members are in the same phase, except for the `overrides` by rank. */
+function reportsOf(phase: MemberReport['phase'], overrides: Record<number, Partial<MemberReport>> = {}): GroupReport[] {
+  const member = (rank: number): MemberReport => ({
+    rank,
+    phase,
+    attempt: 100 + rank,
+    reason: null,
+    ...overrides[rank],
+  });
   return [[0, 1], [2]].map((ranks) => ({ job: 'j-1', generation: 1, members: ranks.map(member) }));
 }
 
@@ -73,10 +79,10 @@
   return found;
 }
 
-test('a group goes from reserved to serving only as all members are held, and then all run', () => {
+test('a group is admitted only when all members are held, and serves only when all run', () => {
   assert.equal(reserved.generation, 1);
-  for (const late of [0, 1, 2]) {
-    const reports = reportsOf('held', { [late]: { phase: 'pending' } });
+  for (const pendingRank of [0, 1, 2]) {
+    const reports = reportsOf('held', { [pendingRank]: { phase: 'pending' } });
     assert.equal(nextRecord(groupJob(), reserved, contextOf(1100, reports)), null);
   }
   assert.equal(nextRecord(groupJob(), reserved, contextOf(1100, [reportsOf('held')[0]!, null])), null);
@@ -92,16 +98,16 @@
     serving.members.map(({ attempt }) => attempt),
     [100, 101, 102],
   );
-  // There is no report on a group that serves and is well.
+  // Owners report nothing on a serving group of which all members run.
   assert.equal(nextRecord(groupJob(), serving, contextOf(1e9)), null);
 });
 
-test('reports on another generation count for nothing', () => {
+test('reports on another generation are ignored', () => {
   const old = reportsOf('held').map((report) => ({ ...report, generation: 2 }));
   assert.equal(nextRecord(groupJob(), reserved, contextOf(1100, old)), null);
 });
 
-test('one lost member, or a time-out, ends the generation in every state', () => {
+test('a lost member ends the generation in each state, an exceeded time limit ends it before it serves', () => {
   const admitted = next(reserved, 1100, reportsOf('held'));
   const serving = next(admitted, 4000, reportsOf('running'));
   for (const record of [reserved, admitted, serving]) {
@@ -110,7 +116,7 @@
     assert.equal(ending.state, 'ending');
     assert.equal(ending.reason, 'machine silent');
     assert.equal(ending.avoid, 'm-2');
-    // One that was returned, by whomever, is as lost.
+    // A member that is no longer assigned counts as lost, too.
     const job = groupJob();
     job.assignedRanges = job.assignedRanges.slice(0, 1);
     assert.equal(next(record, 5000, [], job).state, 'ending');
@@ -123,32 +129,32 @@
   assert.equal(next(admitted, 1101 + startMs).reason, 'members did not start in time');
 });
 
-test('the next generation waits until all members are returned and all leases have run out', () => {
+test('the next generation waits until all members are returned and all serve leases have expired', () => {
   const serving = next(next(reserved, 1100, reportsOf('held')), 4000, reportsOf('running'));
   const ending = next(serving, 5000, reportsOf('running', { 0: { phase: 'lost', reason: 'member ended' } }));
   assert.equal(ending.hasServed, true);
   const workerLeaseMs = serveLeaseBoundMs(SETTINGS, CLUSTER_CONFIG);
-  assert.equal(nextRecord(groupJob(), ending, contextOf(9000)), null, 'members are assigned still');
+  assert.equal(nextRecord(groupJob(), ending, contextOf(9000)), null, 'members are still assigned');
   const early = nextRecord(groupJob(false), ending, contextOf(9000, [], workerLeaseMs - 1));
-  assert.equal(early, null, 'a lease may be held still');
+  assert.equal(early, null, 'a member may still hold a serve lease');
   const waiting = next(ending, 9000, [], groupJob(false));
   assert.deepEqual([waiting.state, waiting.members], ['waiting', []]);
-  // A generation that never served gave no leases.
+  // No serve leases are granted in a generation that never served.
   const unserved = next(reserved, 2000, reportsOf('held', { 0: { phase: 'lost' } }));
   assert.equal(nextRecord(groupJob(false), unserved, contextOf(2001, [], 0))?.state, 'waiting');
 });
 
-test('pauses grow with failures up to a bound, differ between groups, and end with a generation that served', () => {
-  const pauses = [0, 1, 2, 3, 4, 5, 6, 20].map((failures) => backoffMs(SETTINGS, CLUSTER_CONFIG, 'j-1', 7, failures));
-  assert.equal(pauses[0], 0);
-  for (let i = 2; i < 6; i++) assert.ok(Math.abs(pauses[i]! - 2 * pauses[i - 1]!) < 1e-6);
-  for (const pause of pauses) assert.ok(pause <= longestBackoffMs(SETTINGS, CLUSTER_CONFIG));
+test('backoffs grow with failures up to a limit, differ between groups, and are reset by a stable generation', () => {
+  const backoffs = [0, 1, 2, 3, 4, 5, 6, 20].map((failures) => backoffMs(SETTINGS, CLUSTER_CONFIG, 'j-1', 7, failures));
+  assert.equal(backoffs[0], 0);
+  for (let i = 2; i < 6; i++) assert.ok(Math.abs(backoffs[i]! - 2 * backoffs[i - 1]!) < 1e-6);
+  for (const backoff of backoffs) assert.ok(backoff <= longestBackoffMs(SETTINGS, CLUSTER_CONFIG));
   const others = new Set(['j-2', 'j-3', 'j-4'].map((job) => backoffMs(SETTINGS, CLUSTER_CONFIG, job, 7, 3)));
   assert.equal(others.size, 3);
   const waiting: GroupRecord = { ...reserved, state: 'waiting', since: 50_000, failures: 2, members: [] };
-  const pause = backoffMs(SETTINGS, CLUSTER_CONFIG, 'j-1', 1, 2);
-  assert.equal(mayPlace(groupJob(false), waiting, contextOf(50_000 + pause - 1)), false);
-  assert.equal(mayPlace(groupJob(false), waiting, contextOf(50_000 + pause)), true);
+  const backoff = backoffMs(SETTINGS, CLUSTER_CONFIG, 'j-1', 1, 2);
+  assert.equal(mayPlace(groupJob(false), waiting, contextOf(50_000 + backoff - 1)), false);
+  assert.equal(mayPlace(groupJob(false), waiting, contextOf(50_000 + backoff)), true);
   assert.equal(reserve(waiting, MEMBERS, 60_000).generation, 2);
   const serving = next(next(reserved, 1100, reportsOf('held')), 4000, reportsOf('running'));
   const lost = reportsOf('running', { 0: { phase: 'lost', reason: 'machine lost' } });
@@ -156,13 +162,13 @@
   assert.equal(next({ ...serving, failures: 3 }, 4000, lost).failures, 4);
 });
 
-test('tasks that were started one by one end, and begin again as a group', () => {
+test('tasks that were started as single tasks are ended and restarted as a group', () => {
   const ending = next(null, 1000);
   assert.deepEqual([ending.state, ending.reason, ending.generation], ['ending', 'started as single tasks', 0]);
   assert.equal(next(ending, 2000, [], groupJob(false)).state, 'waiting');
 });
 
-test('whatever owners tell and whenever: each record may follow the one before, and a cancelled group changes no more', () => {
+test('on generated reports, only allowed transitions take place, and a cancelled group does not change', () => {
   const report = fc.record({
     rank: fc.integer({ min: 0, max: 4 }),
     phase: fc.constantFrom(...MEMBER_PHASES),
--- a/packages/replica-groups/test/placement.test.ts
+++ b/packages/replica-groups/test/placement.test.ts
@@ -19,7 +19,7 @@
   )
   .map((list) => list.map((candidate, i) => ({ ...candidate, machine: `m-${i}` })));
 
-const place: fc.Arbitrary<Partial<JobSpec>> = fc.constantFrom(
+const zoneSpec: fc.Arbitrary<Partial<JobSpec>> = fc.constantFrom(
   {},
   { spread: true },
   { oneZone: true },
@@ -27,16 +27,16 @@
   { zone: 'b', oneZone: true },
 );
 
-function jobOf(over: Partial<JobSpec>): Job {
+function jobOf(overrides: Partial<JobSpec>): Job {
   const job = new Job('j-1');
-  job.spec = specOf(over);
+  job.spec = specOf(overrides);
   return job;
 }
 
-/** Whether any way of taking members from the machines places them all, by trying every way. */
+/** Whether there is a placement of all members, found by exhaustive search. */
 function isPlaceable(spec: JobSpec, machines: readonly GroupCandidate[]): boolean {
   const most = spec.spread ? Math.ceil(spec.tasks / 2) : spec.tasks;
-  const tryFrom = (at: number, left: number, inZone: ReadonlyMap<string, number>): boolean => {
+  const canPlaceFrom = (at: number, left: number, inZone: ReadonlyMap<string, number>): boolean => {
     if (left === 0) return true;
     const candidate = machines[at];
     if (candidate === undefined) return false;
@@ -48,18 +48,18 @@
         count <= most &&
         (!spec.oneZone || used.length <= 1) &&
         (spec.zone === null || used.every((z) => z === spec.zone));
-      if (allowed && tryFrom(at + 1, left - placed, zones)) return true;
+      if (allowed && canPlaceFrom(at + 1, left - placed, zones)) return true;
     }
     return false;
   };
-  return tryFrom(0, spec.tasks, new Map());
+  return canPlaceFrom(0, spec.tasks, new Map());
 }
 
-test('a whole placement is found if and only if there is one, and keeps to capacity, zones and their bounds', () => {
+test('a complete placement is found if and only if there is one, and respects capacity and the limits on zones', () => {
   const avoid = fc.option(fc.constantFrom('m-0', 'm-3'));
   fc.assert(
-    fc.property(candidates, place, fc.integer({ min: 1, max: 6 }), avoid, (machines, where, tasks, avoided) => {
-      const job = jobOf({ ...where, tasks });
+    fc.property(candidates, zoneSpec, fc.integer({ min: 1, max: 6 }), avoid, (machines, overrides, tasks, avoided) => {
+      const job = jobOf({ ...overrides, tasks });
       const choice = chooseMachines(job, machines, ZONES, avoided);
       assert.equal(choice.missing === 0, isPlaceable(job.spec, machines));
       assert.equal(choice.chosen.length, tasks - choice.missing);
@@ -72,13 +72,13 @@
       if (job.spec.spread) {
         for (const zone of ZONES) assert.ok(zones.filter((z) => z === zone).length <= Math.ceil(tasks / 2));
       }
-      if (choice.missing > 0) assert.ok(choice.zones.length > 0, 'capacity would be of use somewhere');
+      if (choice.missing > 0) assert.ok(choice.zones.length > 0, 'more capacity would help in at least one zone');
     }),
     { seed: 391, numRuns: 2000 },
   );
 });
 
-test('the machine for which the last generation ended is chosen only if there is no whole placement without it', () => {
+test('the machine to avoid is chosen only if there is no complete placement without it', () => {
   const machine = (name: string, capacity: number): GroupCandidate => ({
     machine: name,
     zone: 'a',
