--- a/packages/daemon/src/leader/leader-borrowing.ts
+++ b/packages/daemon/src/leader/leader-borrowing.ts
@@ -1,7 +1,7 @@
 // Borrowing at the leader: plans reclaims from the claims in the partitions, names the records of the reclaims, and
 // finds abandoned reclaims.
 import {
-  ABANDONED_BOUNDS,
+  ABANDONED_BOUND_FACTOR,
   type BorrowingSettings,
   type Decision,
   heldBackGpus,
@@ -130,14 +130,14 @@
     );
   }
 
-  /** The abandoned reclaims: those stored for longer than `ABANDONED_BOUNDS` times the longest that they may take. */
+  /** The abandoned reclaims: those stored for longer than `ABANDONED_BOUND_FACTOR` times the longest that they may take. */
   abandoned(): AbandonedReclaim[] {
     const { clusterState, clock } = this.context;
     const wallNow = clock.wallNow();
     const found: AbandonedReclaim[] = [];
     for (const [partitionId, ofPartition] of clusterState.reclaims) {
       for (const [id, { record, version }] of ofPartition) {
-        const boundMs = this.#boundMs(record) * ABANDONED_BOUNDS;
+        const boundMs = this.#boundMs(record) * ABANDONED_BOUND_FACTOR;
         if (wallNow - record.decidedAt > boundMs) found.push({ key: KEYS.reclaim(partitionId, id), version });
       }
     }
--- a/packages/daemon/src/owner/owner-reclaims.ts
+++ b/packages/daemon/src/owner/owner-reclaims.ts
@@ -43,7 +43,7 @@
   /** Plans the removal of each ended reclaim's record, on condition that it has not changed. */
   removals(): readonly Write[] {
     const stored = this.context.clusterState.reclaimsOf(this.partitionId);
-    return this.reservations.over.flatMap(({ id }) => {
+    return this.reservations.finished.flatMap(({ id }) => {
       const entry = stored.get(id);
       if (entry === undefined) return [];
       const key = KEYS.reclaim(this.partitionId, id);
--- a/packages/daemon/src/settings/features.ts
+++ b/packages/daemon/src/settings/features.ts
@@ -79,9 +79,9 @@
 function replicaGroupsOf(file: NonNullable<FeaturesFile['replica_groups']>): ReplicaGroupSettings {
   return {
     classes: new Set(file.classes),
-    holdReports: file.hold_reports ?? REPLICA_GROUP_DEFAULTS.holdReports,
+    holdIntervals: file.hold_reports ?? REPLICA_GROUP_DEFAULTS.holdIntervals,
     startFetches: file.start_fetches ?? REPLICA_GROUP_DEFAULTS.startFetches,
-    backoffReports: file.backoff_reports ?? REPLICA_GROUP_DEFAULTS.backoffReports,
+    backoffIntervals: file.backoff_reports ?? REPLICA_GROUP_DEFAULTS.backoffIntervals,
     serveLeaseShare: file.serve_lease_share ?? REPLICA_GROUP_DEFAULTS.serveLeaseShare,
   };
 }
--- a/packages/daemon/test/features.test.ts
+++ b/packages/daemon/test/features.test.ts
@@ -74,7 +74,7 @@
   );
   const on = settingsOf(platform, {}, { replica_groups: { ...groups, backoff_reports: 2 } }).features.replicaGroups!;
   assert.deepEqual([...on.classes], ['main', 'mid']);
-  assert.equal(on.backoffReports, 2);
+  assert.equal(on.backoffIntervals, 2);
   const objectives = [{ kind: 'wait', class: 'main', within_s: 6, share: 0.8 }, { kind: 'guarantee' }];
   const listing = { ...platform, facts: { ...platform.facts, objectives } };
   const wrong: [unknown, unknown, RegExp][] = [
--- a/packages/testkit/src/audits/borrowing-audit.ts
+++ b/packages/testkit/src/audits/borrowing-audit.ts
@@ -1,6 +1,6 @@
 // Checks reclaims of GPUs against what really runs, from the moment at which each is stored to its end.
 import { PRIORITIES, parseTaskName, type ReclaimRecord, reclaimRecord } from '@gingerlock/wire';
-import { ABANDONED_BOUNDS } from '@gingerlock/borrowing';
+import { ABANDONED_BOUND_FACTOR } from '@gingerlock/borrowing';
 import type { AuditedWorld } from './audited-world';
 import type { ObservedStatus } from '../standins/users';
 
@@ -157,7 +157,7 @@
   #checkEnds(now: number, quietAt: number): void {
     const { cancellationBoundMs, heartbeatIntervalMs } = this.world;
     const boundMs =
-      (cancellationBoundMs + this.world.longestSaveMs) * ABANDONED_BOUNDS + heartbeatIntervalMs * SLACK_INTERVALS;
+      (cancellationBoundMs + this.world.longestSaveMs) * ABANDONED_BOUND_FACTOR + heartbeatIntervalMs * SLACK_INTERVALS;
     for (const [key, { since }] of this.stored) {
       if (now - Math.max(since, quietAt) > boundMs) this.world.reportViolation('endless_reclaim', key);
     }
--- a/packages/testkit/src/audits/group-audit.ts
+++ b/packages/testkit/src/audits/group-audit.ts
@@ -171,7 +171,7 @@
     const isFresh =
       watchCache.lastContactAt !== null && clock.now() - watchCache.lastContactAt < this.world.heartbeatIntervalMs;
     if (groups === null || !isFresh) return;
-    for (const [taskName, machine] of groups.members.keptTasks) {
+    for (const [taskName, machine] of groups.members.machineByReservedTask) {
       const { job, index } = parseTaskName(taskName)!;
       const stored = this.seen.get(job);
       const isKept = stored?.record.state === 'reserved' || stored?.record.state === 'admitted';
