--- a/packages/peer/src/index.ts
+++ b/packages/peer/src/index.ts
@@ -1,4 +1,4 @@
-// The link between controllers: one TCP connection for each pair of them.
+// The connections between controllers: one TCP connection per pair of controllers.
 export * from './messages';
 export * from './frames';
 export * from './link';
--- a/packages/peer/src/link.ts
+++ b/packages/peer/src/link.ts
@@ -1,10 +1,10 @@
-// The link between controllers over TCP.
+// Messages between controllers over TCP.
 import { createConnection, createServer, type Server, type Socket } from 'node:net';
 import { errorMessage } from '@gingerlock/wire';
 import { frame, frames, MAX_FRAME_BYTES } from './frames';
 import { decodePeer, encodePeer, PEER_VERSION, type PeerMessage, type PeerMessages } from './messages';
 
-/** Where another controller listens for its peers. */
+/** The address on which another controller accepts connections from its peers. */
 export interface PeerAddress {
   /** The name of the controller. */
   readonly node: string;
@@ -12,22 +12,22 @@
   readonly address: string;
 }
 
-/** The port through which a controller reaches its peers; the testkit implements it in simulated time. */
+/** The interface through which a controller exchanges messages with its peers. The testkit simulates it. */
 export interface PeerLink {
   /** The names of all peers. */
   readonly nodes: readonly string[];
-  /** Whether a message of that controller has arrived lately. */
+  /** Whether a message from that controller has arrived recently. */
   isAlive(node: string): boolean;
-  /** The largest message that is accepted, in bytes. */
+  /** The largest accepted message, in bytes. */
   readonly frameBytes: number;
-  /** Sends a message; false: it was dropped, as the controller can't be reached now. Nothing is sent again. */
+  /** Sends a message, without retry. Returns false if the controller is unreachable or too many bytes are queued. */
   send(node: string, message: PeerMessage): boolean;
   /**
-   * Sends messages that are useful only together: all of them or, if too much waits to be sent to that controller,
-   * none.
+   * Sends messages that are useful only together. Returns false if none was sent because that controller is unreachable
+   * or too many bytes are queued for it.
    */
   sendGroup(node: string, messages: readonly PeerMessage[]): boolean;
-  /** Called with each message that arrives. */
+  /** Called with each received message. */
   onMessage: (from: string, message: PeerMessage) => void;
 }
 
@@ -35,40 +35,40 @@
 export interface LinkOptions {
   /** The name of this controller. */
   readonly node: string;
-  /** Where it listens for its peers, `HOST:PORT`. */
+  /** The address on which it accepts connections from its peers, `HOST:PORT`. */
   readonly listen: string;
   readonly peers: readonly PeerAddress[];
-  /** A peer that has been silent for this long, in milliseconds, is not alive. */
+  /** A peer counts as dead after no message from it has arrived for this long, in milliseconds. */
   readonly silenceMs: number;
   readonly log: (message: string, detail: Record<string, unknown>) => void;
 }
 
 /**
- * Bytes that may wait in a socket before further messages are dropped; all messages are repeated or may be lost. The
- * last group may wait besides, whatever its size, so that the status of a fleet of any size is sent whole and messages
- * after it are not dropped.
+ * Bytes that may be queued in a socket before further messages are dropped. Dropping is safe because every message is
+ * either repeated or may be lost. The last group may be queued in addition, whatever its size, so that the status of a
+ * fleet of any size is sent completely and the messages after it are not dropped.
  */
 export const MAX_QUEUED_BYTES = MAX_FRAME_BYTES;
 
-/** How many checks for silence fall into `silenceMs`. */
+/** Number of checks for received messages per `silenceMs`. */
 const CHECKS_PER_SILENCE = 4;
 
-/** A connection on which nothing arrived for this many checks in a row is closed. */
+/** A connection is closed after more than this many consecutive checks without a received message. */
 const MAX_SILENT_CHECKS = 2 * CHECKS_PER_SILENCE;
 
-/** The share of `silenceMs` after which a failed connection is dialled again at first. */
+/** Delay before the first retry of a failed connection, as a share of `silenceMs`. */
 const FIRST_BACKOFF_SHARE = 1 / 16;
 
-/** A connection whose other end has named itself. */
+/** A connection whose peer has sent its `Hello`. */
 interface Connection {
   readonly socket: Socket;
-  /** Steady time (ms) of the last message. */
+  /** Steady time (ms) at which the last message arrived. */
   receivedAt: number;
-  /** Size of the last group that was sent: that much more may wait in the socket. */
+  /** Size of the last group that was sent. This many bytes may be queued on top of `MAX_QUEUED_BYTES`. */
   groupBytes: number;
 }
 
-/** One TCP connection per pair of controllers; the one with the lower name dials. */
+/** Holds one TCP connection per peer. Of each pair, the controller with the lower name dials. */
 export class TcpLink implements PeerLink {
   readonly nodes: readonly string[];
   readonly frameBytes = MAX_FRAME_BYTES;
@@ -77,14 +77,14 @@
   readonly #connections = new Map<string, Connection>();
   #server: Server | null = null;
   #stopped = false;
-  /** The frames of recent messages: most go to several peers, one after the other. */
+  /** Encoded frames by message, because most messages are sent to several peers. */
   readonly #frameByMessage = new WeakMap<PeerMessage, Buffer>();
 
   constructor(readonly options: LinkOptions) {
     this.nodes = options.peers.map(({ node }) => node);
   }
 
-  /** Listens and dials the peers. Rejects if it can't listen. */
+  /** Starts listening and dialling the peers. Rejects if it can't listen. */
   start(): Promise<void> {
     for (const peer of this.options.peers) if (this.options.node < peer.node) void this.#dial(peer);
     const [host, port] = splitAddress(this.options.listen);
@@ -97,7 +97,7 @@
     });
   }
 
-  /** Closes all connections for good. */
+  /** Closes all connections permanently. */
   stop(): void {
     this.#stopped = true;
     this.#server?.close();
@@ -126,33 +126,33 @@
   }
 
   #frameOf(message: PeerMessage): Buffer {
-    const known = this.#frameByMessage.get(message);
-    if (known !== undefined) return known;
+    const cached = this.#frameByMessage.get(message);
+    if (cached !== undefined) return cached;
     const bytes = frame(encodePeer(message));
     this.#frameByMessage.set(message, bytes);
     return bytes;
   }
 
-  /** Keeps a connection to the peer, with exponential backoff between the attempts. */
+  /** Connects to the peer, and reconnects with exponential backoff whenever the connection ends. */
   async #dial(peer: PeerAddress): Promise<void> {
     const [host, port] = splitAddress(peer.address);
     const { silenceMs } = this.options;
     const firstBackoffMs = silenceMs * FIRST_BACKOFF_SHARE;
     for (let backoffMs = firstBackoffMs; !this.#stopped; backoffMs = Math.min(backoffMs * 2, silenceMs)) {
       const socket = createConnection({ host, port });
-      const connected = await this.#connected(socket);
+      const connected = await this.#connectsInTime(socket);
       if (connected) {
         const connectedAt = performance.now();
         await this.#serve(socket, peer.node);
         if (performance.now() - connectedAt > silenceMs) backoffMs = firstBackoffMs;
       } else socket.destroy();
-      // Jitter: after a network partition not all links come back in the same moment.
+      // Jitter keeps the controllers from reconnecting all at once after a network partition.
       await new Promise((resolve) => setTimeout(resolve, backoffMs * (0.5 + Math.random())));
     }
   }
 
-  /** Whether the socket connects in time. */
-  #connected(socket: Socket): Promise<boolean> {
+  /** Whether the socket connects within `silenceMs`. */
+  #connectsInTime(socket: Socket): Promise<boolean> {
     return new Promise((resolve) => {
       const timer = setTimeout(() => resolve(false), this.options.silenceMs);
       const finish = (isConnected: boolean): void => {
@@ -164,16 +164,19 @@
     });
   }
 
-  /** Reads messages until the connection ends. `expected`: the node that was dialled; null: the other side dialled. */
+  /**
+   * Reads messages until the connection ends.
+   * @param expected the node that was dialled; null if the other side dialled
+   */
   async #serve(socket: Socket, expected: string | null): Promise<void> {
     let node: string | null = null;
     let connection: Connection | null = null;
     socket.setNoDelay(true);
-    // A network cut leaves connections that hang without an error. The socket's own timeout would not do: what is sent
-    // resets it too. Checks are counted rather than time: after a stall of this process, the first one runs before what
-    // has arrived is read.
+    // A network failure can leave the connection open without an error. The socket's own timeout can't detect that,
+    // because sent data resets it too. Checks are counted instead of time: after this process has stalled, the first
+    // check runs before the data that has arrived meanwhile is read.
     let silentChecks = 0;
-    const watch = setInterval(() => {
+    const silenceTimer = setInterval(() => {
       if (++silentChecks > MAX_SILENT_CHECKS) socket.destroy();
     }, this.options.silenceMs / CHECKS_PER_SILENCE);
     socket.on('error', () => socket.destroy());
@@ -193,20 +196,20 @@
     } catch (error) {
       this.options.log('peer connection ended', { peer: node, error: errorMessage(error, 'failed') });
     } finally {
-      clearInterval(watch);
+      clearInterval(silenceTimer);
       socket.destroy();
       if (node !== null && this.#connections.get(node) === connection) this.#connections.delete(node);
     }
   }
 
-  /** Whether the other side is a peer of this version, and the one that was dialled. */
+  /** Whether the other side is a known peer with the same version and, if `expected` is set, the dialled one. */
   #accepts({ version, node }: PeerMessages['Hello'], expected: string | null): boolean {
     if (version === PEER_VERSION && this.nodes.includes(node) && (expected ?? node) === node) return true;
     this.options.log('peer refused', { peer: node, version });
     return false;
   }
 
-  /** Makes this the connection to the peer, in place of an older one. */
+  /** Makes this socket the connection to the peer, and closes the previous one. */
   #register(node: string, socket: Socket): Connection {
     this.#connections.get(node)?.socket.destroy();
     const connection = { socket, receivedAt: performance.now(), groupBytes: 0 };
@@ -215,9 +218,9 @@
   }
 }
 
-/** Whether little enough waits in the socket to add to it; `besidesBytes` more may wait. */
-function mayQueue({ socket }: Connection, besidesBytes: number): boolean {
-  return !socket.destroyed && socket.writableLength <= MAX_QUEUED_BYTES + besidesBytes;
+/** Whether at most `MAX_QUEUED_BYTES` plus `extraBytes` are queued in the open socket. */
+function mayQueue({ socket }: Connection, extraBytes: number): boolean {
+  return !socket.destroyed && socket.writableLength <= MAX_QUEUED_BYTES + extraBytes;
 }
 
 function splitAddress(address: string): [string, number] {
--- a/packages/peer/src/messages.ts
+++ b/packages/peer/src/messages.ts
@@ -1,5 +1,5 @@
-// The messages between controllers. No safety property rests on them alone, but for the confirmations by peers that
-// they too lack contact with the key-value store.
+// The messages between controllers. The only messages that a safety property depends on are the peers' confirmations
+// that they can't reach the key-value store either.
 import avro from 'avsc';
 import {
   avroArray,
@@ -27,7 +27,7 @@
   spot: avroBoolean,
   agentEpoch: avroLong,
   free: Resources,
-  /** By priority. */
+  /** By priority, the highest first. */
   byPriority: avroArray(Resources),
   images: avroArray(avroString),
   takesWork: avroBoolean,
@@ -45,7 +45,7 @@
   task: avroString,
   attempt: avroLong,
   stage: avroEnum('Stage', ['granted', 'fetching', 'running', 'saving']),
-  /** How long it has run, in milliseconds. */
+  /** How long the task has run, in milliseconds. */
   runMs: avroDouble,
   stopping: avroBoolean,
 });
@@ -56,7 +56,7 @@
   rank: avroInt,
   phase: avroEnum('MemberPhase', ['pending', 'held', 'starting', 'running', 'lost']),
   attempt: avroLong,
-  /** The number of a reason, as the records of groups store it; -1: none. */
+  /** Index of the reason in `GROUP_REASONS`; -1: none. */
   reason: avroInt,
 });
 
@@ -66,14 +66,14 @@
   members: avroArray(MemberReport),
 });
 
-/** Who sends something about a partition, and as of which revision of its watch cache. */
+/** The partition's owner, which sends the message, and the revision of its watch cache. */
 const STATUS_HEAD = { owner: avroString, partitionId: avroInt, term: avroLong, revision: avroLong };
 
 const STATUS_CONTENT = { machines: avroArray(MachineStatus), missing: Resources, running: avroArray(Running) };
 
 /**
- * Numbers one of the `fragmentCount` messages that make up content which is too large for a frame; all of one content
- * have the same `sequence`.
+ * Identifies one of the `fragmentCount` messages into which content too large for one frame is split. All fragments of
+ * the same content have the same `sequence`.
  */
 const FRAGMENT = { sequence: avroLong, index: avroInt, fragmentCount: avroInt };
 
@@ -84,31 +84,31 @@
   /** The first message of each side on a connection. */
   Hello: { version: avroInt, node: avroString },
   PartitionStatus: { ...STATUS_HEAD, ...STATUS_CONTENT },
-  /** The key-value store is at this revision at least. */
+  /** Tells that the key-value store has reached at least this revision. */
   RevisionHint: { revision: avroLong },
-  /** The sender tells a user that this job is cancelled. A hint to stop its tasks, also without the key-value store. */
+  /** The sender tells a user that this job is cancelled. Lets peers stop its tasks even without the key-value store. */
   JobCancelled: { job: avroString },
-  /** From the leader: which machines get no more work, and which are surely gone. */
+  /** Sent by the leader: the machines to drain, and the machines that are certainly gone. */
   MachineDirectives: { term: avroLong, drain: avroArray(avroString), gone: avroArray(avroString) },
-  // The id of a request names the process that asks: a late answer to the process before it matches no request.
-  /** Asks whether the peer has no contact with the key-value store either. */
+  // Request ids identify the requesting process, so a late answer to a previous process matches no request.
+  /** Asks the peer to confirm that it can't reach the key-value store either and knows no later revision. */
   ConfirmationRequest: { id: avroString, revision: avroLong },
   Confirmation: { id: avroString, confirms: avroBoolean, contactAgeMs: avroDouble },
-  /** Asks the previous owner of a partition whether it still is the owner. */
+  /** Asks the previous owner of a partition whether it still owns it. */
   OwnershipQuery: { id: avroString, partitionId: avroInt, term: avroLong },
   OwnershipAnswer: { id: avroString, owns: avroBoolean },
-  /** A worker's heartbeat for the owner of its partition, from a controller that the worker can reach. */
+  /** Forwards a worker's heartbeat to the owner of its partition from a controller that the worker can reach. */
   Relay: { id: avroString, from: avroString, to: avroString, body: avroBytes },
   RelayAnswer: { id: avroString, to: avroString, status: avroInt, body: avroBytes },
   PeerHeartbeat: { contactAgeMs: avroDouble, revision: avroLong },
-  /** How many changes wait at the sender for the store's rate limit; a peer with some to spare lends them. */
+  /** Asks for `writes` of the peer's unused share of the store's rate limit; the sender has that many queued. */
   BudgetRequest: { id: avroString, writes: avroInt },
   BudgetGrant: { id: avroString, writes: avroInt },
-  /** A part of a status that is too large for a frame. */
+  /** A fragment of a status that is too large for one frame. */
   PartitionStatusFragment: { ...STATUS_HEAD, ...FRAGMENT, ...STATUS_CONTENT },
-  /** The tasks that the machines of a partition hold, for a leader that accepts such lists. */
+  /** The tasks that the machines of a partition hold. Sent only to a leader that accepts claim lists. */
   ClaimList: { ...FRAGMENT_HEAD, machines: avroArray(MachineClaims) },
-  /** The members of replica groups on a partition, for a leader that accepts such reports. */
+  /** The members of replica groups on a partition. Sent only to a leader that accepts group reports. */
   GroupReports: { ...FRAGMENT_HEAD, groups: avroArray(GroupReport) },
 };
 
@@ -127,7 +127,7 @@
 /** The members of one replica group on one partition; see `GroupReport` in replica-groups. */
 export type PeerGroupReport = ValueOf<typeof GroupReport>;
 
-/** The contents of each kind of message. */
+/** The fields of each kind of message. */
 export type PeerMessages = { [K in keyof typeof MESSAGE_FIELDS]: FieldValues<(typeof MESSAGE_FIELDS)[K]> };
 
 /** The status of a partition, or a fragment of it; see `PartitionStatus` in core. */
@@ -143,13 +143,13 @@
 
 const type = avro.Type.forSchema(unionSchema() as never, { wrapUnions: true });
 
-/** The bytes of a message, for the payload of a frame. */
+/** Encodes a message as the payload of a frame. */
 export function encodePeer(message: PeerMessage): Buffer {
   const { kind, ...fields } = message;
   return type.toBuffer({ [kind]: fields });
 }
 
-/** Reads the payload of a frame. Throws an `Error` of avsc if the bytes are no message of this schema. */
+/** Decodes the payload of a frame. Throws an `Error` from avsc if the bytes do not match the schema. */
 export function decodePeer(bytes: Buffer): PeerMessage {
   const value = type.fromBuffer(bytes) as Record<string, object>;
   const kind = Object.keys(value)[0]!;
--- a/packages/peer/test/link.test.ts
+++ b/packages/peer/test/link.test.ts
@@ -86,7 +86,7 @@
   },
 ];
 
-async function* pieces(bytes: Buffer, cuts: readonly number[]): AsyncGenerator<Buffer> {
+async function* chunksOf(bytes: Buffer, cuts: readonly number[]): AsyncGenerator<Buffer> {
   let from = 0;
   for (const cut of [...cuts].map((c) => c % (bytes.length + 1)).sort((a, b) => a - b)) {
     yield bytes.subarray(from, cut);
@@ -95,20 +95,20 @@
   yield bytes.subarray(from);
 }
 
-test('messages come out of a stream as they went in, however it is cut into pieces', async () => {
+test('messages are decoded unchanged however their stream is split into chunks', async () => {
   const stream = Buffer.concat(messages.map((m) => frame(encodePeer(m))));
   await fc.assert(
     fc.asyncProperty(fc.array(fc.nat(), { maxLength: 30 }), async (cuts) => {
       const got: PeerMessage[] = [];
-      for await (const payload of frames(pieces(stream, cuts))) got.push(decodePeer(payload));
-      // The schema's records have classes of their own: what counts is what is in them.
+      for await (const payload of frames(chunksOf(stream, cuts))) got.push(decodePeer(payload));
+      // avsc decodes records into its own classes, so only the contents are compared.
       assert.equal(JSON.stringify(got), JSON.stringify(messages));
     }),
     { seed: 391, numRuns: 100 },
   );
 });
 
-test('what a controller that owns every partition of 900 machines sends in one go fits a connection twice over', () => {
+test('the status of 900 machines in 5 partitions takes less than half of MAX_QUEUED_BYTES', () => {
   const machine = (messages.find((m) => m.kind === 'PartitionStatus') as PeerMessage & { kind: 'PartitionStatus' })
     .machines[0]!;
   let bytes = 0;
@@ -140,19 +140,19 @@
   assert.ok(bytes * 2 < MAX_QUEUED_BYTES, `${bytes} bytes`);
 });
 
-test('a frame that is cut off is dropped, and one that claims to be huge ends the connection at once', async () => {
+test('an incomplete frame is dropped, and a frame that declares too large a payload throws at once', async () => {
   const stream = frame(encodePeer(messages[1]!));
   const got = [];
-  for await (const payload of frames(pieces(stream.subarray(0, stream.length - 1), []))) got.push(payload);
+  for await (const payload of frames(chunksOf(stream.subarray(0, stream.length - 1), []))) got.push(payload);
   assert.equal(got.length, 0);
   const huge = Buffer.alloc(8);
   huge.writeUInt32BE(MAX_FRAME_BYTES + 1, 0);
   await assert.rejects(async () => {
-    for await (const payload of frames(pieces(huge, []))) got.push(payload);
+    for await (const payload of frames(chunksOf(huge, []))) got.push(payload);
   }, MalformedFrameError);
 });
 
-test('bytes that are no message are refused by an error, never taken for one that costs memory', () => {
+test('random bytes are rejected with an Error or decode to a known kind of message', () => {
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 64 }), (bytes) => {
       let message: PeerMessage;
@@ -162,22 +162,22 @@
         assert.ok(error instanceof Error);
         return;
       }
-      // Some bytes happen to be a message: then they are one of ours, of a size in proportion.
+      // Some random bytes are a valid message.
       assert.ok(messages.some((m) => m.kind === message.kind));
     }),
     { seed: 391, numRuns: 2000 },
   );
 });
 
-// The system keeps a connection to a host that says nothing any more for minutes while there is something to send: a controller that
-// came back stayed unreachable for as long.
-test('a connection that brings nothing is closed and opened anew, however much is sent on it', async () => {
+// While data is sent, the operating system keeps a connection to an unresponsive host open for minutes. A controller
+// that came back stayed unreachable for that long.
+test('a connection on which nothing arrives is closed and reopened, even while messages are sent on it', async () => {
   const silenceMs = 80;
   const sockets: Socket[] = [];
   const server = createServer((socket) => {
     sockets.push(socket);
     socket.on('error', () => undefined);
-    // It greets, and never says anything again.
+    // The server sends its Hello and nothing after it.
     socket.write(frame(encodePeer({ kind: 'Hello', version: PEER_VERSION, node: 'b' })));
     socket.resume();
   });
@@ -191,7 +191,7 @@
   try {
     for (let i = 0; i < 100 && sockets.length < 2; i++)
       await new Promise((resolve) => setTimeout(resolve, silenceMs / 4));
-    assert.ok(sockets.length >= 2, 'the connection still stands');
+    assert.ok(sockets.length >= 2, 'the silent connection was not replaced');
   } finally {
     clearInterval(sending);
     link.stop();
@@ -200,7 +200,7 @@
   }
 });
 
-test('a group is sent whole however large it is, and what follows it is not dropped', async () => {
+test('a group of any size is sent completely, and the message after it is not dropped', async () => {
   const listening = createServer(() => undefined).listen(0, '127.0.0.1');
   await once(listening, 'listening');
   const { port } = listening.address() as AddressInfo;
@@ -223,7 +223,7 @@
     while (!sender.isAlive('b') || !receiver.isAlive('a')) await new Promise((resolve) => setTimeout(resolve, 10));
     receiver.onMessage = (_from, message) => got.push(message);
     const body = Buffer.alloc(MAX_FRAME_BYTES / 2);
-    // Four times what may wait in a connection otherwise.
+    // Four times MAX_QUEUED_BYTES.
     const group = Array.from({ length: 8 }, (_, i): PeerMessage => ({
       kind: 'Relay',
       id: `r-${i}`,
