--- a/packages/wire/src/cloud.ts
+++ b/packages/wire/src/cloud.ts
@@ -1,35 +1,35 @@
-// The cloud's API (PROTOCOL, "Controller nodes -> cloud"): its names, mapped to the code's.
+// Maps the messages of the cloud's API (PROTOCOL, "Controller nodes -> cloud") to the names that the code uses.
 import { Type } from '@sinclair/typebox';
 import { compileValidator } from './validator';
 
 /** A machine as the cloud lists it. */
 export interface CloudMachine {
   readonly name: string;
-  /** `HOST:PORT` of its worker; empty: it has none yet. */
+  /** `HOST:PORT` of its worker; empty while it has no worker. */
   readonly addr: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   /** A failed machine stays listed until it is returned. */
   readonly state: 'booting' | 'running' | 'failed';
-  /** Seconds since its rental request, at the time that the list describes. */
+  /** Seconds from its rental request to the time that the list describes. */
   readonly ageS: number;
 }
 
-/** Most machines of one rental request (PROTOCOL). */
+/** Maximum number of machines in one rental request (PROTOCOL). */
 const MAX_MACHINES_PER_RENTAL = 50;
 
-/** Most machines that one request returns (PROTOCOL). */
+/** Maximum number of machines that one request returns (PROTOCOL). */
 export const MAX_MACHINES_PER_RETURN = 100;
 
-/** Most machines on one page of the list (PROTOCOL). */
+/** Maximum number of machines on one page of the list (PROTOCOL). */
 const MAX_MACHINES_PER_PAGE = 500;
 
 const Amount = Type.Number({ minimum: 0 });
 
 /** A request to rent machines. */
 export interface RentRequest {
-  /** Its id. Repeated under the same id, a request that succeeded rents nothing; ids are never used for another one. */
+  /** Idempotency key: repeating a request that succeeded rents nothing more. Each request has its own id. */
   readonly request: string;
   readonly type: string;
   readonly zone: string;
@@ -37,19 +37,19 @@
   readonly count: number;
 }
 
-/** The body of a rental request, before its encoding. */
+/** Returns the body of a rental request, before its encoding. */
 export function rentRequestMap({ request, type, zone, spot, count }: RentRequest): unknown {
   return { hire: request, breed: type, yard: zone, borrowed: spot, number: count };
 }
 
 const checkNames = compileValidator(Type.Object({ rigs: Type.Array(Type.String({ minLength: 1 })) }));
 
-/** The names of the rented machines, from the response to a rental request. */
+/** Reads the names of the rented machines from the response to a rental request. */
 export function rentedNamesOf(map: unknown): string[] {
   return checkNames(map).rigs;
 }
 
-/** The body of a request that returns machines, before its encoding. */
+/** Returns the body of a request that returns machines, before its encoding. */
 export function returnRequestMap(names: readonly string[]): unknown {
   return { rigs: names };
 }
@@ -71,7 +71,7 @@
   }),
 );
 
-/** Reads one page of the list of machines; `more`: there are further ones. */
+/** Reads one page of the list of machines. `more` tells whether further pages follow. */
 export function machineListOf(map: unknown): { machines: CloudMachine[]; more: boolean } {
   const list = checkList(map);
   return {
@@ -88,7 +88,7 @@
   };
 }
 
-/** Paths of the cloud's API. `list`: the page that starts after the machine named `after`; empty: the first one. */
+/** Paths of the cloud's API. `list` gets the page after the machine named `after`, or the first page if it is empty. */
 export const CLOUD_PATHS = {
   types: '/machine_types',
   rent: '/rentals',
@@ -96,7 +96,7 @@
   list: (after: string) => `/rentals?from=${encodeURIComponent(after)}&most=${MAX_MACHINES_PER_PAGE}`,
 } as const;
 
-// --- the other side of the protocol: for simulated clouds ------------------------------------------------------
+// --- the cloud's side of the API, for simulated clouds -----------------------------------------------------------
 
 const checkRent = compileValidator(
   Type.Object({
@@ -114,7 +114,7 @@
   return { request: hire, type: breed, zone: yard, spot: borrowed, count: number };
 }
 
-/** The response to a rental request. */
+/** Returns the response to a rental request, before its encoding. */
 export function rentedMap(names: readonly string[]): unknown {
   return { rigs: names };
 }
@@ -124,7 +124,7 @@
   return checkNames(map).rigs;
 }
 
-/** One page of the list of machines. */
+/** Returns one page of the list of machines, before its encoding. */
 export function machineListMap(machines: readonly CloudMachine[], more: boolean): unknown {
   return {
     rigs: machines.map(({ name, addr, type, zone, spot, state, ageS }) => ({
@@ -140,12 +140,12 @@
   };
 }
 
-/** What a request to the cloud asks for. */
+/** A parsed request to the cloud. */
 export type CloudRequest =
   | { readonly kind: 'types' | 'rent' | 'return' }
   | { readonly kind: 'list'; readonly after: string; readonly limit: number };
 
-/** Reads method and path of a request; null: the cloud has no such path. */
+/** Parses the method and path of a request. Returns null if the cloud has no such path. */
 export function parseCloudRequest(method: string, path: string): CloudRequest | null {
   const url = new URL(path, 'http://cloud');
   if (url.pathname === CLOUD_PATHS.types) return { kind: 'types' };
--- a/packages/wire/src/codec.ts
+++ b/packages/wire/src/codec.ts
@@ -1,17 +1,18 @@
-// The encoding of all bodies: MessagePack, as PROTOCOL prescribes for every interface.
+// The encoding of all request and response bodies: MessagePack, as PROTOCOL prescribes for every interface.
 import { Packr } from 'msgpackr';
 import { errorMessage, GingerlockError } from './errors';
 
 /**
- * A body that violates PROTOCOL. Its message is sent to the client with status 400, so its texts are part of the wire.
+ * A body that violates PROTOCOL. Its message is sent to the client with status 400, so the text is part of the wire
+ * format.
  */
 export class MalformedMessageError extends GingerlockError {
   override readonly name = 'MalformedMessageError';
   override readonly code = 'MALFORMED_MESSAGE';
 
   /**
-   * @param path wire name of the invalid field, with dots between levels; empty: the body as a whole
-   * @param reason what was expected of it
+   * @param path wire names that lead to the invalid field, separated by dots; empty for the body as a whole
+   * @param reason why it is invalid
    */
   constructor(
     readonly path: string,
@@ -22,19 +23,19 @@
   }
 }
 
-/** Largest body, in bytes of its JSON form, of a request and of a response to workers and users (PROTOCOL). */
+/** Maximum size of a request or response body of workers and users, in bytes of its JSON form (PROTOCOL). */
 export const MAX_BODY_BYTES = 64 * 1024;
 
 const packr = new Packr({ useRecords: false, mapsAsObjects: true, int64AsType: 'number' });
 
-/** Encodes a value as MessagePack. Integers beyond 32 bits have to go through `integer` first. */
+/** Encodes a value as MessagePack. Integers beyond 32 bits must be converted by `integer` first. */
 export function encode(value: unknown): Buffer {
   return packr.pack(value);
 }
 
 /**
  * Decodes MessagePack.
- * @throws MalformedMessageError if the bytes are no MessagePack
+ * @throws MalformedMessageError if the bytes are not valid MessagePack
  */
 export function decode(body: Uint8Array): unknown {
   try {
@@ -45,8 +46,8 @@
 }
 
 /**
- * Decodes a body that has to be a map with text keys.
- * @throws MalformedMessageError if it is anything else
+ * Decodes a body that must be a map with string keys.
+ * @throws MalformedMessageError if the body is anything else
  */
 export function decodeMap(body: Uint8Array): Record<string, unknown> {
   const value = decode(body);
@@ -62,8 +63,8 @@
 }
 
 /**
- * A count, version, token or attempt as it has to be handed to `encode`: these are integers on the wire, but the codec
- * writes numbers beyond 32 bits as floats unless they are bigints.
+ * Converts a count, version, token or attempt for `encode`. They are integers on the wire, but the codec writes numbers
+ * beyond 32 bits as floats unless they are bigints.
  */
 export function integer(value: number): number | bigint {
   return value > 0xffffffff ? BigInt(value) : value;
--- a/packages/wire/src/errors.ts
+++ b/packages/wire/src/errors.ts
@@ -1,8 +1,8 @@
-// The base class of all errors that gingerlock throws, and the codes by which they are told apart.
+// The base class of all errors that gingerlock throws, and the codes that identify them.
 
 /**
  * Identifies the kind of a failure. Codes are stable: alerts and searches may rely on them, while texts may change.
- * `STORE_REJECTED` is for a status of the key-value store that none of its requests expects.
+ * `STORE_REJECTED`: the key-value store answered with a status that no request expects.
  */
 export type ErrorCode =
   | 'MALFORMED_MESSAGE'
@@ -16,15 +16,15 @@
 
 /**
  * An error that gingerlock itself throws. The message says what failed, on what, and what was expected; `cause` holds
- * the error that led to it, if there was one.
+ * the underlying error, if there was one.
  */
 export abstract class GingerlockError extends Error {
-  /** The name of the class, written out: a bundler may rename classes. */
+  /** The name of the class, as a literal because a bundler may rename classes. */
   abstract override readonly name: string;
   abstract readonly code: ErrorCode;
 }
 
-/** The text of whatever was thrown; `otherwise` if it is no `Error`. */
-export function errorMessage(error: unknown, otherwise: string): string {
-  return error instanceof Error ? error.message : otherwise;
+/** Returns the message of a thrown value, or `fallback` if the value is not an `Error`. */
+export function errorMessage(error: unknown, fallback: string): string {
+  return error instanceof Error ? error.message : fallback;
 }
--- a/packages/wire/src/group-record.ts
+++ b/packages/wire/src/group-record.ts
@@ -1,21 +1,21 @@
-// The record of a replica group at `KEYS.group`, written by the leader alone. See docs/replica-groups-design.md.
+// The record of a replica group at `KEYS.group`. Only the leader writes it. See docs/replica-groups-design.md.
 import { Type } from '@sinclair/typebox';
 import { compileValidator } from './validator';
 import { integer } from './codec';
 
 /**
- * The states of a group, in the order of their stored numbers:
+ * The states of a replica group. They are stored as their indexes, so their order must not change.
  * - waiting: no member is assigned.
- * - reserved: the members are assigned, each to a machine on which its owner reserves resources; none is started.
+ * - reserved: each member is assigned to a machine, whose owner reserves resources for it; no member is started.
  * - admitted: all owners have reported that the resources are reserved; each member is started once.
- * - serving: all members run.
- * - ending: all members are being stopped and returned.
+ * - serving: all members are running.
+ * - ending: all members are being stopped and their assignments returned.
  */
 export const GROUP_STATES = ['waiting', 'reserved', 'admitted', 'serving', 'ending'] as const;
 /** One of `GROUP_STATES`. */
 export type GroupState = (typeof GROUP_STATES)[number];
 
-/** Why a group is in its state, in the order of their stored numbers. The texts are written to the log. */
+/** Why a group is in its state. The reasons are stored as their indexes, and their texts are written to the log. */
 export const GROUP_REASONS = [
   'room was found',
   'all room is kept',
@@ -34,29 +34,29 @@
 /** One of `GROUP_REASONS`. */
 export type GroupReason = (typeof GROUP_REASONS)[number];
 
-/** One member. Its rank, the index of its task, is its place among `GroupRecord.members`. */
+/** One member. Its rank is the index of its task, and its index in `GroupRecord.members`. */
 export interface GroupMember {
   readonly partitionId: number;
   readonly machine: string;
-  /** The attempt that serves; null: the group does not serve yet. */
+  /** The attempt that serves; null while the group does not serve yet. */
   readonly attempt: number | null;
 }
 
 /** The state of one replica group. */
 export interface GroupRecord {
-  /** How often all members have been placed. */
+  /** Number of times that all members have been placed. */
   readonly generation: number;
   readonly state: GroupState;
-  /** When the state was entered: time of day (ms) at the leader that wrote it. */
+  /** Time of day (ms) at which the group entered the state, by the clock of the leader that wrote it. */
   readonly since: number;
   readonly reason: GroupReason;
-  /** How many generations in a row have ended before they had served for long enough. */
+  /** Number of consecutive generations that ended before they had served for long enough. */
   readonly failures: number;
-  /** Whether it has served in this generation, so that members may hold leases to serve. */
+  /** Whether the group has served in this generation, so that members may hold serve leases. */
   readonly hasServed: boolean;
-  /** The machine that made the last generation end: the next one is placed elsewhere if possible. */
+  /** The machine that made the last generation end. The next generation avoids it if possible; null: none. */
   readonly avoid: string | null;
-  /** By rank; empty while the group waits. */
+  /** The members by rank; empty while the group is waiting. */
   readonly members: readonly GroupMember[];
 }
 
@@ -79,7 +79,7 @@
   }),
 );
 
-/** At `KEYS.group`. */
+/** The format of the value at `KEYS.group`. */
 export const groupRecord = {
   write: (group: GroupRecord): unknown => ({
     g: integer(group.generation),
@@ -95,7 +95,7 @@
       attempt === null ? null : integer(attempt),
     ]),
   }),
-  /** Throws a `MalformedMessageError` if the value is no such record. */
+  /** Throws a `MalformedMessageError` if the value is not a group record. */
   read: (value: unknown): GroupRecord => {
     const stored = checkGroup(value);
     return {
@@ -111,13 +111,13 @@
   },
 };
 
-/** Largest size of one member in a group's record, in bytes of JSON: names of machines have up to 64 characters. */
+/** Maximum size of one member in a group record, in bytes of JSON. Machine names have up to 64 characters. */
 const MAX_MEMBER_BYTES = 96;
 
-/** Largest size of the rest of the record. */
+/** Maximum size of the rest of the record, in bytes of JSON. */
 const MAX_HEAD_BYTES = 256;
 
-/** How many members a group may have so that its record surely fits into a value of `valueBytes`. */
+/** Returns the largest number of members whose record always fits into a value of `valueBytes`. */
 export function maxGroupMembers(valueBytes: number): number {
   return Math.max(0, Math.floor((valueBytes - MAX_HEAD_BYTES) / MAX_MEMBER_BYTES));
 }
--- a/packages/wire/src/index.ts
+++ b/packages/wire/src/index.ts
@@ -1,4 +1,4 @@
-// The wire: every protocol name, stored key and stored record stands in this package, mapped to the code's names.
+// Wire and storage formats: maps every protocol name, stored key and stored record to the names that the code uses.
 export * from './errors';
 export * from './codec';
 export * from './users';
--- a/packages/wire/src/keys.ts
+++ b/packages/wire/src/keys.ts
@@ -1,9 +1,9 @@
-// The keys of everything that gingerlock stores in the key-value store.
+// The keys that gingerlock uses in the key-value store.
 
-/** Every key begins with this, so that one request follows all changes. */
+/** Prefix of every key, so that a single request follows all changes. */
 export const PREFIX = 'g/';
 
-/** Builds the keys; `parseKey` reads them. */
+/** Builds keys; `parseKey` parses them. */
 export const KEYS = {
   meta: 'g/meta',
   term: 'g/term',
@@ -11,12 +11,13 @@
   owner: (resource: string) => `g/own/${resource}`,
   hold: (resource: string) => `g/hold/${resource}`,
   /**
-   * Holds a term record: the owner of that term knows that the `failoverAt` of its owner record bounds its failover.
+   * The latest term whose owner has confirmed that its failover took place soon after the `failoverAt` of its owner
+   * record. Later owners may rely on that time only after this confirmation.
    */
   confirmedTerm: (resource: string) => `g/timed/${resource}`,
   job: (id: string) => `g/j/${id}`,
   finished: (id: string, partitionId: number, page: number) => `g/f/${id}/${partitionId}/${page}`,
-  /** A page of finished tasks that begins at task `first`; see `finishedPageFor`. */
+  /** A page of finished tasks that starts at task `first`; see `finishedPageFor`. */
   finishedFrom: (id: string, partitionId: number, first: number) => `g/o/${id}/${partitionId}/${first}`,
   membership: (partitionId: number, machine: string) => `g/r/${partitionId}/${machine}`,
   reclaim: (partitionId: number, id: string) => `g/b/${partitionId}/${id}`,
@@ -24,10 +25,10 @@
   group: (job: string) => `g/g/${job}`,
 } as const;
 
-/** The resource whose owner is the leader; the resource of a partition is its number. */
+/** The resource whose owner is the leader. The resource of a partition is the partition's number. */
 export const LEADERSHIP = 'lead';
 
-/** The parts of a key; `other`: it is none that this version knows. */
+/** The parts of a key. `other` is a key that this version does not know. */
 export type ParsedKey =
   | { readonly kind: 'meta' | 'term' | 'types' | 'other' }
   | { readonly kind: 'owner' | 'hold' | 'confirmedTerm'; readonly resource: string }
@@ -38,32 +39,37 @@
   | { readonly kind: 'reclaim'; readonly partitionId: number; readonly id: string }
   | { readonly kind: 'group'; readonly job: string };
 
-/** Parses a key. Never throws: keys of later versions are `other`. */
+/** Parses a key. Never throws: keys of later versions become `other`. */
 export function parseKey(key: string): ParsedKey {
-  const words = key.split('/');
-  switch (words[1]) {
+  const segments = key.split('/');
+  switch (segments[1]) {
     case 'meta':
     case 'term':
     case 'types':
-      return { kind: words[1] };
+      return { kind: segments[1] };
     case 'own':
-      return { kind: 'owner', resource: words[2] ?? '' };
+      return { kind: 'owner', resource: segments[2] ?? '' };
     case 'hold':
-      return { kind: 'hold', resource: words[2] ?? '' };
+      return { kind: 'hold', resource: segments[2] ?? '' };
     case 'timed':
-      return { kind: 'confirmedTerm', resource: words[2] ?? '' };
+      return { kind: 'confirmedTerm', resource: segments[2] ?? '' };
     case 'j':
-      return { kind: 'job', id: words[2] ?? '' };
+      return { kind: 'job', id: segments[2] ?? '' };
     case 'f':
-      return { kind: 'finished', id: words[2] ?? '', partitionId: Number(words[3]), page: Number(words[4]) };
+      return { kind: 'finished', id: segments[2] ?? '', partitionId: Number(segments[3]), page: Number(segments[4]) };
     case 'o':
-      return { kind: 'finishedFrom', id: words[2] ?? '', partitionId: Number(words[3]), first: Number(words[4]) };
+      return {
+        kind: 'finishedFrom',
+        id: segments[2] ?? '',
+        partitionId: Number(segments[3]),
+        first: Number(segments[4]),
+      };
     case 'r':
-      return { kind: 'membership', partitionId: Number(words[2]), machine: words.slice(3).join('/') };
+      return { kind: 'membership', partitionId: Number(segments[2]), machine: segments.slice(3).join('/') };
     case 'b':
-      return { kind: 'reclaim', partitionId: Number(words[2]), id: words.slice(3).join('/') };
+      return { kind: 'reclaim', partitionId: Number(segments[2]), id: segments.slice(3).join('/') };
     case 'g':
-      return { kind: 'group', job: words[2] ?? '' };
+      return { kind: 'group', job: segments[2] ?? '' };
     default:
       return { kind: 'other' };
   }
--- a/packages/wire/src/machine-types.ts
+++ b/packages/wire/src/machine-types.ts
@@ -1,46 +1,46 @@
 // The machine types that the cloud offers (PROTOCOL, "GET /machine_types"). A type with an invalid field is not rented;
-// the other types are unaffected.
+// other types are unaffected.
 import { Type } from '@sinclair/typebox';
 import { compileValidator } from './validator';
 
-/** A machine type. 0 as an amount: it is not known, but for `gpus` and `cacheGb`, of which there may be none. */
+/** A machine type. An amount of 0 means that it is unknown, except for `gpus` and `cacheGb`, which may be 0. */
 export interface MachineType {
   readonly name: string;
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
-  /** Size of the image cache. */
+  /** Size of the image cache, in GB. */
   readonly cacheGb: number;
-  /** Rate at which a machine fetches images; machines differ by a third. */
+  /** Rate at which a machine fetches images, in GB/s; machines differ by a third. */
   readonly fetchGbPerS: number;
   /** Price of an ordinary machine per hour. */
   readonly price: number;
   /** Current price of a spot machine per hour. */
   readonly spotPrice: number;
-  /** Nominal time from the rental request until the worker runs. */
+  /** Nominal time from the rental request until the worker runs, in seconds. */
   readonly bootS: number;
-  /** The zones that offer it. */
+  /** The zones that offer the type. */
   readonly zones: readonly string[];
 }
 
-/** A field of a listed type that can't be used. `field` is its wire name. */
+/** An invalid field of a listed type. `field` is its wire name. */
 export interface InvalidTypeField {
-  /** The type's name; null: it has none. */
+  /** The type's name; null if it has none. */
   readonly type: string | null;
   readonly field: string;
   readonly why: 'not a positive number' | 'not a number' | 'not a name' | 'listed twice' | 'not a list of zones';
 }
 
-/** What could be read of a list of machine types. */
+/** The result of reading a list of machine types. */
 export interface MachineTypeList {
   readonly types: readonly MachineType[];
-  /** What could not be used, in the order of the list. */
+  /** The invalid fields, in the order of the list. */
   readonly invalid: readonly InvalidTypeField[];
 }
 
 const checkTypes = compileValidator(Type.Object({ breeds: Type.Array(Type.Unknown()) }));
 
-/** Wire names of the amounts without which a type can't be rented: costs and fit could not be computed. */
+/** Wire names of the amounts that must be positive: a type's cost and fit can't be computed without them. */
 const REQUIRED_AMOUNTS = ['cores', 'memory_gb', 'fetch_gb_per_s', 'price', 'low_price', 'ready_s'] as const;
 
 /** Wire names of the amounts that may be 0. */
@@ -49,7 +49,8 @@
 type AmountField = (typeof REQUIRED_AMOUNTS)[number] | (typeof OPTIONAL_AMOUNTS)[number];
 
 /**
- * Reads a list of types. An invalid amount is read as 0 and named in `invalid`; so is a type without a name of its own.
+ * Reads a list of types. An invalid amount becomes 0 and is reported in `invalid`. A type without a name, or with the
+ * name of an earlier one, is left out and reported.
  */
 export function readMachineTypes(map: unknown): MachineTypeList {
   const types = new Map<string, MachineType>();
@@ -64,7 +65,7 @@
   return { types: [...types.values()], invalid };
 }
 
-/** Reads one type, and adds its invalid fields to `invalid`. */
+/** Reads one type and appends its invalid fields to `invalid`. */
 function readType(name: string, fields: Record<string, unknown>, invalid: InvalidTypeField[]): MachineType {
   const amount = (field: AmountField, isOptional: boolean): number => {
     const value = fields[field];
@@ -90,17 +91,17 @@
   };
 }
 
-/** Reads a list of types, without what is invalid about it. */
+/** Reads a list of types like `readMachineTypes`, without reporting invalid fields. */
 export function machineTypesOf(map: unknown): readonly MachineType[] {
   return readMachineTypes(map).types;
 }
 
-/** Whether everything is known that renting a machine of this type is decided by. */
+/** Whether all amounts that a rental decision needs are known. */
 export function isRentable({ cpus, memoryGb, fetchGbPerS, price, spotPrice, bootS }: MachineType): boolean {
   return [cpus, memoryGb, fetchGbPerS, price, spotPrice, bootS].every((amount) => amount > 0);
 }
 
-/** The list of types as the cloud sends it. */
+/** Returns the list of types as the cloud sends it, before its encoding. */
 export function machineTypesMap(types: readonly MachineType[]): unknown {
   return {
     breeds: types.map((type) => ({
--- a/packages/wire/src/records.ts
+++ b/packages/wire/src/records.ts
@@ -1,19 +1,19 @@
-// The records that gingerlock stores in the key-value store, and their schemas; `keys.ts` has their keys. Stored names
-// are short because a value has a size limit and every change is sent to every controller. `read` throws a
-// `MalformedMessageError` if the value is no such record.
+// The records that gingerlock stores in the key-value store, and their schemas; `keys.ts` defines their keys. Stored
+// names are short because the size of a value is limited and every change is sent to every controller. `read` throws a
+// `MalformedMessageError` if the value does not match the schema.
 import { Type } from '@sinclair/typebox';
 import { compileValidator } from './validator';
 import { integer } from './codec';
 import { type JobSpec, jobSpecOf, submissionMap } from './users';
 
-/** What the first controller that ever starts fixes for good. */
+/** Properties of the deployment that its first controller writes once and that never change. */
 export interface Meta {
   /** Version of the stored format; see `FORMAT`. */
   readonly format: number;
   readonly partitionCount: number;
-  /** The home zone of each partition; empty: machines are shared out without regard to zones. */
+  /** The home zone of each partition; empty if machines are distributed regardless of zones. */
   readonly zones: readonly string[];
-  /** How many tasks one page of finished tasks covers. */
+  /** Number of tasks that one page of finished tasks covers. */
   readonly pageTasks: number;
 }
 
@@ -28,7 +28,7 @@
     z: Type.Optional(Type.Array(Type.String())),
   }),
 );
-/** At `KEYS.meta`. */
+/** The format of the value at `KEYS.meta`. */
 export const metaRecord = {
   write: ({ format, partitionCount, pageTasks, zones }: Meta): unknown => ({
     v: format,
@@ -43,19 +43,19 @@
 };
 
 const checkTerm = compileValidator(Type.Object({ t: Type.Integer({ minimum: 0 }) }));
-/** At `KEYS.term`, the highest term so far; at `KEYS.confirmedTerm`, a term of ownership. */
+/** The format of the values at `KEYS.term`, the highest term so far, and at `KEYS.confirmedTerm`. */
 export const termRecord = {
   write: (term: number): unknown => ({ t: term }),
   read: (value: unknown): number => checkTerm(value).t,
 };
 
-/** Who owns a resource: the leadership or a partition. */
+/** The owner of a resource, which is a partition or the leadership. */
 export interface OwnerRecord {
   readonly term: number;
   readonly node: string;
-  /** Time of day (ms) of the last failover from another controller that may have gone on; 0: there never was one. */
+  /** Time of day (ms) of the last failover after which the previous owner may have continued; 0: there was none. */
   readonly failoverAt: number;
-  /** Whether the owner has released the resource: it has answered nobody since before this was written. */
+  /** Whether the owner has released the resource. It stopped answering workers before it wrote this. */
   readonly released: boolean;
 }
 
@@ -67,7 +67,7 @@
     r: Type.Optional(Type.Integer()),
   }),
 );
-/** At `KEYS.owner`. */
+/** The format of the value at `KEYS.owner`. */
 export const ownerRecord = {
   write: ({ term, node, failoverAt, released }: OwnerRecord): unknown => ({
     t: term,
@@ -81,14 +81,14 @@
   },
 };
 
-/** Bound to a lease of the store: while it exists, the owner of the resource counts as alive. */
+/** Stored with a store lease. The owner of the resource counts as alive while this record exists. */
 export interface HoldRecord {
   readonly node: string;
-  /** Differs between two processes of one controller. */
+  /** Id of the controller's process; a restart changes it. */
   readonly process: string;
-  /** The process accepts lists of claims; controllers of versions without them would close the connection. */
+  /** Whether the process accepts claim lists. Versions that do not know them would close the connection. */
   readonly takesClaimLists?: boolean;
-  /** The process accepts reports on replica groups; as above. */
+  /** Whether the process accepts group reports. Versions that do not know them would close the connection. */
   readonly takesGroupReports?: boolean;
 }
 
@@ -100,7 +100,7 @@
     g: Type.Optional(Type.Integer()),
   }),
 );
-/** At `KEYS.hold`. */
+/** The format of the value at `KEYS.hold`. */
 export const holdRecord = {
   write: (hold: HoldRecord): unknown => ({
     n: hold.node,
@@ -119,27 +119,28 @@
   },
 };
 
-/** Tasks `from` up to but excluding `from + count` are assigned to a partition, to run there in `zone` (null: any). */
+/** Assigns tasks `from` up to but excluding `from + count` to a partition, to run in `zone` (null: any zone). */
 export interface AssignedRange {
   readonly from: number;
   readonly count: number;
   readonly partitionId: number;
   readonly zone: string | null;
-  /** Term of the partition's owner at the assignment. */
+  /** Ownership term of the partition at the time of the assignment. */
   readonly term: number;
 }
 
-/** A job: only its outcome once it is over. */
+/** A job. Once it has ended, only its outcome is stored. */
 export type JobRecord =
   | { readonly final: 'done' | 'cancelled' }
   | {
       readonly final: null;
       readonly spec: JobSpec;
-      /** Time of day (ms) at the controller that accepted it. Used only to order jobs by arrival. */
+      /** Time of day (ms) of acceptance, by the accepting controller's clock. Used only to order jobs by arrival. */
       readonly acceptedAt: number;
       readonly cancelled: boolean;
       /**
-       * Its tasks failed on several machines and none was seen to run: at most one at a time is started, as a probe.
+       * Whether its tasks failed on several machines and none was seen running. Then at most one task at a time is
+       * started, as a probe.
        */
       readonly isCrashLooping: boolean;
       readonly assignedRanges: readonly AssignedRange[];
@@ -165,7 +166,7 @@
     }),
   ]),
 );
-/** At `KEYS.job`. */
+/** The format of the value at `KEYS.job`. */
 export const jobRecord = {
   write: (job: JobRecord): unknown =>
     job.final !== null
@@ -174,7 +175,7 @@
           s: submissionMap(job.spec),
           t: job.acceptedAt,
           c: job.cancelled ? 1 : 0,
-          // Left out when false. Versions without it drop it, which costs a few more failures.
+          // Omitted when false. Versions without this field drop it, which causes a few more task failures.
           ...(job.isCrashLooping ? { e: 1 } : {}),
           r: job.assignedRanges.map(({ from, count, partitionId, zone, term }) => [
             from,
@@ -207,8 +208,8 @@
 const checkPage = compileValidator(Type.Object({ b: Type.String() }));
 
 /**
- * At `KEYS.finished` and `KEYS.finishedFrom`: a page of a job's finished tasks on one partition, one bit per task,
- * lowest first.
+ * The format of the values at `KEYS.finished` and `KEYS.finishedFrom`: a page of a job's finished tasks on one
+ * partition, with one bit per task, the least significant bit first.
  */
 export const finishedRecord = {
   write: (bits: Uint8Array): unknown => ({ b: Buffer.from(bits).toString('base64') }),
@@ -216,24 +217,24 @@
 };
 
 const checkMembership = compileValidator(Type.Object({ a: Type.String() }));
-/** At `KEYS.membership`: the address of a machine that belongs to the partition, as `HOST:PORT`. */
+/** The format of the value at `KEYS.membership`: the `HOST:PORT` of a machine that belongs to the partition. */
 export const membershipRecord = {
   write: (addr: string): unknown => ({ a: addr }),
   read: (value: unknown): string => checkMembership(value).a,
 };
 
-/** A reclaim: tasks on one machine are preempted for tasks of one job. See docs/borrowing-design.md. */
+/** A decision to preempt tasks on one machine for tasks of one job. See docs/borrowing-design.md. */
 export interface ReclaimRecord {
   readonly machine: string;
-  /** The job that the reclaim is for. */
+  /** The job that gets the capacity. */
   readonly job: string;
-  /** Indexes of its tasks that get the capacity. */
+  /** Indexes of the job's tasks that get the capacity. */
   readonly tasks: readonly number[];
-  /** The tasks to preempt, each in the attempt that it had at the decision. */
+  /** The tasks to preempt, each with its attempt at the time of the decision. */
   readonly victims: readonly { readonly task: string; readonly attempt: number }[];
-  /** Time of day (ms) at the leader that decided it. */
+  /** Time of day (ms) of the decision, by the clock of the leader that made it. */
   readonly decidedAt: number;
-  /** Why they may be preempted: for work of higher priority, or to give a team its guarantee. */
+  /** Whether the victims are preempted for a task of higher priority or for a team's guarantee. */
   readonly reason: 'priority' | 'guarantee';
 }
 
@@ -247,7 +248,7 @@
     w: Type.Union([Type.Literal('p'), Type.Literal('g')]),
   }),
 );
-/** At `KEYS.reclaim`. */
+/** The format of the value at `KEYS.reclaim`. */
 export const reclaimRecord = {
   write: ({ machine, job, tasks, victims, decidedAt, reason }: ReclaimRecord): unknown => ({
     m: machine,
--- a/packages/wire/src/rendezvous.ts
+++ b/packages/wire/src/rendezvous.ts
@@ -1,42 +1,43 @@
-// The rendezvous of replica groups: members ask a controller who belongs to the group now and how long they may serve.
+// The rendezvous API of replica groups: a member asks a controller for the current members of its group and how long it
+// may serve.
 import { Type } from '@sinclair/typebox';
 import { compileValidator } from './validator';
 import { decodeMap, encode, integer, MalformedMessageError } from './codec';
 import { GROUP_STATES, type GroupState } from './group-record';
 import { parseTaskName } from './workers';
 
-/** The path of the request, on the listener for workers and users. */
+/** URL path of the request, on the listener for workers and users. */
 export const RENDEZVOUS_PATH = '/rendezvous';
 
-/** The request of a member: its task, and the attempt in which it was started. */
+/** The request of a member. It names the member's task and attempt. */
 export interface RendezvousQuestion {
   readonly job: string;
   readonly rank: number;
   readonly attempt: number;
 }
 
-/** The group serves with this member, as one of `worldSize`. */
+/** The answer to a member that may serve, as one of `worldSize` members. */
 export interface RendezvousAnswer {
   readonly generation: number;
   readonly rank: number;
   readonly worldSize: number;
   /** The IP addresses of the members' machines, by rank. */
   readonly members: readonly string[];
-  /** How long the member may serve, in milliseconds from when it sent the request. */
+  /** How long the member may serve after it sent the request, in milliseconds. */
   readonly serveMs: number;
 }
 
-/** The group does not serve with this member; the state that it is in. */
+/** The answer to a member that may not serve. */
 export interface RendezvousRefusal {
-  /** 0: there is no such group. */
+  /** 0 if there is no such group. */
   readonly generation: number;
-  /** Null: there is no such group. */
+  /** The state of the group; null if there is no such group. */
   readonly state: GroupState | null;
 }
 
 const checkQuestion = compileValidator(Type.Object({ parcel: Type.String(), try: Type.Integer({ minimum: 0 }) }));
 
-/** The body of a member's request. */
+/** Encodes the body of a member's request. */
 export function encodeRendezvousQuestion({
   task,
   attempt,
@@ -47,7 +48,7 @@
   return encode({ parcel: task, try: integer(attempt) });
 }
 
-/** Throws a `MalformedMessageError` if the body is no request. */
+/** Decodes the body of a member's request. Throws a `MalformedMessageError` if it is invalid. */
 export function decodeRendezvousQuestion(body: Uint8Array): RendezvousQuestion {
   const question = checkQuestion(decodeMap(body));
   const task = parseTaskName(question.parcel);
@@ -65,7 +66,7 @@
   }),
 );
 
-/** The body of the response to a member that may serve. */
+/** Encodes the response to a member that may serve. */
 export function encodeRendezvousAnswer(answer: RendezvousAnswer): Buffer {
   return encode({
     generation: integer(answer.generation),
@@ -76,7 +77,7 @@
   });
 }
 
-/** Throws a `MalformedMessageError` if the body is no answer. */
+/** Decodes the response to a member that may serve. Throws a `MalformedMessageError` if it is invalid. */
 export function decodeRendezvousAnswer(body: Uint8Array): RendezvousAnswer {
   const { generation, rank, world_size: worldSize, members, serve_ms: serveMs } = checkAnswer(decodeMap(body));
   if (members.length !== worldSize || rank >= worldSize)
@@ -91,12 +92,12 @@
   }),
 );
 
-/** The body of the response to a member that may not serve. */
+/** Encodes the response to a member that may not serve. */
 export function encodeRendezvousRefusal({ generation, state }: RendezvousRefusal): Buffer {
   return encode({ generation: integer(generation), state });
 }
 
-/** Throws a `MalformedMessageError` if the body is no refusal. */
+/** Decodes the response to a member that may not serve. Throws a `MalformedMessageError` if it is invalid. */
 export function decodeRendezvousRefusal(body: Uint8Array): RendezvousRefusal {
   return checkRefusal(decodeMap(body)) as RendezvousRefusal;
 }
--- a/packages/wire/src/state.ts
+++ b/packages/wire/src/state.ts
@@ -1,9 +1,10 @@
-// The API of the key-value store (PROTOCOL, "Controller nodes -> state service"): its names, mapped to the code's.
+// Maps the messages of the key-value store's API (PROTOCOL, "Controller nodes -> state service") to the names that the
+// code uses.
 import { Type } from '@sinclair/typebox';
 import { compileValidator } from './validator';
 import { integer } from './codec';
 
-/** A key with its value, as the store lists it. */
+/** A key with its value in a list of keys. */
 export interface StateItem {
   readonly key: string;
   readonly value: unknown;
@@ -11,14 +12,14 @@
   readonly version: number;
 }
 
-/** A transaction is executed only if the key has this version. */
+/** A condition of a transaction, which is executed only if the key has this version. */
 export interface Condition {
   readonly key: string;
-  /** 0: the key must not exist. */
+  /** 0 if the key must not exist. */
   readonly version: number;
 }
 
-/** A change of one key. A key that is put with a lease is removed when the lease expires. */
+/** A change to one key. A key that is put with a lease is removed when the lease expires. */
 export type Change =
   { readonly put: string; readonly value: unknown; readonly lease?: number } | { readonly remove: string };
 
@@ -32,7 +33,7 @@
 
 const Revision = Type.Integer({ minimum: 0 });
 
-/** The body of a transaction, before its encoding. */
+/** Returns the body of a transaction, before its encoding. */
 export function transactionMap(conditions: readonly Condition[], changes: readonly Change[]): unknown {
   return {
     if: conditions.map(({ key, version }) => ({ k: key, stamp: integer(version) })),
@@ -50,7 +51,7 @@
 
 const checkRevision = compileValidator(Type.Object({ ledger: Revision }));
 
-/** The store's revision, which every response names. */
+/** Reads the store's revision, which is part of every response. */
 export function revisionOf(map: unknown): number {
   return checkRevision(map).ledger;
 }
@@ -63,7 +64,7 @@
   }),
 );
 
-/** Reads one page of a list; `more`: there are further keys. */
+/** Reads one page of a list of keys. `more` tells whether further pages follow. */
 export function listOf(map: unknown): { items: StateItem[]; more: boolean; revision: number } {
   const list = checkList(map);
   return {
@@ -102,22 +103,22 @@
 
 const checkLease = compileValidator(Type.Object({ permit: Revision }));
 
-/** The number of the lease that the store has granted. */
+/** Reads the id of the lease that the store has granted. */
 export function leaseOf(map: unknown): number {
   return checkLease(map).permit;
 }
 
-/** The body of a request for a lease, before its encoding. */
+/** Returns the body of a request for a lease, before its encoding. */
 export function leaseMap(ttlMs: number): unknown {
   return { ttl_ms: Math.round(ttlMs) };
 }
 
-/** A key as a parameter of a URL, with its slashes unescaped. */
+/** Escapes a key for a URL parameter, except for its slashes. */
 function urlKey(key: string): string {
   return encodeURIComponent(key).replaceAll('%2F', '/');
 }
 
-/** Paths of the store's API. `list` starts after the key `after`, `follow` after the revision `after`. */
+/** Paths of the store's API. `list` starts after the key `after`, and `follow` after the revision `after`. */
 export const STATE_PATHS = {
   txn: '/txn',
   leases: '/holds',
@@ -129,9 +130,9 @@
     `/follow?under=${urlKey(prefix)}&from=${after}&block_ms=${waitMs}`,
 } as const;
 
-// --- the other side of the protocol: for simulated stores ----------------------------------------------
+// --- the store's side of the API, for simulated stores --------------------------------------------------------------
 
-/** A transaction as the store reads it. */
+/** A transaction as the store receives it. */
 export interface TxnRequest {
   readonly conditions: readonly Condition[];
   readonly changes: readonly Change[];
@@ -164,12 +165,12 @@
   };
 }
 
-/** The response to a transaction; `failed`: the keys whose conditions did not hold. */
+/** Returns the response to a transaction, before its encoding. `failed`: the keys whose conditions were not met. */
 export function revisionMap(revision: number, failed?: readonly string[]): unknown {
   return { ledger: integer(revision), ...(failed === undefined ? {} : { failed }) };
 }
 
-/** One page of a list. */
+/** Returns one page of a list of keys, before its encoding. */
 export function listMap(items: readonly StateItem[], more: boolean, revision: number): unknown {
   return {
     items: items.map(({ key, value, version }) => ({ k: key, data: value, stamp: integer(version) })),
@@ -178,7 +179,7 @@
   };
 }
 
-/** The changes that `/follow` returns. */
+/** Returns the response to a `/follow` request, before its encoding. */
 export function eventsMap(events: readonly StateEvent[], revision: number): unknown {
   return {
     ledger: integer(revision),
@@ -190,19 +191,19 @@
   };
 }
 
-/** The response to a request for a lease. */
+/** Returns the response to a request for a lease, before its encoding. */
 export function leaseGrantedMap(lease: number): unknown {
   return { permit: integer(lease) };
 }
 
 const checkTtl = compileValidator(Type.Object({ ttl_ms: Type.Number({ minimum: 100, maximum: 600_000 }) }));
 
-/** The time to live of the requested lease, in milliseconds. */
+/** Reads the time to live of the requested lease, in milliseconds. */
 export function leaseTtlOf(map: unknown): number {
   return checkTtl(map).ttl_ms;
 }
 
-/** What a request to the store asks for. */
+/** A parsed request to the store. */
 export type StateRequest =
   | { readonly kind: 'txn' }
   | { readonly kind: 'grant' }
@@ -210,17 +211,17 @@
   | { readonly kind: 'list'; readonly prefix: string; readonly after: string; readonly limit: number }
   | { readonly kind: 'follow'; readonly prefix: string; readonly after: number };
 
-/** Reads method and path of a request; null: the store has no such path. */
+/** Parses the method and path of a request. Returns null if the store has no such path. */
 export function parseStateRequest(method: string, path: string): StateRequest | null {
   const url = new URL(path, 'http://state');
   const prefix = url.searchParams.get('under') ?? '';
-  const words = url.pathname.split('/').slice(1);
-  if (method === 'POST' && words[0] === 'txn') return { kind: 'txn' };
-  if (method === 'POST' && words[0] === 'holds' && words.length === 1) return { kind: 'grant' };
-  if (words[0] === 'holds' && words.length >= 2) {
-    return { kind: words[2] === 'renew' ? 'renew' : 'release', lease: Number(words[1]) };
+  const segments = url.pathname.split('/').slice(1);
+  if (method === 'POST' && segments[0] === 'txn') return { kind: 'txn' };
+  if (method === 'POST' && segments[0] === 'holds' && segments.length === 1) return { kind: 'grant' };
+  if (segments[0] === 'holds' && segments.length >= 2) {
+    return { kind: segments[2] === 'renew' ? 'renew' : 'release', lease: Number(segments[1]) };
   }
-  if (method === 'GET' && words[0] === 'kv') {
+  if (method === 'GET' && segments[0] === 'kv') {
     return {
       kind: 'list',
       prefix,
@@ -228,7 +229,7 @@
       limit: Number(url.searchParams.get('most') ?? 1000),
     };
   }
-  if (method === 'GET' && words[0] === 'follow')
+  if (method === 'GET' && segments[0] === 'follow')
     return { kind: 'follow', prefix, after: Number(url.searchParams.get('from')) };
   return null;
 }
--- a/packages/wire/src/users.ts
+++ b/packages/wire/src/users.ts
@@ -1,73 +1,73 @@
-// The interface of users (PROTOCOL, "Users -> controller nodes"): its names, mapped to the code's.
+// Maps the messages of the users' API (PROTOCOL, "Users -> controller nodes") to the names that the code uses.
 import { Type } from '@sinclair/typebox';
 import { compileValidator } from './validator';
 import { decodeMap, encode, MalformedMessageError } from './codec';
 
-/** The priority classes, the highest first; a priority as a number is its index here. */
+/** The priority classes, the highest first. A numeric priority is an index into this list. */
 export const PRIORITIES = ['production', 'high', 'normal', 'low'] as const;
 /** One of `PRIORITIES`. */
 export type Priority = (typeof PRIORITIES)[number];
 /** array: independent tasks that run to completion. service: replicas that run until the job is cancelled. */
 export type JobKind = 'array' | 'service';
-/** The status of a job as users see it. */
+/** The status of a job as reported to users. */
 export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
 
-/** Most tasks of a job (PROTOCOL). */
+/** Maximum number of tasks in a job (PROTOCOL). */
 export const MAX_TASKS = 100_000;
 
-/** A job as it was submitted. Resources are those that each task takes of its machine. */
+/** A job as submitted. Resource amounts are per task. */
 export interface JobSpec {
   readonly id: string;
   readonly jobClass: string;
   readonly team: string;
   readonly kind: JobKind;
   readonly priority: Priority;
-  /** How many; they are numbered from 0. */
+  /** The number of tasks. Their indexes start at 0. */
   readonly tasks: number;
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
   readonly image: string;
   readonly imageGb: number;
-  /** Allowed machine types; null: any. */
+  /** The allowed machine types; null: any type. */
   readonly types: readonly string[] | null;
-  /** The only allowed zone; null: any. */
+  /** The only allowed zone; null: any zone. */
   readonly zone: string | null;
-  /** All tasks must be in the same zone. */
+  /** Whether all tasks must be in the same zone. */
   readonly oneZone: boolean;
-  /** At most half of the tasks, rounded up, may be in one zone. */
+  /** Whether at most half of the tasks, rounded up, may be in the same zone. */
   readonly spread: boolean;
-  /** Spot machines are allowed. */
+  /** Whether spot machines are allowed. */
   readonly spot: boolean;
-  /** The user's estimate of a task's run time without the image fetch; often wrong by half. 0 for services. */
+  /** The user's estimate of a task's run time in seconds, without the image fetch; often wrong by half. 0: service. */
   readonly estimateS: number;
-  /** Interval of progress after which a running task saves a checkpoint; 0: it never saves. */
+  /** Progress in seconds after which a running task saves a checkpoint; 0: it saves none. */
   readonly checkpointS: number;
-  /** Time that a task needs to save when it is stopped. */
+  /** Time that a task needs to save when it is stopped, in seconds. */
   readonly saveS: number;
-  /** When the job should be complete, from its submission; null: no deadline. */
+  /** Time from submission within which the job should be complete, in seconds; null: no deadline. */
   readonly deadlineS: number | null;
-  /** Ids of the jobs that must be done before any task of this one starts, without repetitions. */
+  /** Ids of the jobs that must be done before any task of this job starts, without duplicates. */
   readonly awaits: readonly string[];
 }
 
-/** The code's names by wire name. */
-const PRIORITY_NAMES: Record<string, Priority> = {
+/** The names that the code uses, by wire name. */
+const PRIORITY_BY_WIRE_NAME: Record<string, Priority> = {
   production: 'production',
   high: 'high',
   standard: 'normal',
   low: 'low',
 };
-/** The wire names by the code's name. */
-const PRIORITY_WORDS: Record<Priority, string> = {
+/** The wire names, by the name that the code uses. */
+const PRIORITY_WIRE_NAMES: Record<Priority, string> = {
   production: 'production',
   high: 'high',
   normal: 'standard',
   low: 'low',
 };
-const KIND_NAMES: Record<string, JobKind> = { sweep: 'array', daemon: 'service' };
-const KIND_WORDS: Record<JobKind, string> = { array: 'sweep', service: 'daemon' };
-const STATUS_WORDS: Record<JobStatus, string> = {
+const KIND_BY_WIRE_NAME: Record<string, JobKind> = { sweep: 'array', daemon: 'service' };
+const KIND_WIRE_NAMES: Record<JobKind, string> = { array: 'sweep', service: 'daemon' };
+const STATUS_WIRE_NAMES: Record<JobStatus, string> = {
   queued: 'pending',
   running: 'running',
   done: 'done',
@@ -76,19 +76,19 @@
 
 const JOB_ID = /^j-[0-9]{1,32}$/;
 
-/** Whether the text has the form of a job's id, `j-` and digits. */
+/** Whether the string has the form of a job id, `j-` followed by digits. */
 export function isJobId(id: string): boolean {
   return JOB_ID.test(id);
 }
 
 const Amount = Type.Number({ minimum: 0, maximum: 1e12 });
-const Word = Type.String({ minLength: 1, maxLength: 64 });
+const Name = Type.String({ minLength: 1, maxLength: 64 });
 
 const checkSubmission = compileValidator(
   Type.Object({
     name_id: Type.String({ pattern: JOB_ID.source }),
-    lane: Word,
-    crew: Word,
+    lane: Name,
+    crew: Name,
     shape: Type.Union([Type.Literal('sweep'), Type.Literal('daemon')]),
     urgency: Type.Union([
       Type.Literal('production'),
@@ -100,10 +100,10 @@
     cores: Amount,
     accelerators: Amount,
     memory_gb: Amount,
-    crate: Word,
+    crate: Name,
     image_gb: Amount,
-    breeds: Type.Optional(Type.Union([Type.Null(), Type.Array(Word, { maxItems: 32 })])),
-    yard: Type.Optional(Type.Union([Type.Null(), Word])),
+    breeds: Type.Optional(Type.Union([Type.Null(), Type.Array(Name, { maxItems: 32 })])),
+    yard: Type.Optional(Type.Union([Type.Null(), Name])),
     same_place: Type.Boolean(),
     scatter: Type.Boolean(),
     borrowed: Type.Boolean(),
@@ -116,7 +116,8 @@
 );
 
 /**
- * Reads the map of a submission, as users post it and as the key-value store has it. Throws a `MalformedMessageError`.
+ * Reads a submission as posted by users or stored in the key-value store. Throws a `MalformedMessageError` if it is
+ * invalid.
  */
 export function jobSpecOf(map: unknown): JobSpec {
   const submission = checkSubmission(map);
@@ -124,8 +125,8 @@
     id: submission.name_id,
     jobClass: submission.lane,
     team: submission.crew,
-    kind: KIND_NAMES[submission.shape]!,
-    priority: PRIORITY_NAMES[submission.urgency]!,
+    kind: KIND_BY_WIRE_NAME[submission.shape]!,
+    priority: PRIORITY_BY_WIRE_NAME[submission.urgency]!,
     tasks: submission.parcels,
     cpus: submission.cores,
     gpus: submission.accelerators,
@@ -145,14 +146,14 @@
   };
 }
 
-/** The map of a submission; `jobSpecOf` reads it. */
+/** Returns the body of a submission, before its encoding; `jobSpecOf` reads it. */
 export function submissionMap(job: JobSpec): Record<string, unknown> {
   return {
     name_id: job.id,
     lane: job.jobClass,
     crew: job.team,
-    shape: KIND_WORDS[job.kind],
-    urgency: PRIORITY_WORDS[job.priority],
+    shape: KIND_WIRE_NAMES[job.kind],
+    urgency: PRIORITY_WIRE_NAMES[job.priority],
     parcels: job.tasks,
     cores: job.cpus,
     accelerators: job.gpus,
@@ -168,43 +169,43 @@
     stash_every_s: job.checkpointS,
     stash_s: job.saveS,
     due_s: job.deadlineS,
-    // Left out when empty: jobs without dependencies are stored as versions without `awaits` store them.
+    // Omitted when empty, so that jobs without dependencies are stored as by versions without `awaits`.
     ...(job.awaits.length > 0 ? { awaits: job.awaits } : {}),
   };
 }
 
-/** Reads the body of a submission. Throws a `MalformedMessageError`. */
+/** Decodes the body of a submission. Throws a `MalformedMessageError` if it is invalid. */
 export function decodeSubmission(body: Uint8Array): JobSpec {
   return jobSpecOf(decodeMap(body));
 }
 
-/** The body of a submission. */
+/** Encodes the body of a submission. */
 export function encodeSubmission(job: JobSpec): Buffer {
   return encode(submissionMap(job));
 }
 
-/** The state of a job as users see it. */
+/** The state of a job as reported to users. */
 export interface JobState {
   readonly id: string;
   readonly status: JobStatus;
-  /** How many tasks are done; for display. */
+  /** Number of done tasks, for display. */
   readonly done?: number;
-  /** How many tasks run; for display. */
+  /** Number of running tasks, for display. */
   readonly running?: number;
 }
 
-/** The body of a response about a job. */
+/** Encodes the body of a response about a job. */
 export function encodeJobState(state: JobState): Buffer {
-  const map: Record<string, unknown> = { name_id: state.id, status: STATUS_WORDS[state.status] };
+  const map: Record<string, unknown> = { name_id: state.id, status: STATUS_WIRE_NAMES[state.status] };
   if (state.done !== undefined) map.done = state.done;
   if (state.running !== undefined) map.running = state.running;
   return encode(map);
 }
 
-/** Reads the body of a response about a job. Throws a `MalformedMessageError`. */
+/** Decodes the body of a response about a job. Throws a `MalformedMessageError` if it is invalid. */
 export function decodeJobState(body: Uint8Array): JobState {
   const map = decodeMap(body);
-  const status = (Object.keys(STATUS_WORDS) as JobStatus[]).find((name) => STATUS_WORDS[name] === map.status);
+  const status = (Object.keys(STATUS_WIRE_NAMES) as JobStatus[]).find((name) => STATUS_WIRE_NAMES[name] === map.status);
   if (status === undefined) throw new MalformedMessageError('status', 'unknown');
   if (typeof map.name_id !== 'string') throw new MalformedMessageError('name_id', 'not text');
   return {
@@ -215,7 +216,7 @@
   };
 }
 
-/** The body of an error response. Users and workers see the reason. */
+/** Encodes the body of an error response. Users and workers see the reason. */
 export function encodeError(reason: string): Buffer {
   return encode({ error: reason });
 }
--- a/packages/wire/src/validator.ts
+++ b/packages/wire/src/validator.ts
@@ -1,14 +1,14 @@
-// Validation of decoded bodies and records against their schemas.
+// Validation of decoded bodies and stored records against their schemas.
 import { type Static, type TSchema } from '@sinclair/typebox';
 import { TypeCompiler } from '@sinclair/typebox/compiler';
 import { MalformedMessageError } from './codec';
 
 /**
- * A function that returns a value with its type if the schema holds, or throws a `MalformedMessageError` naming the
- * first bad field.
+ * Returns a function that returns a value with its type if it matches the schema, or throws a `MalformedMessageError`
+ * naming the first invalid field.
  */
 export function compileValidator<T extends TSchema>(schema: T): (value: unknown) => Static<T> {
-  // Compiling generates code, so it waits until the first message of its kind: start-up time is scarce.
+  // Compiled at the first use, because compilation generates code and would slow down start-up.
   let compiled: ReturnType<typeof TypeCompiler.Compile<T>> | undefined;
   return (value) => {
     compiled ??= TypeCompiler.Compile(schema);
--- a/packages/wire/src/workers.ts
+++ b/packages/wire/src/workers.ts
@@ -1,67 +1,67 @@
-// The interface of workers (PROTOCOL, "Workers -> controller nodes" and "Controller nodes -> workers"): its names,
-// mapped to the code's.
+// Maps the messages of the workers' API (PROTOCOL, "Workers -> controller nodes" and "Controller nodes -> workers") to
+// the names that the code uses.
 import { Type } from '@sinclair/typebox';
 import { compileValidator } from './validator';
 import { decodeMap, encode, integer, MalformedMessageError } from './codec';
 import { isJobId } from './users';
 
-/** The state of a task on its machine. fetching: it waits for its image; saving: it is being stopped and saves. */
+/** The state of a task on its machine. fetching: it waits for its image; saving: it saves while being stopped. */
 export type TaskState = 'fetching' | 'running' | 'saving' | 'exited';
 /**
- * Why a task has ended or was not started; `unrecognised`: the worker gave no cause, or one that PROTOCOL does not
- * name.
+ * Why a task has ended or was not started. `unrecognised`: the worker gave no cause, or one that PROTOCOL does not
+ * define.
  */
 export type ExitCause = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown' | 'unrecognised';
 
-/** A task as a heartbeat reports it. */
+/** A task as reported in a heartbeat. */
 export interface ReportedTask {
-  /** Its name, `JOB/INDEX`. */
+  /** The name of the task, `JOB/INDEX`. */
   readonly task: string;
   readonly attempt: number;
   readonly state: TaskState;
-  /** Null unless it has exited. */
+  /** Null unless the task has exited. */
   readonly cause: ExitCause | null;
-  /** Whether its progress was saved when it was stopped. */
+  /** Whether the task saved its progress when it was stopped. */
   readonly saved: boolean;
 }
 
 /** A heartbeat of a worker, with the status of its machine. */
 export interface Heartbeat {
   readonly machine: string;
-  /** Where the worker takes direct commands, `HOST:PORT`. */
+  /** Address on which the worker accepts direct commands, `HOST:PORT`. */
   readonly addr: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   /** Starts at 1 and increases each time the worker's lease expires. */
   readonly agentEpoch: number;
-  /** Increases with every message of the worker: the one with the larger epoch and number is the newer one. */
+  /** Increases with every message of the worker. Messages are ordered by epoch, then by this number. */
   readonly sequenceNumber: number;
   /** The highest fencing token that the worker has seen. */
   readonly fencingToken: number;
-  /** Seconds until the cloud takes the machine away; null: there is no notice. */
+  /** Seconds until the cloud evicts the machine; null: no eviction notice. */
   readonly noticeS: number | null;
-  /** All tasks on the machine, including exited ones that were not forgotten yet. */
+  /** All tasks on the machine, including exited tasks that were not forgotten yet. */
   readonly tasks: readonly ReportedTask[];
 }
 
 /**
- * A command to a worker. `graceS`: time to save before the task is ended. `forget` removes an exited task from the
- * heartbeats.
+ * A command to a worker. `graceS`: seconds that the task has for saving before it is ended. `forget` removes an exited
+ * task from the heartbeats.
  */
 export type WorkerCommand =
   | { readonly op: 'start'; readonly task: string; readonly attempt: number }
   | { readonly op: 'stop'; readonly task: string; readonly attempt: number; readonly graceS: number }
   | { readonly op: 'forget'; readonly task: string; readonly attempt: number };
 
-/** The code's names by wire name. */
-const STATE_NAMES: Record<string, TaskState> = {
+/** The names that the code uses, by wire name. */
+const STATE_BY_WIRE_NAME: Record<string, TaskState> = {
   fetching: 'fetching',
   running: 'running',
   flushing: 'saving',
   exited: 'exited',
 };
-const CAUSE_NAMES: Record<string, ExitCause> = {
+const CAUSE_BY_WIRE_NAME: Record<string, ExitCause> = {
   done: 'done',
   halted: 'stopped',
   error: 'error',
@@ -69,10 +69,10 @@
   in_use: 'busy',
   no_such: 'unknown',
 };
-/** The wire names by the code's name. */
-const OP_WORDS = { start: 'start', stop: 'halt', forget: 'forget' } as const;
+/** The wire names, by the name that the code uses. */
+const OP_WIRE_NAMES = { start: 'start', stop: 'halt', forget: 'forget' } as const;
 
-/** The wire name of a value. */
+/** Returns the wire name of a value. */
 function wireNameOf<V extends string>(names: Record<string, V>, value: V): string {
   return Object.keys(names).find((name) => names[name] === value)!;
 }
@@ -102,7 +102,7 @@
   }),
 );
 
-/** Reads a heartbeat. Throws a `MalformedMessageError`. */
+/** Decodes a heartbeat. Throws a `MalformedMessageError` if it is invalid. */
 export function decodeHeartbeat(body: Uint8Array): Heartbeat {
   const map = checkHeartbeat(decodeMap(body));
   return {
@@ -116,21 +116,21 @@
     fencingToken: map.baton,
     noticeS: map.recall_s ?? null,
     tasks: map.parcels.map((parcel, index) => {
-      const state = STATE_NAMES[parcel.status];
-      // An unknown state is not evidence of anything, least of all that the task is gone.
+      const state = STATE_BY_WIRE_NAME[parcel.status];
+      // An unknown state proves nothing about the task; in particular, not that it is gone.
       if (state === undefined) throw new MalformedMessageError(`parcels.${index}.status`, 'unknown');
       return {
         task: parcel.parcel,
         attempt: parcel.try,
         state,
-        cause: state === 'exited' ? (CAUSE_NAMES[parcel.cause ?? ''] ?? 'unrecognised') : null,
+        cause: state === 'exited' ? (CAUSE_BY_WIRE_NAME[parcel.cause ?? ''] ?? 'unrecognised') : null,
         saved: parcel.stored ?? false,
       };
     }),
   };
 }
 
-/** The body of a heartbeat, and of a worker's response to direct commands. */
+/** Encodes a heartbeat, or a worker's response to direct commands. */
 export function encodeHeartbeat(heartbeat: Heartbeat): Buffer {
   return encode({
     rig: heartbeat.machine,
@@ -145,8 +145,8 @@
     parcels: heartbeat.tasks.map(({ task, attempt, state, cause, saved }) => ({
       parcel: task,
       try: integer(attempt),
-      status: wireNameOf(STATE_NAMES, state),
-      ...(cause === null ? {} : { cause: wireNameOf(CAUSE_NAMES, cause) }),
+      status: wireNameOf(STATE_BY_WIRE_NAME, state),
+      ...(cause === null ? {} : { cause: wireNameOf(CAUSE_BY_WIRE_NAME, cause) }),
       ...(cause === 'stopped' ? { stored: saved } : {}),
     })),
   });
@@ -154,19 +154,19 @@
 
 function commandMaps(commands: readonly WorkerCommand[]): unknown[] {
   return commands.map((command) => ({
-    verb: OP_WORDS[command.op],
+    verb: OP_WIRE_NAMES[command.op],
     parcel: command.task,
     try: integer(command.attempt),
     ...(command.op === 'stop' ? { leeway_s: command.graceS } : {}),
   }));
 }
 
-/** The response to a heartbeat. */
+/** Encodes the response to a heartbeat. */
 export function encodeHeartbeatAnswer(fencingToken: number, commands: readonly WorkerCommand[]): Buffer {
   return encode({ baton: integer(fencingToken), orders: commandMaps(commands) });
 }
 
-/** The body of a direct `/commands` request. */
+/** Encodes the body of a direct `/commands` request. */
 export function encodeDirectCommands(
   fencingToken: number,
   agentEpoch: number,
@@ -191,8 +191,8 @@
 );
 
 /**
- * Reads a response to a heartbeat, or a direct `/commands` request, which names the agent epoch too. Throws a
- * `MalformedMessageError`.
+ * Decodes a response to a heartbeat or a direct `/commands` request. Only the latter contains the agent epoch. Throws a
+ * `MalformedMessageError` if the body is invalid.
  */
 export function decodeCommands(body: Uint8Array): {
   fencingToken: number;
@@ -211,17 +211,17 @@
   };
 }
 
-/** The body of a response with status 421: the controller to send heartbeats to; null: it is not known. */
+/** Encodes a response with status 421, which names the controller to send heartbeats to; null if it is unknown. */
 export function encodeRedirect(controller: string | null): Buffer {
   return encode(controller === null ? {} : { foreman: controller });
 }
 
-/** The name of a task. */
+/** Returns the name of a task. */
 export function taskName(job: string, index: number): string {
   return `${job}/${index}`;
 }
 
-/** Splits the name of a task; null: it is not the name of one. */
+/** Splits the name of a task into job and index. Returns null if it is not a valid task name. */
 export function parseTaskName(name: string): { job: string; index: number } | null {
   const slash = name.indexOf('/');
   const digits = name.slice(slash + 1);
@@ -229,7 +229,7 @@
   return { job: name.slice(0, slash), index: Number(digits) };
 }
 
-/** The controller that a response with status 421 names; null: none. */
+/** Reads the controller that a response with status 421 names; null if it names none. */
 export function decodeRedirect(body: Uint8Array): string | null {
   const { foreman } = decodeMap(body);
   return typeof foreman === 'string' ? foreman : null;
--- a/packages/wire/test/formats.test.ts
+++ b/packages/wire/test/formats.test.ts
@@ -11,7 +11,7 @@
 const jobId = fc.integer({ min: 0, max: 999_999 }).map((n) => `j-${String(n).padStart(6, '0')}`);
 const params = { seed: 391, numRuns: 300 };
 
-const spec: fc.Arbitrary<wire.JobSpec> = fc.record(
+const anySpec: fc.Arbitrary<wire.JobSpec> = fc.record(
   {
     id: jobId,
     jobClass: word,
@@ -38,7 +38,7 @@
   plain,
 );
 
-const report: fc.Arbitrary<wire.Heartbeat> = fc.record(
+const anyHeartbeat: fc.Arbitrary<wire.Heartbeat> = fc.record(
   {
     machine: word,
     addr: word,
@@ -75,9 +75,9 @@
   plain,
 );
 
-test('a submission survives its round trip, on the wire and in the key-value store', () => {
+test('a submission is unchanged by a round trip through the wire format and the stored format', () => {
   fc.assert(
-    fc.property(spec, (s) => {
+    fc.property(anySpec, (s) => {
       assert.deepEqual(wire.decodeSubmission(wire.encodeSubmission(s)), s);
       const record: wire.JobRecord = {
         final: null,
@@ -93,9 +93,9 @@
   );
 });
 
-test('heartbeats and commands survive their round trips, also with counts beyond 32 bits', () => {
+test('heartbeats and commands are unchanged by a round trip, also with counts beyond 32 bits', () => {
   fc.assert(
-    fc.property(report, (heartbeat) =>
+    fc.property(anyHeartbeat, (heartbeat) =>
       assert.deepEqual(wire.decodeHeartbeat(wire.encodeHeartbeat(heartbeat)), heartbeat),
     ),
     params,
@@ -120,13 +120,13 @@
 });
 
 test('a count beyond 32 bits is an integer on the wire, not a float', () => {
-  // MessagePack marks: 0xcf and 0xd3 are 64-bit integers, 0xcb is a double.
+  // MessagePack type bytes: 0xcf and 0xd3 are 64-bit integers, 0xcb is a double.
   const bytes = wire.encode(wire.integer(2 ** 40));
-  assert.ok(bytes[0] === 0xcf || bytes[0] === 0xd3, `mark ${bytes[0]}`);
+  assert.ok(bytes[0] === 0xcf || bytes[0] === 0xd3, `type byte ${bytes[0]}`);
   assert.equal(wire.decode(bytes), 2 ** 40);
 });
 
-test('bytes that are no submission and no report are refused with a reason, and never anything else', () => {
+test('invalid submissions, heartbeats and commands throw a MalformedMessageError and no other error', () => {
   const decoders = [wire.decodeSubmission, wire.decodeHeartbeat, wire.decodeCommands];
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 200 }), (bytes) => {
@@ -139,8 +139,8 @@
   }
 });
 
-test('a submission with any one field missing or of a wrong type names that field', () => {
-  const good = wire.submissionMap({
+test('the error about a submission with a missing or invalid field names that field', () => {
+  const valid = wire.submissionMap({
     id: 'j-000001',
     jobClass: 'c',
     team: 't',
@@ -164,8 +164,8 @@
     awaits: [],
   });
   const nullable = ['breeds', 'yard', 'due_s'];
-  for (const field of Object.keys(good)) {
-    const rest = Object.fromEntries(Object.entries(good).filter(([name]) => name !== field));
+  for (const field of Object.keys(valid)) {
+    const rest = Object.fromEntries(Object.entries(valid).filter(([name]) => name !== field));
     if (nullable.includes(field)) {
       assert.doesNotThrow(() => wire.jobSpecOf(rest), field);
     } else {
@@ -175,13 +175,13 @@
         field,
       );
       assert.throws(
-        () => wire.jobSpecOf({ ...good, [field]: null }),
+        () => wire.jobSpecOf({ ...valid, [field]: null }),
         (e: wire.MalformedMessageError) => e.path === field,
         field,
       );
     }
     assert.throws(
-      () => wire.jobSpecOf({ ...good, [field]: { no: 1 } }),
+      () => wire.jobSpecOf({ ...valid, [field]: { no: 1 } }),
       (e: wire.MalformedMessageError) => e.path.startsWith(field),
       field,
     );
@@ -199,15 +199,15 @@
   ];
   for (const [field, value] of outOfRange) {
     assert.throws(
-      () => wire.jobSpecOf({ ...good, [field]: value }),
+      () => wire.jobSpecOf({ ...valid, [field]: value }),
       (e: wire.MalformedMessageError) => e.path === field,
       field,
     );
   }
-  assert.doesNotThrow(() => wire.jobSpecOf({ ...good, unheard_of: 1 }));
+  assert.doesNotThrow(() => wire.jobSpecOf({ ...valid, unheard_of: 1 }));
 });
 
-test('a report with an unknown task state is refused: it proves nothing about the task', () => {
+test('a heartbeat with an unknown task state is rejected', () => {
   const body = wire.encode({
     rig: 'm',
     addr: '',
@@ -222,7 +222,7 @@
   assert.throws(() => wire.decodeHeartbeat(body), /parcels\.0\.status/);
 });
 
-test('lists, events, machine types and transactions survive their round trips through both sides', () => {
+test('lists, events and transactions are unchanged by a round trip through both sides of the store API', () => {
   fc.assert(
     fc.property(
       fc.array(fc.record({ key: word, value: fc.record({ a: count }, plain), version: count }, plain), {
@@ -230,22 +230,25 @@
       }),
       count,
       (items, revision) => {
-        const trip = (map: unknown): unknown => wire.decode(wire.encode(map));
-        assert.deepEqual(wire.listOf(trip(wire.listMap(items, true, revision))), { items, more: true, revision });
+        const roundTrip = (map: unknown): unknown => wire.decode(wire.encode(map));
+        assert.deepEqual(wire.listOf(roundTrip(wire.listMap(items, true, revision))), { items, more: true, revision });
         const events = items.map((i, n) => (n % 2 === 0 ? i : { ...i, value: undefined }));
-        assert.deepEqual(wire.eventsOf(trip(wire.eventsMap(events, revision))), { events, revision });
+        assert.deepEqual(wire.eventsOf(roundTrip(wire.eventsMap(events, revision))), { events, revision });
         const conditions = items.map((i) => ({ key: i.key, version: i.version }));
         const changes = items.map((i, n) =>
           n % 2 === 0 ? { put: i.key, value: i.value, lease: i.version } : { remove: i.key },
         );
-        assert.deepEqual(wire.txnRequestOf(trip(wire.transactionMap(conditions, changes))), { conditions, changes });
+        assert.deepEqual(wire.txnRequestOf(roundTrip(wire.transactionMap(conditions, changes))), {
+          conditions,
+          changes,
+        });
       },
     ),
     params,
   );
 });
 
-test('finished sets survive their round trip', () => {
+test('pages of finished tasks are unchanged by a round trip', () => {
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 4000 }), (bits) => {
       assert.deepEqual(wire.finishedRecord.read(wire.decode(wire.encode(wire.finishedRecord.write(bits)))), bits);
@@ -254,7 +257,7 @@
   );
 });
 
-const group: fc.Arbitrary<wire.GroupRecord> = fc.record(
+const anyGroup: fc.Arbitrary<wire.GroupRecord> = fc.record(
   {
     generation: count,
     state: fc.constantFrom(...wire.GROUP_STATES),
@@ -271,9 +274,9 @@
   plain,
 );
 
-test('the record of a replica group survives its round trip, and no other value is taken for one', () => {
+test('a group record is unchanged by a round trip, and invalid values throw only MalformedMessageError', () => {
   fc.assert(
-    fc.property(group, (record) => {
+    fc.property(anyGroup, (record) => {
       const stored = wire.decode(wire.encode(wire.groupRecord.write(record)));
       assert.deepEqual(wire.groupRecord.read(stored), record);
     }),
@@ -292,9 +295,9 @@
   assert.deepEqual(wire.parseKey(wire.KEYS.group('j-000007')), { kind: 'group', job: 'j-000007' });
 });
 
-test('as many members as are allowed fit into a value', () => {
+test('a record with maxGroupMembers members fits into a value', () => {
   for (const kb of [2, 8, 16]) {
-    const most = wire.maxGroupMembers(kb * 1024);
+    const maxMembers = wire.maxGroupMembers(kb * 1024);
     const member = { partitionId: 999, machine: 'm'.repeat(64), attempt: 2 ** 48 };
     const record: wire.GroupRecord = {
       generation: 2 ** 31,
@@ -304,7 +307,7 @@
       failures: 1000,
       hasServed: true,
       avoid: member.machine,
-      members: Array.from({ length: most }, () => member),
+      members: Array.from({ length: maxMembers }, () => member),
     };
     const text = JSON.stringify(wire.groupRecord.write(record), (_key, value: unknown) =>
       typeof value === 'bigint' ? Number(value) : value,
--- a/packages/wire/test/machine-types.test.ts
+++ b/packages/wire/test/machine-types.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { isRentable, machineTypesMap, machineTypesOf, readMachineTypes } from '../src/index';
 
-const GOOD = {
+const VALID_TYPE = {
   sku: 'box',
   cores: 8,
   accelerators: 4,
@@ -15,36 +15,42 @@
   ready_s: 30,
   yards: ['a'],
 };
-const POSITIVE = ['cores', 'memory_gb', 'fetch_gb_per_s', 'price', 'low_price', 'ready_s'];
+const POSITIVE_FIELDS = ['cores', 'memory_gb', 'fetch_gb_per_s', 'price', 'low_price', 'ready_s'];
 
-test('a type with an amount that makes no sense is named by field and not rented, and the others are', () => {
-  const bad = fc.constantFrom<unknown>(0, -1, NaN, Infinity, null, undefined, '4', {});
+test('a type with an invalid amount is reported with its field and not rentable, and other types are rentable', () => {
+  const invalidAmount = fc.constantFrom<unknown>(0, -1, NaN, Infinity, null, undefined, '4', {});
   fc.assert(
-    fc.property(fc.constantFrom(...POSITIVE), bad, (field, value) => {
+    fc.property(fc.constantFrom(...POSITIVE_FIELDS), invalidAmount, (field, value) => {
       const { types, invalid } = readMachineTypes({
         breeds: [
-          { ...GOOD, [field]: value },
-          { ...GOOD, sku: 'other' },
+          { ...VALID_TYPE, [field]: value },
+          { ...VALID_TYPE, sku: 'other' },
         ],
       });
       assert.deepEqual(invalid, [{ type: 'box', field, why: 'not a positive number' }]);
       assert.deepEqual(types.map(isRentable), [false, true]);
-      // What is stored of it is read again as the same.
+      // Types that were read are unchanged by writing and reading them again.
       assert.deepEqual(machineTypesOf(machineTypesMap(types)), types);
     }),
     { seed: 5 },
   );
 });
 
-test('a type may be without accelerators and without a cache', () => {
-  const { types, invalid } = readMachineTypes({ breeds: [{ ...GOOD, accelerators: 0, cache_gb: 0 }] });
+test('a type without accelerators and without a cache is rentable', () => {
+  const { types, invalid } = readMachineTypes({ breeds: [{ ...VALID_TYPE, accelerators: 0, cache_gb: 0 }] });
   assert.deepEqual(invalid, []);
   assert.ok(isRentable(types[0]!));
 });
 
-test('a type that is listed twice, has no name or no zones is named', () => {
+test('a type that is listed twice, has no name or has no zones is reported', () => {
   const { types, invalid } = readMachineTypes({
-    breeds: [GOOD, { ...GOOD, price: 1 }, { ...GOOD, sku: 7 }, null, { ...GOOD, sku: 'nowhere', yards: 'a' }],
+    breeds: [
+      VALID_TYPE,
+      { ...VALID_TYPE, price: 1 },
+      { ...VALID_TYPE, sku: 7 },
+      null,
+      { ...VALID_TYPE, sku: 'nowhere', yards: 'a' },
+    ],
   });
   assert.deepEqual(
     types.map(({ name, price, zones }) => [name, price, zones]),
--- a/packages/wire/test/production-format.test.ts
+++ b/packages/wire/test/production-format.test.ts
@@ -1,5 +1,5 @@
-// Records as the version in production writes them, kept as bytes. Both versions serve side by side during an upgrade, so
-// each has to read what the other has written and write what the other can read.
+// Records that the production version encoded. Both versions run side by side during an upgrade, so each must read and
+// write exactly these bytes.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as wire from '../src/index';
@@ -22,7 +22,7 @@
 };
 
 for (const { name, key, value, bytes } of pinned.records) {
-  test(`production record "${name}" is read, and written again to the byte`, () => {
+  test(`production record "${name}" is decoded and re-encoded to identical bytes`, () => {
     const format = FORMATS[wire.parseKey(key).kind]!;
     const stored = wire.decode(Buffer.from(bytes, 'hex'));
     assert.deepEqual(stored, value);
@@ -31,7 +31,7 @@
   });
 }
 
-test('every kind of key that production writes has a pinned record', () => {
+test('every kind of key that the production version writes has a pinned record', () => {
   const kinds = new Set(pinned.records.map((record) => wire.parseKey(record.key).kind));
   assert.deepEqual([...kinds].sort(), Object.keys(FORMATS).sort());
 });
