--- a/packages/clients/src/key-value-store.ts
+++ b/packages/clients/src/key-value-store.ts
@@ -8,7 +8,7 @@
   eventsOf,
   GingerlockError,
   leaseMap,
-  leaseOf,
+  leaseIdOf,
   listOf,
   revisionOf,
   STATE_PATHS,
@@ -187,7 +187,7 @@
   async grantLease(ttlMs: number): Promise<number> {
     const answer = await this.#send(URGENCY.renew, 0, 'POST', STATE_PATHS.leases, leaseMap(ttlMs));
     if (answer.status !== 200) throw new StoreRejectedError(answer.status, 'lease');
-    return leaseOf(decode(answer.body));
+    return leaseIdOf(decode(answer.body));
   }
 
   /** Makes the lease last its whole length again. False: it has expired. */
--- a/packages/daemon/src/api/rendezvous.ts
+++ b/packages/daemon/src/api/rendezvous.ts
@@ -2,12 +2,12 @@
 // again.
 import { type ReplicaGroupSettings, serveLeaseMs } from '@gingerlock/replica-groups';
 import {
-  decodeRendezvousQuestion,
+  decodeRendezvousRequest,
   encodeRendezvousAnswer,
   encodeRendezvousRefusal,
   type GroupRecord,
-  hostOf,
-  type RendezvousQuestion,
+  canonicalIpOf,
+  type RendezvousRequest,
 } from '@gingerlock/wire';
 import { malformed, refusal, type Reply } from './reply';
 import type { ControllerContext } from '../controller/controller-context';
@@ -31,9 +31,9 @@
    * leases of a generation have expired one lease after its end was stored.
    */
   async ask(body: Buffer): Promise<Reply> {
-    let question: RendezvousQuestion;
+    let request: RendezvousRequest;
     try {
-      question = decodeRendezvousQuestion(body);
+      request = decodeRendezvousRequest(body);
     } catch (error) {
       return malformed(error);
     }
@@ -42,17 +42,17 @@
     } catch {
       return refusal(503, 'state service is out of reach', RETRY_S);
     }
-    return this.#answer(question);
+    return this.#answer(request);
   }
 
-  #answer({ job: id, rank, attempt }: RendezvousQuestion): Reply {
+  #answer({ job: id, rank, attempt }: RendezvousRequest): Reply {
     const { clusterState, clusterConfig } = this.context;
     const job = clusterState.jobs.live.get(id);
     const record = job?.isGroup === true ? clusterState.groups.get(id)?.record : undefined;
     const isServing = record?.state === 'serving' && record.members[rank]?.attempt === attempt;
     if (record === undefined || !isServing || job!.isCancelled) return this.#notServing(record);
     const hosts = record.members.map(({ partitionId, machine }) =>
-      hostOf(clusterState.addressOf(partitionId, machine) ?? ''),
+      canonicalIpOf(clusterState.addressOf(partitionId, machine) ?? ''),
     );
     if (!areAllKnown(hosts)) return refusal(503, 'the address of a member is not known', RETRY_S);
     const { generation } = record;
--- a/packages/daemon/src/controller/composition.ts
+++ b/packages/daemon/src/controller/composition.ts
@@ -2,7 +2,7 @@
 import { type Clock, type Http, KeyValueStore, RateLimiter, WatchCache } from '@gingerlock/clients';
 import type { PeerLink } from '@gingerlock/peer';
 import { isGroupSpec } from '@gingerlock/replica-groups';
-import { PREFIX } from '@gingerlock/wire';
+import { KEY_PREFIX } from '@gingerlock/wire';
 import { JobApi } from '../api/job-api';
 import { Rendezvous } from '../api/rendezvous';
 import { AcquisitionOrder, type PeerLiveness } from '../ownership/acquisition-order';
@@ -159,7 +159,7 @@
   const watchCache = new WatchCache({
     keyValueStore,
     clock,
-    prefix: PREFIX,
+    prefix: KEY_PREFIX,
     minIntervalMs: Math.max(
       heartbeatIntervalMs / MAX_READS_PER_HEARTBEAT_INTERVAL,
       (REQUESTS_PER_READ * 1000) / (settings.storeRequestsPerS * share),
--- a/packages/daemon/src/leader/leader-groups.ts
+++ b/packages/daemon/src/leader/leader-groups.ts
@@ -89,7 +89,7 @@
     const { zones } = this.context.clusterConfig;
     const draining = new Set(this.fleetView.draining());
     const available = candidates.filter(({ machine }) => !draining.has(machine));
-    const avoid = this.#stored(job)?.record.avoid ?? null;
+    const avoid = this.#stored(job)?.record.avoidedMachine ?? null;
     const chooseIn: ChooseInZones = (among) => chooseMachines(job, available, among, avoid);
     const choice = chooseIn(zones);
     if (choice.missing > 0 && job.spec.oneZone) return chooseIn([this.#preferredZones.zoneFor(job, zones, chooseIn)]);
@@ -160,7 +160,7 @@
     for (const [id, { record }] of clusterState.groups) {
       const job = clusterState.jobs.live.get(id);
       if (record.state !== 'ending' || job === undefined || job.isCancelled || !job.isGroup) continue;
-      const count = record.members.filter(({ machine }) => machine === record.avoid).length;
+      const count = record.members.filter(({ machine }) => machine === record.avoidedMachine).length;
       if (count > 0) demand.push({ job, count, zones: job.spec.zone === null ? null : [job.spec.zone] });
     }
     return demand;
@@ -244,16 +244,16 @@
     return true;
   }
 
-  #logOnceCommitted(job: Job, { state, generation, reason, failures, avoid, members }: GroupRecord): void {
+  #logOnceCommitted(job: Job, { state, generation, reason, failures, avoidedMachine, members }: GroupRecord): void {
     const machines = [...new Set(members.map(({ machine }) => machine))];
     const detail = { job: job.id, team: job.spec.team, members: job.spec.tasks, generation, reason, failures };
-    const where = avoid === null ? {} : { machine: avoid };
+    const where = avoidedMachine === null ? {} : { machine: avoidedMachine };
     this.#pendingLines.push({ detail: { ...detail, ...where, machines }, message: `group ${state}` });
   }
 
   /** The machine that the group avoids, if any. The group needs it too while there are too few other machines. */
   #avoidedBy(job: Job): string[] {
-    const avoid = this.#stored(job)?.record.avoid ?? null;
+    const avoid = this.#stored(job)?.record.avoidedMachine ?? null;
     return avoid === null ? [] : [avoid];
   }
 
@@ -266,7 +266,7 @@
       generation: stored?.generation ?? 0,
       failures: stored?.failures ?? 0,
       backoffUntil: until === -Infinity ? null : new Date(until).toISOString(),
-      avoided: stored?.avoid ?? null,
+      avoided: stored?.avoidedMachine ?? null,
       draining: this.fleetView.draining(),
     };
   }
--- a/packages/daemon/src/peers/partition-statuses.ts
+++ b/packages/daemon/src/peers/partition-statuses.ts
@@ -55,13 +55,13 @@
     const status = owner.status(now);
     this.#received.set(owner.partitionId, { status, at: now, owner: node });
     const messages = statusMessages(status, node, ++this.#sequence, peers.link.frameBytes);
-    for (const peer of to) peers.sendGroup(peer, messages);
+    for (const peer of to) peers.sendBatch(peer, messages);
   }
 
   /** Sends the last status of every partition to a peer that has just connected. */
   sendAll(peers: PeerChannel, to: string): void {
     for (const { status, owner } of this.#received.values()) {
-      peers.sendGroup(to, statusMessages(status, owner, ++this.#sequence, peers.link.frameBytes));
+      peers.sendBatch(to, statusMessages(status, owner, ++this.#sequence, peers.link.frameBytes));
     }
   }
 
--- a/packages/daemon/src/peers/peer-channel.ts
+++ b/packages/daemon/src/peers/peer-channel.ts
@@ -26,9 +26,9 @@
     return this.link.send(node, message);
   }
 
-  /** Sends all of the messages or none; see `PeerLink.sendGroup`. */
-  sendGroup(node: string, messages: readonly PeerMessage[]): boolean {
-    return this.link.sendGroup(node, messages);
+  /** Sends all of the messages or none; see `PeerLink.sendBatch`. */
+  sendBatch(node: string, messages: readonly PeerMessage[]): boolean {
+    return this.link.sendBatch(node, messages);
   }
 
   /** Sends the message to every controller that is connected. */
--- a/packages/daemon/src/peers/status-publisher.ts
+++ b/packages/daemon/src/peers/status-publisher.ts
@@ -111,6 +111,6 @@
     content: { readonly storeLocally: () => void; readonly messages: (frameBytes: number) => PeerMessage[] },
   ): void {
     if (leaderNode === this.context.settings.node) content.storeLocally();
-    else this.peers.sendGroup(leaderNode, content.messages(this.peers.link.frameBytes));
+    else this.peers.sendBatch(leaderNode, content.messages(this.peers.link.frameBytes));
   }
 }
--- a/packages/daemon/test/commit-with-retry.test.ts
+++ b/packages/daemon/test/commit-with-retry.test.ts
@@ -37,7 +37,7 @@
     frameBytes: MAX_FRAME_BYTES,
     isAlive: () => true,
     send: () => true,
-    sendGroup: () => true,
+    sendBatch: () => true,
     onMessage: () => undefined,
   };
   const settings = settingsOf(platform, {});
--- a/packages/daemon/test/peer-request-ids.test.ts
+++ b/packages/daemon/test/peer-request-ids.test.ts
@@ -16,7 +16,7 @@
     frameBytes: MAX_FRAME_BYTES,
     isAlive: () => true,
     send: (_node, message) => received.push(message) > 0,
-    sendGroup: (_node, messages) => received.push(...messages) > 0,
+    sendBatch: (_node, messages) => received.push(...messages) > 0,
     onMessage: () => undefined,
   };
   const controller = new Controller({
--- a/packages/peer/src/link.ts
+++ b/packages/peer/src/link.ts
@@ -26,7 +26,7 @@
    * Sends messages that are useful only together. Returns false if none was sent because that controller is unreachable
    * or too many bytes are queued for it.
    */
-  sendGroup(node: string, messages: readonly PeerMessage[]): boolean;
+  sendBatch(node: string, messages: readonly PeerMessage[]): boolean;
   /** Called with each received message. */
   onMessage: (from: string, message: PeerMessage) => void;
 }
@@ -45,7 +45,7 @@
 
 /**
  * Bytes that may be queued in a socket before further messages are dropped. Dropping is safe because every message is
- * either repeated or may be lost. The last group may be queued in addition, whatever its size, so that the status of a
+ * either repeated or may be lost. The last batch may be queued in addition, whatever its size, so that the status of a
  * fleet of any size is sent completely and the messages after it are not dropped.
  */
 export const MAX_QUEUED_BYTES = MAX_FRAME_BYTES;
@@ -64,8 +64,8 @@
   readonly socket: Socket;
   /** Steady time (ms) at which the last message arrived. */
   receivedAt: number;
-  /** Size of the last group that was sent. This many bytes may be queued on top of `MAX_QUEUED_BYTES`. */
-  groupBytes: number;
+  /** Size of the last batch that was sent. This many bytes may be queued on top of `MAX_QUEUED_BYTES`. */
+  batchBytes: number;
 }
 
 /** Holds one TCP connection per peer. Of each pair, the controller with the lower name dials. */
@@ -111,16 +111,16 @@
 
   send(node: string, message: PeerMessage): boolean {
     const connection = this.#connections.get(node);
-    if (connection === undefined || !mayQueue(connection, connection.groupBytes)) return false;
+    if (connection === undefined || !mayQueue(connection, connection.batchBytes)) return false;
     connection.socket.write(this.#frameOf(message));
     return true;
   }
 
-  sendGroup(node: string, messages: readonly PeerMessage[]): boolean {
+  sendBatch(node: string, messages: readonly PeerMessage[]): boolean {
     const connection = this.#connections.get(node);
     if (connection === undefined || !mayQueue(connection, 0)) return false;
     const framed = messages.map((message) => this.#frameOf(message));
-    connection.groupBytes = framed.reduce((sum, bytes) => sum + bytes.length, 0);
+    connection.batchBytes = framed.reduce((sum, bytes) => sum + bytes.length, 0);
     for (const bytes of framed) connection.socket.write(bytes);
     return true;
   }
@@ -212,7 +212,7 @@
   /** Makes this socket the connection to the peer, and closes the previous one. */
   #register(node: string, socket: Socket): Connection {
     this.#connections.get(node)?.socket.destroy();
-    const connection = { socket, receivedAt: performance.now(), groupBytes: 0 };
+    const connection = { socket, receivedAt: performance.now(), batchBytes: 0 };
     this.#connections.set(node, connection);
     return connection;
   }
--- a/packages/peer/test/link.test.ts
+++ b/packages/peer/test/link.test.ts
@@ -200,7 +200,7 @@
   }
 });
 
-test('a group of any size is sent completely, and the message after it is not dropped', async () => {
+test('a batch of any size is sent completely, and the message after it is not dropped', async () => {
   const listening = createServer(() => undefined).listen(0, '127.0.0.1');
   await once(listening, 'listening');
   const { port } = listening.address() as AddressInfo;
@@ -224,19 +224,19 @@
     receiver.onMessage = (_from, message) => got.push(message);
     const body = Buffer.alloc(MAX_FRAME_BYTES / 2);
     // Four times MAX_QUEUED_BYTES.
-    const group = Array.from({ length: 8 }, (_, i): PeerMessage => ({
+    const batch = Array.from({ length: 8 }, (_, i): PeerMessage => ({
       kind: 'Relay',
       id: `r-${i}`,
       from: 'a',
       to: 'b',
       body,
     }));
-    assert.equal(sender.sendGroup('b', group), true);
+    assert.equal(sender.sendBatch('b', batch), true);
     assert.equal(sender.send('b', { kind: 'RevisionHint', revision: 9 }), true);
     while (got.at(-1)?.kind !== 'RevisionHint') await new Promise((resolve) => setTimeout(resolve, 10));
     assert.deepEqual(
       got.flatMap((message) => (message.kind === 'Relay' ? [message.id] : [])),
-      group.map((message) => (message.kind === 'Relay' ? message.id : '')),
+      batch.map((message) => (message.kind === 'Relay' ? message.id : '')),
     );
   } finally {
     sender.stop();
--- a/packages/replica-groups/src/next-record.ts
+++ b/packages/replica-groups/src/next-record.ts
@@ -45,7 +45,7 @@
   reason: 'all members are gone',
   failures: 0,
   hasServed: false,
-  avoid: null,
+  avoidedMachine: null,
   members: [],
 };
 
@@ -93,7 +93,7 @@
     since: wall,
     reason: 'room was found',
     hasServed: false,
-    avoid: null,
+    avoidedMachine: null,
     members,
   });
 }
@@ -193,7 +193,7 @@
   return transitionTo(record, 'ending', {
     since: wall,
     reason,
-    avoid: machine,
+    avoidedMachine: machine,
     failures: isStable ? 0 : record.failures + 1,
     hasServed,
   });
--- a/packages/replica-groups/test/next-record.test.ts
+++ b/packages/replica-groups/test/next-record.test.ts
@@ -115,7 +115,7 @@
     const ending = next(record, 5000, lost);
     assert.equal(ending.state, 'ending');
     assert.equal(ending.reason, 'machine silent');
-    assert.equal(ending.avoid, 'm-2');
+    assert.equal(ending.avoidedMachine, 'm-2');
     // A member that is no longer assigned counts as lost, too.
     const job = groupJob();
     job.assignedRanges = job.assignedRanges.slice(0, 1);
--- a/packages/testkit/src/loopback/member-process.ts
+++ b/packages/testkit/src/loopback/member-process.ts
@@ -4,7 +4,7 @@
 import { nodeHttp } from '@gingerlock/clients';
 import {
   decodeRendezvousAnswer,
-  encodeRendezvousQuestion,
+  encodeRendezvousRequest,
   RENDEZVOUS_PATH,
   type RendezvousAnswer,
 } from '@gingerlock/wire';
@@ -84,8 +84,8 @@
     const sentAt = performance.now();
     const controller = controllers[this.#asked++ % controllers.length]!;
     try {
-      const question = encodeRendezvousQuestion({ task: taskName, attempt });
-      const { status, body } = await this.#http(controller, 'POST', RENDEZVOUS_PATH, question, REQUEST_MS);
+      const request = encodeRendezvousRequest({ task: taskName, attempt });
+      const { status, body } = await this.#http(controller, 'POST', RENDEZVOUS_PATH, request, REQUEST_MS);
       if (status === 200) {
         this.#group = decodeRendezvousAnswer(body);
         this.#servesUntil = Math.max(this.#servesUntil, sentAt + this.#group.serveMs);
--- a/packages/testkit/src/simulation/sim-link.ts
+++ b/packages/testkit/src/simulation/sim-link.ts
@@ -73,7 +73,7 @@
     return true;
   }
 
-  sendGroup(node: string, messages: readonly PeerMessage[]): boolean {
+  sendBatch(node: string, messages: readonly PeerMessage[]): boolean {
     return messages.every((message) => this.send(node, message));
   }
 }
--- a/packages/testkit/src/standins/state-service.ts
+++ b/packages/testkit/src/standins/state-service.ts
@@ -11,7 +11,7 @@
   leaseTtlOf,
   listMap,
   parseStateRequest,
-  revisionMap,
+  transactionResponseMap,
   STATE_PATHS,
   type StateEvent,
   txnRequestOf,
@@ -261,11 +261,11 @@
       return answer(400, { error: 'no such lease' });
     const failed = conditions.filter(({ key, version }) => (this.data.get(key)?.version ?? 0) !== version);
     const failedKeys = failed.map(({ key }) => key);
-    if (failedKeys.length > 0) return answer(409, revisionMap(this.revision, failedKeys));
+    if (failedKeys.length > 0) return answer(409, transactionResponseMap(this.revision, failedKeys));
     if (changes.length > 0) this.revision++;
     for (const change of changes) this.#apply(change);
     for (const change of changes) if ('put' in change) this.onStored(change.put);
-    return answer(200, revisionMap(this.revision));
+    return answer(200, transactionResponseMap(this.revision));
   }
 
   #apply(change: Change): void {
--- a/packages/testkit/test/rendezvous.test.ts
+++ b/packages/testkit/test/rendezvous.test.ts
@@ -4,12 +4,12 @@
 import { test } from 'node:test';
 import {
   decodeRendezvousAnswer,
-  decodeRendezvousQuestion,
+  decodeRendezvousRequest,
   decodeRendezvousRefusal,
   encode,
   encodeRendezvousAnswer,
-  encodeRendezvousQuestion,
-  hostOf,
+  encodeRendezvousRequest,
+  canonicalIpOf,
   MalformedMessageError,
   parseKey,
   taskName,
@@ -51,12 +51,12 @@
   const { world, job, attempts } = await servingWorld();
   for (const [rank, attempt] of attempts.entries()) {
     for (const node of [0, 1, 2]) {
-      const question = encodeRendezvousQuestion({ task: taskName(job, rank), attempt });
-      const { status, body } = await ask(world, node, question);
+      const request = encodeRendezvousRequest({ task: taskName(job, rank), attempt });
+      const { status, body } = await ask(world, node, request);
       assert.equal(status, 200);
       const answer = decodeRendezvousAnswer(body!);
       const { members } = world.groups.seen.get(job)!.record;
-      const hosts = members.map(({ machine }) => hostOf(world.workers.get(machine)!.addr));
+      const hosts = members.map(({ machine }) => canonicalIpOf(world.workers.get(machine)!.addr));
       assert.deepEqual(answer, { generation: 1, rank, worldSize: 3, members: hosts, serveMs: world.workerLeaseMs / 2 });
     }
   }
@@ -73,7 +73,7 @@
   ];
   const before = [...world.groups.moves];
   for (const [task, attempt, stands] of asked) {
-    const { status, body } = await ask(world, 1, encodeRendezvousQuestion({ task, attempt }));
+    const { status, body } = await ask(world, 1, encodeRendezvousRequest({ task, attempt }));
     assert.equal(status, 409);
     assert.deepEqual(decodeRendezvousRefusal(body!), stands);
   }
@@ -84,13 +84,13 @@
 test('without the state service there is no lease', async () => {
   const { world, job, attempts } = await servingWorld();
   world.state.outage = true;
-  const { status } = await ask(world, 0, encodeRendezvousQuestion({ task: taskName(job, 0), attempt: attempts[0]! }));
+  const { status } = await ask(world, 0, encodeRendezvousRequest({ task: taskName(job, 0), attempt: attempts[0]! }));
   assert.equal(status, 503);
 });
 
 test('malformed, cut and random bodies get 400, and no message is read as another one', async () => {
   const { world, job, attempts } = await servingWorld();
-  const whole = encodeRendezvousQuestion({ task: taskName(job, 0), attempt: attempts[0]! });
+  const whole = encodeRendezvousRequest({ task: taskName(job, 0), attempt: attempts[0]! });
   for (let length = 0; length < whole.length; length++) {
     assert.equal((await ask(world, 0, whole.subarray(0, length))).status, 400, `cut to ${length}`);
   }
@@ -104,7 +104,7 @@
     { parcel: `${job}/0`, try: 0.5 },
   ])
     assert.equal((await ask(world, 0, encode(value))).status, 400, JSON.stringify(value));
-  const decoders = [decodeRendezvousQuestion, decodeRendezvousAnswer, decodeRendezvousRefusal];
+  const decoders = [decodeRendezvousRequest, decodeRendezvousAnswer, decodeRendezvousRefusal];
   fc.assert(
     fc.property(
       fc.oneof(
@@ -162,13 +162,13 @@
     ['10.1.0.5:port', null],
     ['', null],
   ];
-  for (const [address, host] of same) assert.equal(hostOf(address), host, address);
-  fc.assert(fc.property(fc.ipV4(), (ip) => assert.equal(hostOf(`${ip}:1`), ip)));
+  for (const [address, host] of same) assert.equal(canonicalIpOf(address), host, address);
+  fc.assert(fc.property(fc.ipV4(), (ip) => assert.equal(canonicalIpOf(`${ip}:1`), ip)));
   fc.assert(
     fc.property(fc.ipV6(), (ip) => {
-      const host = hostOf(`[${ip}]:1`);
+      const host = canonicalIpOf(`[${ip}]:1`);
       assert.ok(host !== null);
-      assert.equal(hostOf(host.includes(':') ? `[${host}]:2` : `${host}:2`), host, 'stays as it is');
+      assert.equal(canonicalIpOf(host.includes(':') ? `[${host}]:2` : `${host}:2`), host, 'stays as it is');
     }),
   );
 });
@@ -209,7 +209,7 @@
         const job = task.split('/')[0]!;
         if (state !== 'running' || !world.isGroup(job)) continue;
         const sentAt = world.sim.now;
-        void node.controller?.rendezvous?.ask(encodeRendezvousQuestion({ task, attempt })).then(({ status, body }) => {
+        void node.controller?.rendezvous?.ask(encodeRendezvousRequest({ task, attempt })).then(({ status, body }) => {
           if (status !== 200) return;
           const { generation, serveMs } = decodeRendezvousAnswer(body!);
           leases.push({ job, generation, until: sentAt + serveMs });
--- a/packages/testkit/test/stored-records.test.ts
+++ b/packages/testkit/test/stored-records.test.ts
@@ -19,7 +19,7 @@
   type JobSpec,
   type JobStatus,
   leaseMap,
-  leaseOf,
+  leaseIdOf,
   parseKey,
   reclaimRecord,
   STATE_PATHS,
@@ -70,7 +70,7 @@
   for (const { key, version, lease, value } of records) {
     if (lease !== null && !leases.has(lease)) {
       const { body } = await state.handle('POST', STATE_PATHS.leases, encode(leaseMap(FORMER_LEASE_MS)), 'test');
-      leases.set(lease, leaseOf(decode(body)));
+      leases.set(lease, leaseIdOf(decode(body)));
     }
     state.data.set(key, { value, version, lease: lease === null ? null : leases.get(lease)! });
   }
--- a/packages/wire/src/group-record.ts
+++ b/packages/wire/src/group-record.ts
@@ -55,7 +55,7 @@
   /** Whether the group has served in this generation, so that members may hold serve leases. */
   readonly hasServed: boolean;
   /** The machine that made the last generation end. The next generation avoids it if possible; null: none. */
-  readonly avoid: string | null;
+  readonly avoidedMachine: string | null;
   /** The members by rank; empty while the group is waiting. */
   readonly members: readonly GroupMember[];
 }
@@ -88,7 +88,7 @@
     w: GROUP_REASONS.indexOf(group.reason),
     f: group.failures,
     l: group.hasServed ? 1 : 0,
-    a: group.avoid,
+    a: group.avoidedMachine,
     m: group.members.map(({ partitionId, machine, attempt }) => [
       partitionId,
       machine,
@@ -105,7 +105,7 @@
       reason: GROUP_REASONS[stored.w]!,
       failures: stored.f,
       hasServed: stored.l === 1,
-      avoid: stored.a,
+      avoidedMachine: stored.a,
       members: stored.m.map(([partitionId, machine, attempt]) => ({ partitionId, machine, attempt })),
     };
   },
--- a/packages/wire/src/keys.ts
+++ b/packages/wire/src/keys.ts
@@ -1,7 +1,7 @@
 // The keys that gingerlock uses in the key-value store.
 
 /** Prefix of every key, so that a single request follows all changes. */
-export const PREFIX = 'g/';
+export const KEY_PREFIX = 'g/';
 
 /** Builds keys; `parseKey` parses them. */
 export const KEYS = {
--- a/packages/wire/src/rendezvous.ts
+++ b/packages/wire/src/rendezvous.ts
@@ -10,7 +10,7 @@
 export const RENDEZVOUS_PATH = '/rendezvous';
 
 /** The request of a member. It names the member's task and attempt. */
-export interface RendezvousQuestion {
+export interface RendezvousRequest {
   readonly job: string;
   readonly rank: number;
   readonly attempt: number;
@@ -35,10 +35,10 @@
   readonly state: GroupState | null;
 }
 
-const checkQuestion = compileValidator(Type.Object({ parcel: Type.String(), try: Type.Integer({ minimum: 0 }) }));
+const checkRequest = compileValidator(Type.Object({ parcel: Type.String(), try: Type.Integer({ minimum: 0 }) }));
 
 /** Encodes the body of a member's request. */
-export function encodeRendezvousQuestion({
+export function encodeRendezvousRequest({
   task,
   attempt,
 }: {
@@ -49,11 +49,11 @@
 }
 
 /** Decodes the body of a member's request. Throws a `MalformedMessageError` if it is invalid. */
-export function decodeRendezvousQuestion(body: Uint8Array): RendezvousQuestion {
-  const question = checkQuestion(decodeMap(body));
-  const task = parseTaskName(question.parcel);
+export function decodeRendezvousRequest(body: Uint8Array): RendezvousRequest {
+  const request = checkRequest(decodeMap(body));
+  const task = parseTaskName(request.parcel);
   if (task === null) throw new MalformedMessageError('parcel', 'not a task');
-  return { job: task.job, rank: task.index, attempt: question.try };
+  return { job: task.job, rank: task.index, attempt: request.try };
 }
 
 const checkAnswer = compileValidator(
--- a/packages/wire/src/state.ts
+++ b/packages/wire/src/state.ts
@@ -104,7 +104,7 @@
 const checkLease = compileValidator(Type.Object({ permit: Revision }));
 
 /** Reads the id of the lease that the store has granted. */
-export function leaseOf(map: unknown): number {
+export function leaseIdOf(map: unknown): number {
   return checkLease(map).permit;
 }
 
@@ -166,7 +166,7 @@
 }
 
 /** Returns the response to a transaction, before its encoding. `failed`: the keys whose conditions were not met. */
-export function revisionMap(revision: number, failed?: readonly string[]): unknown {
+export function transactionResponseMap(revision: number, failed?: readonly string[]): unknown {
   return { ledger: integer(revision), ...(failed === undefined ? {} : { failed }) };
 }
 
--- a/packages/wire/test/formats.test.ts
+++ b/packages/wire/test/formats.test.ts
@@ -265,7 +265,7 @@
     reason: fc.constantFrom(...wire.GROUP_REASONS),
     failures: fc.integer({ min: 0, max: 100 }),
     hasServed: fc.boolean(),
-    avoid: fc.option(word),
+    avoidedMachine: fc.option(word),
     members: fc.array(
       fc.record({ partitionId: fc.integer({ min: 0, max: 6 }), machine: word, attempt: fc.option(count) }, plain),
       { maxLength: 5 },
@@ -306,7 +306,7 @@
       reason: 'members did not start in time',
       failures: 1000,
       hasServed: true,
-      avoid: member.machine,
+      avoidedMachine: member.machine,
       members: Array.from({ length: maxMembers }, () => member),
     };
     const text = JSON.stringify(wire.groupRecord.write(record), (_key, value: unknown) =>
