--- a/packages/clients/src/cloud.ts
+++ b/packages/clients/src/cloud.ts
@@ -21,7 +21,7 @@
 export type RentResult =
   | { readonly kind: 'rented'; readonly names: string[] }
   | { readonly kind: 'no capacity' }
-  /** It may have been executed; repeated under the same request id, it is executed once. */
+  /** The request may have been executed. Repeating it with the same request id does not rent machines twice. */
   | { readonly kind: 'unknown'; readonly why: string };
 
 /** The cloud answered a request with a status other than 200. */
@@ -30,7 +30,7 @@
   override readonly code = 'CLOUD_REQUEST_FAILED';
 
   /**
-   * @param request what was requested, as method and path
+   * @param request method and path of the request
    * @param status the status of the response
    */
   constructor(
@@ -41,7 +41,9 @@
   }
 }
 
-/** The cloud's API. Methods that read throw `NoResponseError`, `CloudRequestError` or `MalformedMessageError`. */
+/**
+ * Client of the cloud's API. Methods that read throw `NoResponseError`, `CloudRequestError` or `MalformedMessageError`.
+ */
 export class Cloud {
   /**
    * @param addr `HOST:PORT` of the cloud's API
@@ -53,7 +55,7 @@
     readonly timeoutMs: number,
   ) {}
 
-  /** The body of a response with status 200. */
+  /** Sends a GET request and returns the decoded body. Throws if the status is not 200. */
   async #get(path: string): Promise<unknown> {
     const response = await this.http(this.addr, 'GET', path, null, this.timeoutMs);
     if (response.status !== 200) throw new CloudRequestError(`GET ${path}`, response.status);
@@ -65,7 +67,7 @@
     return readMachineTypes(await this.#get(CLOUD_PATHS.types));
   }
 
-  /** All machines that are rented, page after page. The list lags behind (`cloud.list_lag_s` in the settings). */
+  /** Reads all pages of the list of rented machines. The list may be stale by up to `cloud.list_lag_s` (settings). */
   async list(): Promise<CloudMachine[]> {
     const machines: CloudMachine[] = [];
     for (let after = '', more = true; more;) {
@@ -78,7 +80,7 @@
   }
 
   /**
-   * Rents machines. Never rejects: an outcome that is not known is a result, to be settled by repeating the request.
+   * Rents machines. Never rejects: if the outcome is unknown, the result says so, and the caller repeats the request.
    */
   async rent(request: RentRequest): Promise<RentResult> {
     try {
@@ -98,7 +100,10 @@
     }
   }
 
-  /** Returns at most `RETURN_MOST` machines, the first ones. True: they are gone, with everything on them. */
+  /**
+   * Returns at most the first `MAX_MACHINES_PER_RETURN` machines to the cloud. Resolves with true if the cloud has
+   * removed them and everything on them.
+   */
   async scaleIn(names: readonly string[]): Promise<boolean> {
     const body = encode(returnRequestMap(names.slice(0, MAX_MACHINES_PER_RETURN)));
     const response = await this.http(this.addr, 'POST', CLOUD_PATHS.return, body, this.timeoutMs);
--- a/packages/clients/src/http.ts
+++ b/packages/clients/src/http.ts
@@ -3,31 +3,32 @@
 import { ResponseTooLargeError, type Http, type HttpResponse, NoResponseError } from './ports';
 
 /**
- * Largest response that is read. A page of a list has at most 512 KiB. The changes that `/follow` returns have no
- * limit; if they exceed this, everything is read again by pages.
+ * Largest response that is accepted. A page of a list has at most 512 KiB. Responses of `/follow` have no such limit;
+ * if one is too large, all keys are read again page by page.
  */
 const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
-/** A host that has not been used for this long gives up its keep-alive connections to another one. */
+/** A host that was idle for this long may be replaced by another host for which connections are kept alive. */
 const KEEP_ALIVE_IDLE_MS = 30_000;
 
-/** To how many hosts connections are kept alive by default. */
+/** Default number of hosts to which connections are kept alive. */
 const KEEP_ALIVE_HOSTS = 72;
 
 /**
- * Chooses the hosts to which connections are kept alive: kept to thousands of machines, they would use up all sockets.
+ * Chooses the hosts to which connections are kept alive. Idle connections to thousands of machines would use up all
+ * sockets.
  */
 export class KeepAliveHosts {
-  /** By host: when it was last used, in steady milliseconds; the least recently used first. */
+  /** Time of the last request to each host, in milliseconds of the steady clock; the least recently used host first. */
   readonly #usedAtByHost = new Map<string, number>();
 
-  /** @param maxHosts how many hosts may keep connections at a time */
+  /** @param maxHosts largest number of hosts with keep-alive connections */
   constructor(
     readonly maxHosts: number,
     readonly now: () => number = () => performance.now(),
   ) {}
 
-  /** Notes a request that begins now; returns whether its connection is to be kept alive. */
+  /** Records a request that begins now. Returns whether to keep its connection alive. */
   use(host: string): boolean {
     const now = this.now();
     if (!this.#usedAtByHost.delete(host) && this.#usedAtByHost.size >= this.maxHosts) {
@@ -41,8 +42,8 @@
 }
 
 /**
- * HTTP over Node's own client: it is loaded anyway for the server side, while a second one would cost start-up time and
- * memory that a controller does not have.
+ * Implements `Http` with Node's own client. The server loads that module anyway; a second client library would cost
+ * start-up time and memory that a controller does not have.
  */
 export function nodeHttp(keepAliveHosts: number = KEEP_ALIVE_HOSTS): Http {
   const keepAliveAgent = new Agent({ keepAlive: true, maxSockets: 8, maxFreeSockets: 4, scheduling: 'lifo' });
@@ -50,13 +51,14 @@
   const hosts = new KeepAliveHosts(keepAliveHosts);
   return (addr, method, path, body, timeoutMs) =>
     new Promise<HttpResponse>((resolve, reject) => {
-      const what = `${method} ${addr}${path}`;
+      const requestLine = `${method} ${addr}${path}`;
       const onResponse = (res: IncomingMessage): void => {
         const chunks: Buffer[] = [];
         let receivedBytes = 0;
         res.on('data', (chunk: Buffer) => {
           receivedBytes += chunk.length;
-          if (receivedBytes > MAX_RESPONSE_BYTES) req.destroy(new ResponseTooLargeError(what, MAX_RESPONSE_BYTES));
+          if (receivedBytes > MAX_RESPONSE_BYTES)
+            req.destroy(new ResponseTooLargeError(requestLine, MAX_RESPONSE_BYTES));
           else chunks.push(chunk);
         });
         res.on('end', () => {
@@ -64,7 +66,7 @@
           resolve({ status: res.statusCode ?? 0, body: chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks) });
         });
         res.on('error', fail);
-        res.on('aborted', () => fail(new NoResponseError(`${what}: connection closed within the response`)));
+        res.on('aborted', () => fail(new NoResponseError(`${requestLine}: connection closed within the response`)));
       };
       const colon = addr.lastIndexOf(':');
       const req = request(
@@ -81,11 +83,11 @@
       );
       const fail = (error: Error): void => {
         clearTimeout(timer);
-        const isTyped = error instanceof NoResponseError;
-        reject(isTyped ? error : new NoResponseError(`${what}: ${error.message}`, { cause: error }));
+        const isNoResponse = error instanceof NoResponseError;
+        reject(isNoResponse ? error : new NoResponseError(`${requestLine}: ${error.message}`, { cause: error }));
       };
       const timer = setTimeout(
-        () => req.destroy(new NoResponseError(`${what}: no complete response within ${timeoutMs} ms`)),
+        () => req.destroy(new NoResponseError(`${requestLine}: no complete response within ${timeoutMs} ms`)),
         timeoutMs,
       );
       req.on('error', fail);
--- a/packages/clients/src/index.ts
+++ b/packages/clients/src/index.ts
@@ -1,4 +1,4 @@
-// What a controller needs of the world outside: time, HTTP, the cloud and the key-value store.
+// Clients of the services that a controller uses: time, HTTP, the cloud and the key-value store.
 export * from './ports';
 export * from './http';
 export * from './rate-limiter';
--- a/packages/clients/src/key-value-store.ts
+++ b/packages/clients/src/key-value-store.ts
@@ -19,25 +19,25 @@
 import { type RateLimiter, OverloadedError, type Urgency, URGENCY } from './rate-limiter';
 import { type Clock, type Http, type HttpResponse, ResponseTooLargeError } from './ports';
 
-/** Entries of one page of a list. */
+/** Number of entries in one page of a list. */
 const PAGE_ENTRIES = 1000;
 
-/** A transaction may wait this many times as long as the rate limit takes to admit its writes. */
-const WRITE_PATIENCE_FACTOR = 2;
+/** A transaction may wait for this multiple of the time that the rate limit takes to admit its writes. */
+const WRITE_WAIT_FACTOR = 2;
 
 /** What is known of the outcome of a transaction. */
 export type CompareAndSwapResult =
-  /** Carried out; all of its changes have this revision. */
+  /** The transaction was executed; all of its changes have this revision. */
   | { readonly kind: 'done'; readonly revision: number }
-  /** A condition did not hold: nothing was changed. */
+  /** A condition did not hold, so nothing was changed. */
   | { readonly kind: 'conflict'; readonly revision: number }
-  /** Not carried out: the lease that it names does not exist any more. */
+  /** The transaction was not executed: the lease that it names does not exist any more. */
   | { readonly kind: 'no lease' }
-  /** Not carried out, and rejected again however often it is sent: it is malformed or beyond a limit. */
+  /** The transaction was not executed and must not be repeated: it is malformed or exceeds a limit. */
   | { readonly kind: 'invalid' }
-  /** Surely not carried out: refused, or never sent. It may be sent again. */
+  /** The transaction was not executed, as it was refused or never sent. It may be sent again. */
   | { readonly kind: 'refused'; readonly why: string }
-  /** It may have been carried out, or may be yet. */
+  /** The transaction may have been executed, or may still be. */
   | { readonly kind: 'unknown'; readonly why: string };
 
 /** The store rejected a request other than a transaction. */
@@ -47,7 +47,7 @@
 
   /**
    * @param status the HTTP status of the answer
-   * @param operation what was asked of the store
+   * @param operation name of the operation
    */
   constructor(
     readonly status: number,
@@ -57,42 +57,42 @@
   }
 }
 
-/** What a client of the store works with. */
+/** Dependencies and settings of a `KeyValueStore`. */
 export interface KeyValueStoreOptions {
   readonly http: Http;
   /** Host and port of the store. */
   readonly addr: string;
   readonly rateLimiter: RateLimiter;
   readonly clock: Clock;
-  /** How long a request may take once it is sent, in milliseconds. */
+  /** Time limit of a request once it is sent, in milliseconds. */
   readonly timeoutMs: number;
 }
 
-/** All entries below a prefix, complete up to a revision. Some may be newer than that. */
+/** All entries below a prefix. Every change up to `revision` is included; some entries may be newer. */
 export interface StoreListing {
   readonly items: StateItem[];
   readonly revision: number;
 }
 
-/** All changes below a prefix from one revision up to another, in no order. */
+/** All changes below a prefix after one revision and up to `revision`, in no particular order. */
 export interface StoreChanges {
   readonly events: StateEvent[];
   readonly revision: number;
 }
 
 /**
- * Sends each request once and repeats nothing. Reads and lease requests reject with `OverloadedError` if the rate
- * limiter does not admit them in time, with `NoResponseError` if no complete answer came, with `StoreRejectedError`,
- * and with `MalformedMessageError` if the answer can't be decoded.
+ * Client of the key-value store. It sends each request once, without retries. Reads and lease requests reject with
+ * `OverloadedError` if the rate limiter does not admit them in time, with `NoResponseError` if no complete answer
+ * arrived, with `StoreRejectedError`, and with `MalformedMessageError` if the answer can't be decoded.
  */
 export class KeyValueStore {
-  /** The highest revision that any answer has named. */
+  /** The highest revision in any answer so far. */
   highestRevision = 0;
-  /** Transactions that are under way. */
+  /** Number of transactions that are under way. */
   pendingTransactions = 0;
   /**
-   * When a transaction last ended with an unknown outcome, by the steady clock: it may be carried out yet. Null: none
-   * did.
+   * When a transaction last ended with an unknown outcome, by the steady clock; null if none did. The store may still
+   * execute such a transaction.
    */
   outcomeUnknownSince: number | null = null;
 
@@ -106,7 +106,7 @@
       const answer = await this.#send(URGENCY.rest, 0, 'GET', STATE_PATHS.list(prefix, after, PAGE_ENTRIES), null);
       if (answer.status !== 200) throw new StoreRejectedError(answer.status, 'list');
       const page = listOf(decode(answer.body));
-      // The pages are read one after the other: what changed meanwhile is followed from the first one's revision.
+      // Keys may change while the pages are read; callers follow those changes from the first page's revision.
       if (after === '') revision = page.revision;
       items.push(...page.items);
       after = page.items.at(-1)?.key ?? after;
@@ -117,8 +117,8 @@
   }
 
   /**
-   * Reads the changes after a revision. Null: that is too long ago, or the changes are too many for one answer, and all
-   * has to be listed again.
+   * Reads the changes after a revision. Returns null if the store no longer has them, or if they are too many for one
+   * answer; the caller then lists all keys again.
    */
   async follow(prefix: string, after: number): Promise<StoreChanges | null> {
     const answer = await this.#changesAfter(prefix, after);
@@ -129,7 +129,7 @@
     return changes;
   }
 
-  /** Null: the changes are more than an answer may hold. Asked for again and again, they would only become more. */
+  /** Returns null if the answer is too large. A retry would not help: the number of changes only grows. */
   async #changesAfter(prefix: string, after: number): Promise<HttpResponse | null> {
     try {
       return await this.#send(URGENCY.cancel, 0, 'GET', STATE_PATHS.follow(prefix, after, 0), null);
@@ -141,20 +141,20 @@
 
   /**
    * Makes all of the changes if all of the conditions hold, else none. Never rejects: the result says what is known of
-   * the outcome. `patienceMs`: how long to wait for the rate limiter; by default long enough for a transaction of this
+   * the outcome. `maxWaitMs`: how long to wait for the rate limiter; by default long enough for a transaction of this
    * size.
    */
   async compareAndSwap(
     urgency: Urgency,
     conditions: readonly Condition[],
     changes: readonly Change[],
-    patienceMs?: number,
+    maxWaitMs?: number,
   ): Promise<CompareAndSwapResult> {
     this.pendingTransactions++;
     let result: CompareAndSwapResult;
     try {
       const request = transactionMap(conditions, changes);
-      const answer = await this.#send(urgency, changes.length, 'POST', STATE_PATHS.txn, request, patienceMs);
+      const answer = await this.#send(urgency, changes.length, 'POST', STATE_PATHS.txn, request, maxWaitMs);
       result = this.#outcomeOf(answer, changes);
     } catch (error) {
       result = outcomeOfError(error);
@@ -164,7 +164,7 @@
     return result;
   }
 
-  /** Throws if the answer can't be decoded. */
+  /** Maps the answer to a transaction to its outcome. Throws if the answer can't be decoded. */
   #outcomeOf(answer: HttpResponse, changes: readonly Change[]): CompareAndSwapResult {
     switch (answer.status) {
       case 200:
@@ -190,7 +190,7 @@
     return leaseOf(decode(answer.body));
   }
 
-  /** Makes the lease last its whole length again. False: it has expired. */
+  /** Extends the lease by its full length from now. Returns false if it has expired. */
   async renewLease(lease: number): Promise<boolean> {
     const answer = await this.#send(URGENCY.renew, 0, 'POST', STATE_PATHS.renew(lease), {});
     if (answer.status === 404) return false;
@@ -198,19 +198,19 @@
     return true;
   }
 
-  /** Waits for the rate limiter, then sends. `writes`: the changes that count against the limit of writes. */
+  /** Waits for the rate limiter, then sends. `writes`: how many changes count against the limit of writes. */
   async #send(
     urgency: Urgency,
     writes: number,
     method: 'GET' | 'POST' | 'DELETE',
     path: string,
     body: unknown,
-    patienceMs?: number,
+    maxWaitMs?: number,
   ): Promise<HttpResponse> {
     const { http, addr, rateLimiter, timeoutMs } = this.options;
-    // A large transaction may take longer than the timeout to get its share of the writes, and others wait before it.
-    const writesMs = ((writes * WRITE_PATIENCE_FACTOR) / rateLimiter.writesPerS) * 1000;
-    await rateLimiter.acquire(urgency, writes, patienceMs ?? Math.max(timeoutMs, writesMs));
+    // The rate limit may take longer than the timeout to admit a large transaction and those queued before it.
+    const writesMs = ((writes * WRITE_WAIT_FACTOR) / rateLimiter.writesPerS) * 1000;
+    await rateLimiter.acquire(urgency, writes, maxWaitMs ?? Math.max(timeoutMs, writesMs));
     return http(addr, method, path, body === null ? null : encode(body), timeoutMs);
   }
 
--- a/packages/clients/src/ports.ts
+++ b/packages/clients/src/ports.ts
@@ -1,5 +1,4 @@
-// The ports through which a controller reaches the world: time, chance and HTTP. The testkit implements them in
-// simulated time.
+// The ports through which a controller uses time, randomness and HTTP. The testkit implements them in simulated time.
 import { GingerlockError } from '@gingerlock/wire';
 
 /** Time and randomness. */
@@ -32,27 +31,27 @@
   timeoutMs: number,
 ) => Promise<HttpResponse>;
 
-/** A request without a complete response; it may have been executed. */
+/** No complete response arrived; the request may have been executed. */
 export class NoResponseError extends GingerlockError {
   override readonly name: string = 'NoResponseError';
   override readonly code: 'NO_RESPONSE' | 'RESPONSE_TOO_LARGE' = 'NO_RESPONSE';
 }
 
-/** The response is larger than is read. Repeating the request would bring one as large. */
+/** The response exceeds the size limit. Repeating the request would not help. */
 export class ResponseTooLargeError extends NoResponseError {
   override readonly name = 'ResponseTooLargeError';
   override readonly code = 'RESPONSE_TOO_LARGE';
 
   /**
-   * @param request what was requested, as `METHOD HOST:PORT/PATH`
-   * @param maxBytes the largest response that is read
+   * @param request the request, as `METHOD HOST:PORT/PATH`
+   * @param maxBytes size limit of responses
    */
   constructor(request: string, maxBytes: number) {
     super(`${request}: response of more than ${maxBytes} bytes`);
   }
 }
 
-/** Resolves after `ms` milliseconds of the clock. */
+/** Resolves after `ms` milliseconds on the clock. */
 export function sleep(clock: Clock, ms: number): Promise<void> {
   return new Promise((resolve) => {
     clock.after(ms, resolve);
--- a/packages/clients/src/watch-cache.ts
+++ b/packages/clients/src/watch-cache.ts
@@ -1,26 +1,26 @@
-// A copy of a prefix of the key-value store in memory, kept up by polling the store's changes.
+// An in-memory copy of the keys below a prefix of the key-value store, updated by polling the store's changes.
 import type { Change, StateEvent } from '@gingerlock/wire';
 import type { Clock } from './ports';
 import type { KeyValueStore } from './key-value-store';
 
 /**
- * Hears of each change of the copy. `value`: undefined if the key was removed; `version`: the revision of the change.
+ * Called for each change of the copy. `value`: undefined if the key was removed; `version`: the revision of the change.
  */
 export type OnChange = (key: string, value: unknown, version: number) => void;
 
-/** What a watch cache works with. */
+/** Dependencies and settings of a `WatchCache`. */
 export interface WatchCacheOptions {
   readonly keyValueStore: KeyValueStore;
   readonly clock: Clock;
-  /** All keys that begin with it are copied. */
+  /** All keys that begin with this prefix are copied. */
   readonly prefix: string;
-  /** Least time between the beginnings of two reads, in milliseconds. */
+  /** Shortest time between the starts of two reads, in milliseconds. */
   readonly minIntervalMs: number;
-  /** Time between the beginnings of two reads when nobody asks for one, in milliseconds. */
+  /** Time between the starts of two reads when no read is requested, in milliseconds. */
   readonly idleIntervalMs: number;
   /** Must not throw: an exception would abort the read and lose the rest of its changes. */
   readonly onChange: OnChange;
-  /** A read failed. It is tried again by itself. */
+  /** Called when a read failed. The watch cache retries by itself. */
   readonly onError: (error: unknown) => void;
 }
 
@@ -31,24 +31,24 @@
 }
 
 /**
- * What it guarantees:
- * - The copy has all changes up to `revision`. Of later ones it may have some: those of `applyOwn`.
- * - For each key changes are applied in the order of their versions; an older one that comes late is ignored.
- * - After `linearizableRead` the copy has every change that was carried out before the call, by whichever controller.
- * - `onChange` is called within the call that changes the copy, before anything else sees the new state.
+ * A copy of a prefix of the key-value store, with these guarantees:
+ * - The copy has all changes up to `revision`. It may have later ones, such as those of `applyOwn`.
+ * - Changes of a key are applied in the order of their versions; an older one that arrives late is ignored.
+ * - After `linearizableRead` the copy has every change that any controller made before the call.
+ * - `onChange` is called within the call that changes the copy, before other code sees the new state.
  */
 export class WatchCache {
-  /** All changes up to here are in the copy. */
+  /** The copy has all changes up to this revision. */
   revision = 0;
-  /** Whether the copy is complete. False at first, and again when changes were missed until all has been read anew. */
+  /** Whether the copy is complete. False until the first full read, and after missed changes until the next one. */
   loaded = false;
-  /** When the last successful read began, by the steady clock; null: there was none. */
+  /** When the last successful read began, by the steady clock; null before the first one. */
   lastContactAt: number | null = null;
-  /** Reads that failed since the last successful one. */
+  /** Number of failed reads since the last successful one. */
   failures = 0;
-  /** Of the keys that exist. */
+  /** Revision of the last change of each existing key. */
   readonly #versionsByKey = new Map<string, number>();
-  /** Own removals that no read has confirmed yet: a read under way may still bring the key's earlier state. */
+  /** Own removals that no read has confirmed yet: a read under way may still return the removed key. */
   readonly #removalVersionsByKey = new Map<string, number>();
   #waiters: Waiter[] = [];
   #hintedRevision = 0;
@@ -60,25 +60,25 @@
 
   constructor(readonly options: WatchCacheOptions) {}
 
-  /** The revision of the key's last change in the copy; 0: there is no such key. */
+  /** The revision of the key's last change in the copy; 0 if the copy has no such key. */
   version(key: string): number {
     return this.#versionsByKey.get(key) ?? 0;
   }
 
-  /** Begins to read until stopped. `onSync` is called after every successful read, once the copy has all of it. */
+  /** Starts reading until stopped. `onSync` is called after every successful read, once its changes are applied. */
   start(onSync: () => void = () => undefined): void {
     this.#onSync = onSync;
     this.#schedule();
   }
 
-  /** Begins no more reads. Those who wait for one are not answered. */
+  /** Starts no more reads. Callers of `linearizableRead` that wait for the next one get no answer. */
   stop(): void {
     this.#stopped = true;
     this.#cancelTimer?.();
   }
 
   /**
-   * Resolves after a read that began after this call; rejects if that read fails, or one under way at the call does.
+   * Resolves after a read that began after this call. Rejects if that read, or one under way at the call, fails.
    */
   linearizableRead(): Promise<void> {
     return new Promise((resolve, reject) => {
@@ -87,7 +87,7 @@
     });
   }
 
-  /** Something has changed up to this revision: it is read soon. */
+  /** Schedules a read, because the store has changes up to this revision. */
   hint(revision: number): void {
     if (revision <= this.revision || revision <= this.#hintedRevision) return;
     this.#hintedRevision = revision;
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Applies changes that this controller has made itself at the revision, ahead of reading them. If the copy is past
-   * that revision already, they are left alone: a key that was removed since would come back for ever.
+   * Applies changes that this controller committed at `revision`, before a read returns them. Ignores them if the copy
+   * has reached that revision already: otherwise a key that was removed later would reappear and stay.
    */
   applyOwn(changes: readonly Change[], revision: number): void {
     if (revision <= this.revision) return;
@@ -121,13 +121,13 @@
     this.options.onChange(key, value, version);
   }
 
-  /** Sets the timer of the next read, in place of the one that was set. */
+  /** Sets the timer of the next read, and replaces the one set before. */
   #schedule(): void {
     if (this.#isReading || this.#stopped) return;
     const { clock, minIntervalMs, idleIntervalMs } = this.options;
     const isReadWanted =
       this.#waiters.length > 0 || this.#hintedRevision > this.revision || (!this.loaded && this.failures === 0);
-    // After a failure the store is not asked more often than when idle, however many callers wait.
+    // After a failure reads are no more frequent than when idle, even if callers wait.
     const intervalMs = isReadWanted && this.failures === 0 ? minIntervalMs : idleIntervalMs;
     const delayMs = Math.max(0, this.#readStartedAt + intervalMs - clock.now());
     this.#cancelTimer?.();
@@ -149,7 +149,7 @@
       const followed = await this.options.keyValueStore.follow(this.options.prefix, this.revision);
       if (followed === null) {
         this.loaded = false;
-        throw new Error('changes are too old to follow, reading all again');
+        throw new Error('the changes since the last read are not available, reading all keys again');
       }
       this.#applyEvents(followed);
       this.lastContactAt = startedAt;
@@ -168,7 +168,7 @@
   }
 
   #applyEvents({ events, revision }: { readonly events: readonly StateEvent[]; readonly revision: number }): void {
-    // The protocol promises no order: a key that was set and then removed would come back if the removal stood first.
+    // The protocol guarantees no order: if a removal came before the change it follows, the key would reappear.
     const inOrder = [...events].sort((a, b) => a.version - b.version);
     for (const { key, value, version } of inOrder) this.#apply(key, value, version);
     this.revision = Math.max(this.revision, revision);
@@ -176,7 +176,7 @@
       if (version <= this.revision) this.#removalVersionsByKey.delete(key);
   }
 
-  /** Reads all keys, and removes from the copy those that are gone. */
+  /** Reads all keys, and removes from the copy those that no longer exist. */
   async #load(): Promise<void> {
     const { items, revision } = await this.options.keyValueStore.list(this.options.prefix);
     const listedKeys = new Set(items.map((item) => item.key));
--- a/packages/clients/test/http.test.ts
+++ b/packages/clients/test/http.test.ts
@@ -6,7 +6,7 @@
 import { GingerlockError } from '@gingerlock/wire';
 import { KeepAliveHosts, nodeHttp, NoResponseError, ResponseTooLargeError } from '../src/index';
 
-test('connections are kept alive to a bounded number of hosts, however many are used', async () => {
+test('connections are kept alive to a limited number of hosts', async () => {
   const server = createServer((_request, response) => response.end('x')).listen(0, '127.0.0.1');
   await once(server, 'listening');
   const { port } = server.address() as AddressInfo;
@@ -21,7 +21,7 @@
     for (const to of [...ports, ...ports]) {
       assert.equal((await http(`127.0.0.1:${to}`, 'GET', '/', null, 2000)).status, 200);
     }
-    // What is closed has to have arrived at the servers.
+    // Gives the servers time to see the closed connections.
     await new Promise((resolve) => setTimeout(resolve, 100));
     const counts = await Promise.all(
       [server, ...others].map((s) => new Promise<number>((resolve) => s.getConnections((_e, n) => resolve(n)))),
@@ -38,7 +38,7 @@
   }
 });
 
-test('a host that has not been asked for long gives its place to another', () => {
+test('an idle host loses its keep-alive connections to another host', () => {
   let now = 0;
   const hosts = new KeepAliveHosts(2, () => now);
   assert.deepEqual(
@@ -48,14 +48,14 @@
   now = 29_000;
   assert.equal(hosts.use('a'), true);
   now = 31_000;
-  // b was not asked since the beginning.
+  // b has been idle since the start.
   assert.deepEqual(
     ['c', 'b', 'a'].map((host) => hosts.use(host)),
     [true, false, true],
   );
 });
 
-test('a request without a response is rejected with what was requested, a stable code and the cause', async () => {
+test('a request without a response is rejected with the request, a stable code and the cause', async () => {
   const server = createServer((request, response) => {
     if (request.url === '/huge') response.end(Buffer.alloc(9 * 1024 * 1024));
     else if (request.url === '/cut')
--- a/packages/clients/test/key-value-store.test.ts
+++ b/packages/clients/test/key-value-store.test.ts
@@ -13,7 +13,7 @@
   type Urgency,
 } from '../src/index';
 
-test('the budget is never passed in any window, and the more urgent goes first', async () => {
+test('the rate limit holds in every time window, and more urgent requests are admitted first', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.array(
@@ -27,7 +27,7 @@
         ),
         { minLength: 1, maxLength: 80 },
       ),
-      async (asks) => {
+      async (requests) => {
         const sim = new Sim(1);
         const rateLimiter = new RateLimiter(
           sim.clock(
@@ -39,7 +39,7 @@
           5,
         );
         const sent: { at: number; writes: number }[] = [];
-        for (const a of asks) {
+        for (const a of requests) {
           sim.after(a.at, () => {
             void rateLimiter
               .acquire(a.urgency as Urgency, a.writes, 1e9)
@@ -47,14 +47,14 @@
           });
         }
         await sim.run(600_000);
-        assert.equal(sent.length, asks.length);
+        assert.equal(sent.length, requests.length);
         for (const [i, first] of sent.entries()) {
           let writes = 0;
           for (let j = i; j < sent.length; j++) {
             writes += sent[j]!.writes;
             const s = (sent[j]!.at - first.at) / 1000;
             assert.ok(j - i + 1 <= 10 + 10 * s + 1.01, 'requests');
-            // A transaction larger than the bucket goes when the bucket is full, and is paid for afterwards.
+            // A transaction larger than the bucket is admitted when the bucket is full, and delays later ones.
             assert.ok(writes <= 5 + 5 * s + 12.01, 'changes');
           }
         }
@@ -77,9 +77,9 @@
   for (const name of ['rest', 'finish', 'accept', 'renew'] as const) {
     void rateLimiter.acquire(URGENCY[name], 0, 1e9).then(() => order.push(name));
   }
-  const impatient = assert.rejects(rateLimiter.acquire(URGENCY.rest, 0, 10), OverloadedError);
+  const timedOut = assert.rejects(rateLimiter.acquire(URGENCY.rest, 0, 10), OverloadedError);
   await sim.run(10_000);
-  await impatient;
+  await timedOut;
   assert.deepEqual(order, ['renew', 'accept', 'finish', 'rest']);
 });
 
@@ -127,14 +127,14 @@
   return { watchCache, seen, keyValueStore };
 }
 
-test('a linearizable read began after the call: what was written before shows', async () => {
+test('a linearizable read returns every change that was made before the call', async () => {
   const sim = new Sim(3);
   const service = new SimStateService(sim);
   const { watchCache, seen, keyValueStore } = watchCacheOf(sim, service);
   watchCache.start();
   await sim.run(1000);
   let valueRead: unknown = 'not yet';
-  // Another controller writes while a read of this one is under way; the linearizable read comes right after.
+  // Another controller writes while a read of this one is under way; the linearizable read starts right after.
   sim.after(0, () => {
     void keyValueStore.compareAndSwap(URGENCY.accept, [], [{ put: 'g/x', value: { a: 1 } }]).then(async () => {
       await watchCache.linearizableRead();
@@ -143,7 +143,7 @@
   });
   await sim.run(1200);
   assert.deepEqual(valueRead, { a: 1 });
-  // Too old to follow: all is read again, and what was removed meanwhile goes.
+  // The store has dropped the events: all keys are read again, and removed keys leave the copy.
   void keyValueStore.compareAndSwap(URGENCY.accept, [], [{ remove: 'g/x' }, { put: 'g/y', value: 2 }]);
   sim.after(20, () => service.forgetEvents());
   await sim.run(4000);
@@ -151,7 +151,7 @@
   watchCache.stop();
 });
 
-test('the number of reads depends on the time, not on how many callers and hints wait for them', async () => {
+test('the number of reads depends on the elapsed time and not on the number of waiting callers and hints', async () => {
   const reads = async (polls: number): Promise<number> => {
     const sim = new Sim(5);
     const service = new SimStateService(sim);
@@ -176,13 +176,13 @@
   assert.ok((await reads(5000)) <= few * 1.1);
 });
 
-test('an own removal is not undone by a read that was under way', async () => {
+test('a read under way does not undo a removal by this controller', async () => {
   const sim = new Sim(4);
   const service = new SimStateService(sim);
   const { watchCache, seen, keyValueStore } = watchCacheOf(sim, service);
   void keyValueStore.compareAndSwap(URGENCY.accept, [], [{ put: 'g/r', value: 1 }]).then((result) => {
     assert.equal(result.kind, 'done');
-    // The read that will bring the key begins now; the own removal is known first.
+    // The read that returns the key begins now; the cache learns of the removal first.
     watchCache.applyOwn([{ remove: 'g/r' }], 5);
   });
   await sim.run(100);
@@ -192,8 +192,8 @@
   watchCache.stop();
 });
 
-// The store may give events in any order: a removal that stands before the change it followed must not be undone by it.
-test('changes that come in any order leave what the last of each key says', async () => {
+// The store may return events in any order. An event that is older than a removal and follows it must not undo it.
+test('events in any order leave each key at its latest change', async () => {
   const sim = new Sim(6);
   const service = new SimStateService(sim);
   const { watchCache, seen, keyValueStore } = watchCacheOf(sim, service);
@@ -219,9 +219,9 @@
   watchCache.stop();
 });
 
-// The answer to an own change may come after a read has shown that its key is gone again: the key must not come back
-// for ever.
-test('an own change that was read already and undone since is not applied once more', async () => {
+// The answer to a transaction may arrive after a read that showed a later removal of the key. Applying the transaction
+// then would bring the key back for good.
+test('a change of this controller is not applied after a read showed its key removed', async () => {
   const sim = new Sim(7);
   const service = new SimStateService(sim);
   const { watchCache, seen, keyValueStore } = watchCacheOf(sim, service);
