--- a/packages/daemon/src/api/job-api.ts
+++ b/packages/daemon/src/api/job-api.ts
@@ -1,4 +1,4 @@
-// What users ask for: submissions, polls and cancellations of jobs.
+// Requests of users: submissions, polls and cancellations of jobs.
 import { type CompareAndSwapResult, URGENCY } from '@gingerlock/clients';
 import { assignedUnfinished, type JobTable, unschedulableReason } from '@gingerlock/core';
 import { isGroupSpec } from '@gingerlock/replica-groups';
@@ -12,31 +12,31 @@
   maxGroupMembers,
 } from '@gingerlock/wire';
 import type { ControllerContext } from '../controller/controller-context';
-import { cancelledJobValue, jobStateOf, newJobRecord, unfitDependency } from './job-records';
+import { cancelledJobValue, jobStateOf, newJobRecord, invalidDependencyReason } from './job-records';
 import { malformed, refusal, type Reply } from './reply';
 
-/** Share of a value that the record of a new job leaves free for the ranges in which its tasks are assigned. */
-const RANGES_SHARE = 0.25;
+/** Share of the largest value that the record of a new job leaves free for its assigned ranges. */
+const ASSIGNED_RANGES_SHARE = 0.25;
 
-/** How long a user's transaction waits for the rate limiter, in milliseconds. */
-const PATIENCE_MS = 2000;
+/** Longest time that a user's transaction waits for the rate limiter, in milliseconds. */
+const RATE_LIMIT_WAIT_MS = 2000;
 
-/** How long a cancellation is repeated while others change the job's record, in milliseconds. */
+/** How long a cancellation is retried while others change the job's record, in milliseconds. */
 const CANCEL_RETRY_MS = 3000;
 
-/** Users whose request can't be answered now may ask again after so many seconds. */
-const RETRY_S = 1;
+/** Value of `retry-after` for requests that can't be answered now, in seconds. */
+const RETRY_AFTER_S = 1;
 
 /**
- * Any controller answers for any job. A reply other than 5xx and 429 shows no older state than any reply that any
- * controller has given before the request: it rests on a linearizable read, on a commit of its own, or on a state that
- * can't change any more. Only the number of running tasks may lag, by `DISPLAY_LAG_MS`. A request may be repeated at
- * will; a submission is identified by its job's id.
+ * Answers requests about jobs; any controller answers for any job. A reply other than 5xx and 429 never shows an older
+ * state than a reply that any controller gave before the request: it is based on a linearizable read, on a commit of
+ * this controller, or on a final state. Only the number of running tasks may lag, by `DISPLAY_LAG_MS`. Requests are
+ * idempotent; a submission is identified by its job's id.
  */
 export class JobApi {
   constructor(
     readonly context: ControllerContext,
-    /** How many tasks of a job run now, by the latest statuses of the partitions. */
+    /** How many tasks of a job run now, according to the latest statuses of the partitions. */
     readonly runningTasks: (id: string) => number,
   ) {}
 
@@ -67,20 +67,20 @@
     const { id } = spec;
     const { clusterState, clock, keyValueStore, settings } = this.context;
     if (this.#jobs.isKnown(id)) return this.poll(id);
-    if (clusterState.types.size === 0) return refusal(503, 'machine types are not known yet', RETRY_S);
+    if (clusterState.types.size === 0) return refusal(503, 'machine types are not known yet', RETRY_AFTER_S);
     const impossible = this.#impossibleReason(spec);
     if (impossible !== null) return refusedUnlessKnown(await this.poll(id), impossible);
     const refused = await this.#checkDependencies(spec);
     if (refused !== null) return refused;
     const waitMs = keyValueStore.options.rateLimiter.waitMs(URGENCY.accept);
-    if (waitMs > PATIENCE_MS) return refusal(429, 'too many requests', Math.ceil(waitMs / 1000));
+    if (waitMs > RATE_LIMIT_WAIT_MS) return refusal(429, 'too many requests', Math.ceil(waitMs / 1000));
     const value = jobRecord.write(newJobRecord(spec, this.#jobs, clock.wallNow()));
-    if (Buffer.byteLength(JSON.stringify(value)) > settings.valueBytes * (1 - RANGES_SHARE))
+    if (Buffer.byteLength(JSON.stringify(value)) > settings.valueBytes * (1 - ASSIGNED_RANGES_SHARE))
       return refusedUnlessKnown(await this.poll(id), 'the description is too long, or too many jobs to wait for');
     const key = KEYS.job(id);
     const changes = [{ put: key, value }];
     const isNew = { key, version: 0 };
-    const result = await keyValueStore.compareAndSwap(URGENCY.accept, [isNew], changes, PATIENCE_MS);
+    const result = await keyValueStore.compareAndSwap(URGENCY.accept, [isNew], changes, RATE_LIMIT_WAIT_MS);
     switch (result.kind) {
       case 'done':
         this.context.recordCommit(changes, result.revision);
@@ -89,7 +89,7 @@
       case 'conflict':
         return this.poll(id);
       default:
-        return this.#undecided(id, result);
+        return this.#replyAfterFailedCommit(id, result);
     }
   }
 
@@ -97,7 +97,7 @@
     this.context.log.debug({ job: id, class: jobClass, team, tasks, awaits }, 'accepted');
   }
 
-  /** Why the job can never run; null: it can. */
+  /** Returns why the job can never run, or null if it can. */
   #impossibleReason(spec: JobSpec): string | null {
     const { clusterConfig, features, valueBytes } = this.context.settings;
     const maxMembers = maxGroupMembers(valueBytes);
@@ -106,31 +106,32 @@
     return unschedulableReason(spec, clusterConfig, [...this.context.clusterState.types.values()]);
   }
 
-  /** The reply to a submission that names jobs which it can't wait for; null: it can. */
+  /** Returns the reply to a submission with invalid dependencies, or null if they are valid. */
   async #checkDependencies(spec: JobSpec): Promise<Reply | null> {
     if (!spec.awaits.every((id) => this.#jobs.isKnown(id))) {
-      // They may have been accepted elsewhere a moment ago.
+      // Another controller may have accepted them since the last read.
       try {
         await this.context.watchCache.linearizableRead();
       } catch {
         return this.#unavailable();
       }
     }
-    const reason = unfitDependency(spec, this.#jobs);
+    const reason = invalidDependencyReason(spec, this.#jobs);
     return reason === null ? null : refusedUnlessKnown(await this.poll(spec.id), reason);
   }
 
-  async #undecided(id: string, result: CompareAndSwapResult): Promise<Reply> {
+  /** Returns the reply to a submission whose transaction failed or has an unknown outcome. */
+  async #replyAfterFailedCommit(id: string, result: CompareAndSwapResult): Promise<Reply> {
     this.context.log.info({ job: id, result }, 'commit outcome unknown');
     if (result.kind === 'refused' || result.kind === 'invalid') return this.#unavailable();
-    // Read back before answering: it may have been carried out.
+    // The transaction may have been executed, so the store is read before answering.
     const reply = await this.poll(id);
     return reply.status === 200 ? reply : this.#unavailable();
   }
 
   /**
-   * Replies 200 once the cancellation is stored, or the job was over before; 404 if it was never accepted; 503 if the
-   * outcome is not known or the store can't be reached.
+   * Replies 200 once the cancellation is stored or if the job had already ended, 404 if it was never accepted, or 503
+   * if the outcome is not known or the store can't be reached.
    */
   async cancel(id: string): Promise<Reply> {
     if (!isJobId(id)) return refusal(404, 'no such job');
@@ -148,7 +149,12 @@
       const key = KEYS.job(id);
       const changes = [{ put: key, value: cancelledJobValue(job, isTooLarge) }];
       const isUnchanged = { key, version: job.version };
-      const result = await context.keyValueStore.compareAndSwap(URGENCY.cancel, [isUnchanged], changes, PATIENCE_MS);
+      const result = await context.keyValueStore.compareAndSwap(
+        URGENCY.cancel,
+        [isUnchanged],
+        changes,
+        RATE_LIMIT_WAIT_MS,
+      );
       if (result.kind === 'done') {
         context.recordCommit(changes, result.revision);
         context.log.debug({ job: id, assigned: assignedUnfinished(job) }, 'cancelled');
@@ -174,7 +180,7 @@
     return this.context.clusterState.jobs;
   }
 
-  /** Whether what the watch cache says of the job can't change any more. */
+  /** Whether the job's state in the watch cache is final. */
   #isFinal(id: string): boolean {
     return this.#jobs.finals.has(id) || this.#jobs.live.get(id)?.isCancelled === true;
   }
@@ -186,13 +192,13 @@
   }
 
   #unavailable(): Reply {
-    return refusal(503, 'state service is out of reach', RETRY_S);
+    return refusal(503, 'state service is out of reach', RETRY_AFTER_S);
   }
 }
 
 /**
- * The reply to a submission that is to be refused. A job that was accepted before, perhaps elsewhere, is never refused
- * now.
+ * Returns the reply to a submission that fails a check: a refusal, or `polled` if the job was accepted before, perhaps
+ * by another controller.
  */
 function refusedUnlessKnown(polled: Reply, reason: string): Reply {
   return polled.status === 404 ? refusal(422, reason) : polled;
--- a/packages/daemon/src/api/job-records.ts
+++ b/packages/daemon/src/api/job-records.ts
@@ -1,10 +1,9 @@
-// The stored records that requests of users write, and what users are shown of a job. Pure functions of the cluster
-// state.
+// The records that requests of users store, and the job states that users see. Pure functions of the cluster state.
 import { coverPerPartition, type Job, type JobTable } from '@gingerlock/core';
 import { type JobRecord, jobRecord, type JobSpec, type JobState } from '@gingerlock/wire';
 
-/** Why the jobs that a submission names are none that it can wait for; null: it can. */
-export function unfitDependency(spec: JobSpec, jobs: JobTable): string | null {
+/** Returns why the job can't wait for the jobs that it names as dependencies, or null if it can. */
+export function invalidDependencyReason(spec: JobSpec, jobs: JobTable): string | null {
   const unknown = spec.awaits.find((id) => !jobs.isKnown(id));
   if (unknown !== undefined) return `awaits: ${unknown} was never accepted`;
   if (spec.awaits.includes(spec.id)) return 'awaits: the job itself';
@@ -13,8 +12,8 @@
 }
 
 /**
- * The record of a job that is accepted now. Dependencies that are done need not be kept: they remain so. With a
- * cancelled one the job is cancelled at once. `acceptedAt`: time of day in milliseconds.
+ * Returns the record of a job that is accepted now. Dependencies that are done are left out, as they stay done. If a
+ * dependency is cancelled, the job is cancelled at once. `acceptedAt`: time of day in milliseconds.
  */
 export function newJobRecord(spec: JobSpec, { finals }: JobTable, acceptedAt: number): JobRecord {
   if (spec.awaits.some((id) => finals.get(id) === 'cancelled')) return { final: 'cancelled' };
@@ -30,18 +29,18 @@
 }
 
 /**
- * The stored value of a live job once it is cancelled. `isTooLarge`: the store rejected the record as it is, since it
- * was stored under a larger limit on values; its ranges are merged then.
+ * Returns the value to store when a live job is cancelled. `isTooLarge`: the store rejected the value because the limit
+ * on values is smaller than when the record was written; its assigned ranges are then merged to shorten it.
  */
 export function cancelledJobValue(job: Job, isTooLarge: boolean): unknown {
   const { spec, acceptedAt, isCrashLooping } = job;
-  // With nothing assigned there is nothing to stop: the record closes at once.
+  // Without assigned tasks there is nothing to stop, so the job is final at once.
   if (job.assignedRanges.length === 0) return jobRecord.write({ final: 'cancelled' });
   const assignedRanges = isTooLarge ? coverPerPartition(job.assignedRanges) : job.assignedRanges;
   return jobRecord.write({ final: null, spec, acceptedAt, cancelled: true, isCrashLooping, assignedRanges });
 }
 
-/** What users are shown of a job; null: it is not known. `runningTasks`: how many of its tasks run now. */
+/** Returns the job state that users see, or null for an unknown job. `runningTasks`: how many of its tasks run now. */
 export function jobStateOf(id: string, jobs: JobTable, runningTasks: (id: string) => number): JobState | null {
   const final = jobs.finals.get(id);
   if (final !== undefined) return { id, status: final };
--- a/packages/daemon/src/api/rendezvous.ts
+++ b/packages/daemon/src/api/rendezvous.ts
@@ -1,5 +1,5 @@
-// Answers the members of replica groups: who belongs to the group, and for how long a member may serve without asking
-// again.
+// Answers members of replica groups with the addresses of all members and a serve lease: the time for which the member
+// may serve without asking again.
 import { type ReplicaGroupSettings, serveLeaseMs } from '@gingerlock/replica-groups';
 import {
   decodeRendezvousQuestion,
@@ -12,10 +12,10 @@
 import { malformed, refusal, type Reply } from './reply';
 import type { ControllerContext } from '../controller/controller-context';
 
-/** Members that can't be answered now ask again after so many seconds. */
-const RETRY_S = 1;
+/** Value of `retry-after` for members that can't be answered now, in seconds. */
+const RETRY_AFTER_S = 1;
 
-/** Grants serve leases to the members of a group of the current generation. */
+/** Grants serve leases to the members of a group's current generation. */
 export class Rendezvous {
   constructor(
     readonly context: ControllerContext,
@@ -26,9 +26,9 @@
    * Replies 200 with the group and a serve lease, 409 if the asking attempt does not belong to the serving generation,
    * 400 if the body can't be decoded, or 503.
    *
-   * Any controller answers, whoever owns the member's partition. A lease is granted only after a read that began after
-   * the question came: what it shows held after the question was sent, from which the member counts its lease. So all
-   * leases of a generation have expired one lease after its end was stored.
+   * Any controller answers, whether or not it owns the member's partition. A lease is granted only after a read that
+   * began after the request arrived, and the member counts its lease from when it sent the request. So all serve leases
+   * of a generation have expired one lease length after its end was stored.
    */
   async ask(body: Buffer): Promise<Reply> {
     let question: RendezvousQuestion;
@@ -40,7 +40,7 @@
     try {
       await this.context.watchCache.linearizableRead();
     } catch {
-      return refusal(503, 'state service is out of reach', RETRY_S);
+      return refusal(503, 'state service is out of reach', RETRY_AFTER_S);
     }
     return this.#answer(question);
   }
@@ -54,7 +54,7 @@
     const hosts = record.members.map(({ partitionId, machine }) =>
       hostOf(clusterState.addressOf(partitionId, machine) ?? ''),
     );
-    if (!areAllKnown(hosts)) return refusal(503, 'the address of a member is not known', RETRY_S);
+    if (!areAllKnown(hosts)) return refusal(503, 'the address of a member is not known', RETRY_AFTER_S);
     const { generation } = record;
     const serveMs = serveLeaseMs(this.settings, clusterConfig);
     const answer = { generation, rank, worldSize: hosts.length, members: hosts, serveMs };
--- a/packages/daemon/src/api/reply.ts
+++ b/packages/daemon/src/api/reply.ts
@@ -1,22 +1,22 @@
-// Answers to requests of users, workers and members of replica groups, before they become HTTP.
+// Replies to requests of users, workers and members of replica groups, independent of HTTP.
 import { encodeError, MalformedMessageError } from '@gingerlock/wire';
 
-/** What a request is answered. */
+/** The reply to a request. */
 export interface Reply {
   /** HTTP status. */
   readonly status: number;
-  /** MessagePack; null: none. */
+  /** MessagePack; null if there is no body. */
   readonly body: Buffer | null;
   /** After how many seconds the request may be sent again. */
   readonly retryAfterS?: number;
 }
 
-/** An error answer with the reason as its text. */
+/** Returns an error reply with the reason as its text. */
 export function refusal(status: number, reason: string, retryAfterS?: number): Reply {
   return { status, body: encodeError(reason), ...(retryAfterS === undefined ? {} : { retryAfterS }) };
 }
 
-/** The answer (400) to a request whose decoding threw the error. */
+/** Returns the reply (400) to a request whose decoding threw the error. */
 export function malformed(error: unknown): Reply {
   return refusal(400, error instanceof MalformedMessageError ? error.message : 'malformed');
 }
--- a/packages/daemon/src/api/server.ts
+++ b/packages/daemon/src/api/server.ts
@@ -1,41 +1,39 @@
-// The HTTP interface of a controller for users, workers and members of replica groups. It knows HTTP and nothing else.
+// The HTTP interface of a controller for users, workers and members of replica groups, without any scheduling logic.
 import { fastify, type FastifyInstance, type FastifyReply } from 'fastify';
 import { MAX_BODY_BYTES, RENDEZVOUS_PATH } from '@gingerlock/wire';
 import type { Controller } from '../controller/controller';
 import type { Log } from '../controller/log';
 import type { Reply } from './reply';
 
-/** Share of the sockets for users and workers: some stay free for the store, the cloud and the peers. */
+/** Share of the sockets for users and workers. The rest is for the store, the cloud and the peers. */
 const SOCKETS_SHARE = 0.85;
 
-/**
- * Above this share of the connections that it accepts, the server keeps none of workers open between two heartbeats.
- */
-const CROWDED_SHARE = 0.75;
+/** Above this share of its connection limit, the server closes a worker's connection after each heartbeat. */
+const NEAR_LIMIT_SHARE = 0.75;
 
 /**
- * Creates the server, which does not listen yet. `sockets`: how many the process may have open. Requests that are no
- * valid HTTP or too large get 400 without a body; an exception in the controller is logged and gets 503.
+ * Creates the server, which does not listen yet. `sockets`: how many sockets the process may have open. Requests that
+ * are too large or not valid HTTP get 400 without a body; an exception in the controller is logged and gets 503.
  */
 export function openServer(controller: Controller, log: Log, sockets: number): FastifyInstance {
   const app = fastify({ logger: false, bodyLimit: MAX_BODY_BYTES, exposeHeadRoutes: false, trustProxy: false });
-  const isCrowded = limitConnections(app, Math.floor(sockets * SOCKETS_SHARE));
-  // Bodies are handed on as they come, whatever their content type says.
+  const isNearConnectionLimit = limitConnections(app, Math.floor(sockets * SOCKETS_SHARE));
+  // Bodies are passed on undecoded, whatever their content type.
   app.removeAllContentTypeParsers();
   app.addContentTypeParser('*', { parseAs: 'buffer' }, (_request, body, done) => done(null, body));
   app.setErrorHandler((error: Error & { statusCode?: number }, _request, reply) => {
     const status = error.statusCode ?? 500;
-    // A body that is too large, or cut off, is malformed to its sender.
+    // Bodies that are too large or truncated count as malformed.
     if (status >= 400 && status < 500) return send(reply, { status: 400, body: null });
     log.error({ error: error.stack }, 'request failed');
     return send(reply, { status: 503, body: null });
   });
-  addRoutes(app, controller, isCrowded);
+  addRoutes(app, controller, isNearConnectionLimit);
   return app;
 }
 
 /**
- * Limits the connections of the server. Returns whether so many are open now that none is to be kept open when idle.
+ * Limits the connections of the server. Returns a function that tells whether `NEAR_LIMIT_SHARE` is exceeded now.
  */
 function limitConnections(app: FastifyInstance, maxConnections: number): () => boolean {
   let connections = 0;
@@ -44,16 +42,15 @@
     connections++;
     socket.once('close', () => connections--);
   });
-  return () => connections > maxConnections * CROWDED_SHARE;
+  return () => connections > maxConnections * NEAR_LIMIT_SHARE;
 }
 
-function addRoutes(app: FastifyInstance, controller: Controller, isCrowded: () => boolean): void {
+function addRoutes(app: FastifyInstance, controller: Controller, isNearConnectionLimit: () => boolean): void {
   app.get('/up', (_request, reply) => send(reply, controller.up()));
   app.post('/checkin', async (request, reply) => {
     const answer = await controller.checkin(bodyOf(request.body));
-    // With more workers than sockets each keeps its connection for one heartbeat only: else the last ones never get
-    // one.
-    if (isCrowded()) void reply.header('connection', 'close');
+    // If there are more workers than sockets, connections that stay open would lock out the remaining workers.
+    if (isNearConnectionLimit()) void reply.header('connection', 'close');
     return send(reply, answer);
   });
   app.post('/submissions', async (request, reply) => send(reply, await controller.submit(bodyOf(request.body))));
--- a/packages/daemon/src/cli/borrowing-command.ts
+++ b/packages/daemon/src/cli/borrowing-command.ts
@@ -1,17 +1,17 @@
-// The subcommand `gingerlock borrowing`: shows operators what teams lend and borrow, read from the logs of controllers.
+// The subcommand `gingerlock borrowing`: shows what teams lend and borrow, according to the logs of controllers.
 import { createReadStream } from 'node:fs';
 import type { Readable } from 'node:stream';
 import { errorMessage } from '@gingerlock/wire';
 import { formatBorrowing, readBorrowing } from './borrowing-report';
 
-/** Exit statuses of commands that query. `refused`: there is nothing to show; `usage`: an option can't be used. */
+/** Exit statuses. `refused`: there is nothing to show; `usage`: an option can't be used. */
 export const EXIT = { done: 0, refused: 1, usage: 2 } as const;
 
-/** The options of the command line. */
+/** Options of `gingerlock borrowing`. */
 export interface BorrowingOptions {
-  /** File with the logs; undefined: standard input. */
+  /** File with the logs; undefined means standard input. */
   readonly log?: string;
-  /** Show the account of this team alone. */
+  /** Show only the account of this team. */
   readonly team?: string;
   /** Print one JSON object instead of tables. */
   readonly json?: boolean;
@@ -30,7 +30,7 @@
   return { status, out: '', error: `gingerlock: ${reason}\n` };
 }
 
-/** Shows accounts and reclaims as the logs have them. Never rejects: failures are part of the output. */
+/** Shows the accounts and reclaims in the logs. Never rejects: failures are part of the output. */
 export async function borrowingCommand(options: BorrowingOptions, standardInput: Readable): Promise<CommandOutput> {
   const { log, team, json } = options;
   const input = log === undefined ? standardInput : createReadStream(log);
--- a/packages/daemon/src/cli/borrowing-report.ts
+++ b/packages/daemon/src/cli/borrowing-report.ts
@@ -1,10 +1,9 @@
-// What operators are shown of borrowing: accounts and reclaims, read from the lines that controllers write to their
-// logs. The messages and fields read here are written by `LeaderBorrowing` and `OwnerReclaims`; logs of all versions
-// have the same ones.
+// Reports accounts and reclaims of borrowing from the logs of controllers. `LeaderBorrowing` and `OwnerReclaims` write
+// the messages and fields that are read here; they are the same in the logs of all versions.
 import { createInterface } from 'node:readline';
 import type { Readable } from 'node:stream';
 
-/** The latest account of a team, in GPUs, as the leader logged it; see `TeamAccount`. */
+/** The latest account of a team that the leader logged, in GPUs; see `TeamAccount`. */
 export interface AccountLine {
   readonly team: string;
   readonly guarantee: number;
@@ -24,15 +23,15 @@
   readonly state: string;
   readonly job: string;
   readonly machine: string;
-  /** How many tasks get its capacity. */
+  /** How many tasks get the reclaimed capacity. */
   readonly tasks: number;
   /** A `ReclaimReason`. */
   readonly reason: string;
-  /** Why it was withdrawn; empty: it was not. */
+  /** Why the reclaim was withdrawn; empty if it was not. */
   readonly why: string;
 }
 
-/** Why nothing was reclaimed for a job, as the leader logged it last. */
+/** The latest reason that the leader logged for reclaiming nothing for a job. */
 export interface RefusalLine {
   readonly team: string;
   readonly job: string;
@@ -40,9 +39,9 @@
   readonly why: string;
 }
 
-/** Everything that the logs say about borrowing. */
+/** The content of the logs about borrowing. */
 export interface BorrowingReport {
-  /** Time of day (ms) of the newest line about borrowing; null: there is no such line. */
+  /** Time of day (ms) of the newest line about borrowing; null if there is no such line. */
   readonly asOf: number | null;
   readonly accounts: readonly AccountLine[];
   readonly reclaims: readonly ReclaimLine[];
@@ -57,10 +56,10 @@
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** Messages about reclaims have the state after this. */
+/** Messages about reclaims consist of this prefix and the state. */
 const RECLAIM_PREFIX = 'reclaim ';
 
-/** What `AccountLine` has besides the team, under the names that the log uses. */
+/** Fields of `AccountLine` besides the team; the log uses the same names. */
 const ACCOUNT_FIGURES = ['guarantee', 'limit', 'runs', 'mayRun', 'waits', 'borrowed', 'lent'] as const;
 
 function textOf(fields: Fields, name: string): string {
@@ -73,7 +72,7 @@
   return typeof value === 'number' ? value : 0;
 }
 
-/** The fields of a line of a log; null: the line is none that a controller writes. */
+/** Returns the fields of a log line, or null if the line is not a JSON object. */
 function parseLine(line: string): Fields | null {
   try {
     const value: unknown = JSON.parse(line);
@@ -84,7 +83,7 @@
 }
 
 /**
- * Collects lines of the logs of any controllers, in any order: of each team, job and reclaim the latest line counts.
+ * Collects log lines of any controllers, in any order. Only the latest line of each team, job and reclaim counts.
  */
 export class BorrowingReader {
   #asOf: number | null = null;
@@ -92,7 +91,7 @@
   readonly #reclaimById = new Map<string, Timed<ReclaimLine>>();
   readonly #refusalByJob = new Map<string, Timed<RefusalLine>>();
 
-  /** Takes one line of a log; lines that aren't about borrowing are skipped. */
+  /** Adds one log line; skips lines that aren't about borrowing. */
   add(text: string): void {
     const fields = parseLine(text);
     if (fields === null) return;
@@ -136,7 +135,7 @@
     this.#reclaimById.set(reclaim, { line, time });
   }
 
-  /** What the lines so far say; with a team, accounts and refusals of that team alone. */
+  /** Returns the report of all lines so far. With a team, it has accounts and refusals of that team only. */
   report(team: string | null = null): BorrowingReport {
     const isOfTeam = (entry: { readonly team: string }): boolean => team === null || entry.team === team;
     return {
@@ -155,7 +154,7 @@
   return reader;
 }
 
-/** A table whose columns are as wide as their widest cell. */
+/** Formats a table whose columns are as wide as their widest cell. */
 function table(header: readonly string[], rows: readonly (readonly (string | number)[])[]): string {
   const cells = [header, ...rows].map((row) => row.map(String));
   const widths = header.map((_, column) => Math.max(...cells.map((row) => row[column]!.length)));
@@ -169,7 +168,7 @@
     .join('\n');
 }
 
-/** The report as tables, for a terminal. */
+/** Formats the report as tables for a terminal. */
 export function formatBorrowing({ asOf, accounts, reclaims, refusals }: BorrowingReport): string {
   const sections = [`as of ${asOf === null ? 'an unknown time' : new Date(asOf).toISOString()}, in GPUs`];
   const header = ['team', 'guarantee', 'limit', 'runs', 'may run', 'waits', 'borrowed', 'lent'];
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -23,7 +23,7 @@
         operators: options.operators ?? process.env.GINGERLOCK_OPERATORS ?? null,
         features: options.features ?? process.env.GINGERLOCK_FEATURES ?? null,
       });
-      // Loaded only now: help, version and a settings error need none of it.
+      // Imported late, because help, version and settings errors don't need it.
       const { serve } = await import('./serve');
       await serve(settings);
     } catch (error) {
--- a/packages/daemon/src/serve.ts
+++ b/packages/daemon/src/serve.ts
@@ -1,4 +1,4 @@
-// Runs a controller on the real clock, network and log.
+// Runs a controller with the real clock, network and log.
 import { nodeHttp, type Clock } from '@gingerlock/clients';
 import { TcpLink } from '@gingerlock/peer';
 import { Controller } from './controller/controller';
@@ -16,10 +16,10 @@
   random: () => Math.random(),
 };
 
-/** Share of the sockets for connections to other hosts that are kept open between two requests. */
+/** Number of hosts to which connections are kept alive, as a share of the sockets. */
 const KEEP_ALIVE_HOSTS_SHARE = 0.12;
 
-/** A peer that was silent for this many heartbeat intervals counts as not alive. */
+/** A peer counts as not alive after this many heartbeat intervals without a message. */
 const PEER_SILENCE_INTERVALS = 2;
 
 /**
--- a/packages/daemon/src/settings/features.ts
+++ b/packages/daemon/src/settings/features.ts
@@ -1,6 +1,5 @@
-// The features that are built on the scheduler and switched on by name in a file of their own (deploy/features.yaml):
-// its schema, and the mapping of its keys to the code's names. Without the file, or with a feature off, nothing
-// differs.
+// Settings of the optional features: the schema of their file (deploy/features.yaml), and the mapping of its keys to
+// the code's names. Features that the file does not enable are off and change nothing.
 import { BORROWING_DEFAULTS, type BorrowingSettings } from '@gingerlock/borrowing';
 import { REPLICA_GROUP_DEFAULTS, type ReplicaGroupSettings } from '@gingerlock/replica-groups';
 import { type Static, Type } from '@sinclair/typebox';
@@ -36,22 +35,21 @@
   { additionalProperties: false },
 );
 
-/** The file of features as it is written. */
+/** Content of the features file. */
 type FeaturesFile = Static<typeof FeaturesFile>;
 
 type Teams = PlatformFile['facts']['teams'];
 
-/** The settings of each feature; null: it is off. */
+/** The settings of each feature; null if it is off. */
 export interface Features {
   readonly borrowing: BorrowingSettings | null;
   readonly replicaGroups: ReplicaGroupSettings | null;
 }
 
 /**
- * Checks the file of features against its schema and against the platform's settings; null and undefined are an empty
- * file.
- * @param knownClasses the classes of jobs that the platform names; null: it names none
- * @throws SettingsError naming the first key that is wrong
+ * Checks the features file against its schema and the platform's settings. Null and undefined mean an empty file.
+ * @param knownClasses the classes of jobs in the platform's settings; null if these name none, so that any is accepted
+ * @throws SettingsError naming the first invalid key
  */
 export function checkFeatures(value: unknown, teams: Teams, knownClasses: ReadonlySet<string> | null): Features {
   const file = checkSettings(FeaturesFile, value ?? {}, 'features');
@@ -60,11 +58,11 @@
   const classFault = findClassFault(declaredClasses, knownClasses);
   if (classFault !== null) throw new SettingsError(`features: ${classFault}`);
   const teamFault = features.borrowing === null ? null : findTeamFault(teams);
-  if (teamFault !== null) throw new SettingsError(`settings: ${teamFault}, which borrowing can not work with`);
+  if (teamFault !== null) throw new SettingsError(`settings: ${teamFault}, which borrowing does not support`);
   return features;
 }
 
-/** Maps the file of features to the code's names, and fills in the defaults. */
+/** Maps the features file to the code's names, and fills in the defaults. */
 export function featuresOf({ borrowing, replica_groups: replicaGroups }: FeaturesFile): Features {
   return {
     borrowing: borrowing?.enabled === true ? borrowingOf(borrowing) : null,
@@ -86,23 +84,23 @@
   };
 }
 
-/** What is wrong with the classes that are declared as replica groups, as path and reason; null: nothing. */
+/** Returns the first invalid class of `replica_groups.classes`, as path and reason, or null if there is none. */
 function findClassFault(classes: readonly string[], knownClasses: ReadonlySet<string> | null): string | null {
   for (const [i, name] of classes.entries()) {
     const path = `replica_groups.classes.${i}`;
-    if (classes.indexOf(name) !== i) return `${path}: ${name} stands twice`;
+    if (classes.indexOf(name) !== i) return `${path}: ${name} is listed twice`;
     if (knownClasses !== null && !knownClasses.has(name))
       return `${path}: the platform's settings have no class ${name}`;
   }
   return null;
 }
 
-/** Which of the platform's teams borrowing can't work with, as path and reason; null: none. */
+/** Returns the first team setting that borrowing does not support, as path and reason, or null if there is none. */
 function findTeamFault(teams: Teams): string | null {
   const names = new Set<string>();
   for (const [i, team] of teams.entries()) {
     const path = `facts.teams.${i}`;
-    if (names.has(team.name)) return `${path}.name: ${team.name} stands twice`;
+    if (names.has(team.name)) return `${path}.name: ${team.name} is listed twice`;
     names.add(team.name);
     if (team.gpus_max > 0 && team.gpus_max < team.gpus) return `${path}.gpus_max: below the guarantee`;
     if (team.cpus_max > 0 && team.cpus_max < team.cpus) return `${path}.cpus_max: below the guarantee`;
@@ -110,7 +108,7 @@
   return null;
 }
 
-/** The GPUs that all teams together are guaranteed. */
+/** Returns the sum of all teams' guaranteed GPUs. */
 export function guaranteedGpus({ teams }: ClusterConfig): number {
   return [...teams.values()].reduce((sum, team) => sum + team.gpus, 0);
 }
--- a/packages/daemon/src/settings/operator-settings.ts
+++ b/packages/daemon/src/settings/operator-settings.ts
@@ -1,4 +1,4 @@
-// The operators' settings: the schema of their file, in which every key may be left out, and their defaults.
+// The operators' settings: the schema of their file, in which every key is optional, and the defaults.
 import { Type } from '@sinclair/typebox';
 import { checkSettings } from './settings-error';
 
@@ -11,17 +11,17 @@
   { additionalProperties: false },
 );
 
-/** What operators decide about the size of the fleet. */
+/** The operators' settings for the size of the fleet. */
 export interface OperatorSettings {
-  /** Free capacity to keep on ordinary machines, as a share of what is in use. */
+  /** Free capacity to keep on ordinary machines, as a share of the used capacity. */
   readonly headroom: number;
-  /** Most ordinary machines that are rented at a time. */
+  /** Largest number of ordinary machines rented at a time. */
   readonly maxOrdinaryMachines: number;
-  /** Most spot machines that are rented at a time. */
+  /** Largest number of spot machines rented at a time. */
   readonly maxSpotMachines: number;
 }
 
-/** What holds for keys that the file leaves out. */
+/** Defaults of the keys that the file leaves out. */
 export const OPERATOR_DEFAULTS: OperatorSettings = {
   headroom: 0.1,
   maxOrdinaryMachines: Infinity,
@@ -29,8 +29,8 @@
 };
 
 /**
- * Checks the operators' settings and fills in the defaults; null and undefined are an empty file.
- * @throws SettingsError naming the first key that is wrong
+ * Checks the operators' settings and fills in the defaults. Null and undefined mean an empty file.
+ * @throws SettingsError naming the first invalid key
  */
 export function operatorSettingsOf(value: unknown): OperatorSettings {
   const file = checkSettings(OperatorsFile, value ?? {}, "operators' settings");
--- a/packages/daemon/src/settings/platform-settings.ts
+++ b/packages/daemon/src/settings/platform-settings.ts
@@ -8,7 +8,7 @@
 const Positive = Type.Number({ exclusiveMinimum: 0 });
 const Amount = Type.Number({ minimum: 0 });
 
-/** Limits of the key-value store. A failover of an ownership changes three keys at once. */
+/** Limits of the key-value store. A failover changes three keys in one transaction. */
 const StoreLimits = {
   rps: Positive,
   write_rps: Positive,
@@ -41,47 +41,47 @@
   }),
 });
 
-/** The platform's settings as their file has them. */
+/** Content of the platform's settings file. */
 export type PlatformFile = Static<typeof PlatformFile>;
 
-/** What the platform says of this controller and its surroundings; addresses are `HOST:PORT`. */
+/** The platform's settings of this controller and its environment; addresses are `HOST:PORT`. */
 export interface PlatformSettings {
   /** The name of this controller. */
   readonly node: string;
   /** The zone of this controller. */
   readonly zone: string;
-  /** Where users and workers connect. */
+  /** Address at which this controller listens for users and workers. */
   readonly clientListen: string;
-  /** Where the other controllers connect. */
+  /** Address at which this controller listens for the other controllers. */
   readonly peerListen: string;
   /** The other controllers. */
   readonly peers: readonly (PeerAddress & { readonly zone: string })[];
-  /** The cloud's API. */
+  /** Address of the cloud's API. */
   readonly cloud: string;
-  /** The key-value store. */
+  /** Address of the key-value store. */
   readonly state: string;
   /**
-   * Limits of the key-value store for all controllers together, each the smaller one of the limit that holds now and
-   * the one announced under `next`, whose start is not announced. This one: requests per second.
+   * Requests to the key-value store per second. This and the other limits of the store hold for all controllers
+   * together. Each is the smaller one of the current limit and the limit under `next`, which starts at an unknown time.
    */
   readonly storeRequestsPerS: number;
-  /** Changes of keys per second; as above. */
+  /** Changes of keys in the store per second; see `storeRequestsPerS`. */
   readonly storeWritesPerS: number;
-  /** Largest value, in bytes of its JSON form; as above. */
+  /** Largest value in the store, in bytes of its JSON form; see `storeRequestsPerS`. */
   readonly valueBytes: number;
-  /** Most conditions and changes of one transaction; as above. */
+  /** Largest number of conditions and changes in one transaction; see `storeRequestsPerS`. */
   readonly maxTransactionOps: number;
   /** Requests to the cloud per second. */
   readonly cloudRps: number;
   /** How many sockets this controller may have open. */
   readonly sockets: number;
-  /** What is the same for all controllers. */
+  /** The settings that are the same for all controllers. */
   readonly clusterConfig: ClusterConfig;
 }
 
 /**
- * Checks the form of the platform's settings.
- * @throws SettingsError naming the first key that is wrong
+ * Checks the platform's settings against their schema.
+ * @throws SettingsError naming the first invalid key
  */
 export function checkPlatformFile(value: unknown): PlatformFile {
   return checkSettings(PlatformFile, value, 'settings');
@@ -89,7 +89,7 @@
 
 /**
  * Maps the platform's settings to the code's names.
- * @throws SettingsError if their times leave controllers no safe bound; see `checkAnswerBound`
+ * @throws SettingsError if the times of `facts.workers` leave no safe bound; see `checkAnswerBound`
  */
 export function platformSettingsOf(file: PlatformFile): PlatformSettings {
   const { facts } = file;
@@ -136,9 +136,9 @@
 }
 
 /**
- * Between the end of a worker's lease and the latest end of cancelled tasks an owner without the key-value store may
- * answer workers. If that is no longer than a heartbeat interval, owners would refuse healthy workers between two
- * reads.
+ * Checks how long an owner without contact to the key-value store may answer workers: from the end of a worker lease to
+ * the latest end of cancelled tasks. If that were no longer than a heartbeat interval, owners would refuse healthy
+ * workers between two reads of the store.
  */
 function checkAnswerBound(clusterConfig: ClusterConfig): void {
   if (maxAnswerContactAgeMs(clusterConfig) > clusterConfig.heartbeatIntervalMs) return;
@@ -148,7 +148,7 @@
   );
 }
 
-/** The classes of jobs that the platform's objectives name; null: they name none, so the classes are not known. */
+/** Returns the classes of jobs in the platform's objectives, or null if these name none: the classes are unknown. */
 export function knownClassesOf({ facts }: PlatformFile): ReadonlySet<string> | null {
   const names = (facts.objectives ?? []).flatMap((objective) => {
     const name: unknown = (objective as { readonly class?: unknown } | null)?.class;
--- a/packages/daemon/src/settings/settings-error.ts
+++ b/packages/daemon/src/settings/settings-error.ts
@@ -1,11 +1,11 @@
-// The error of settings that can't be used, and the check of a settings file against its schema.
+// The error for invalid settings, and the check of a settings file against its schema.
 import { type Static, type TSchema } from '@sinclair/typebox';
 import { Value } from '@sinclair/typebox/value';
 import { GingerlockError } from '@gingerlock/wire';
 
 /**
- * Settings that can't be used. The message names the file, the path of the key and what is wrong; the command exits
- * with 2.
+ * Settings that are invalid or can't be read. The message names the file, the path of the key and the reason; the
+ * command exits with status 2.
  */
 export class SettingsError extends GingerlockError {
   override readonly name = 'SettingsError';
@@ -13,9 +13,9 @@
 }
 
 /**
- * Returns the value with its type if it has the schema's form.
- * @param file what the file is called in messages
- * @throws SettingsError naming the first key that is wrong
+ * Returns the value with its type if it matches the schema.
+ * @param file name of the file in messages
+ * @throws SettingsError naming the first invalid key
  */
 export function checkSettings<T extends TSchema>(schema: T, value: unknown, file: string): Static<T> {
   if (Value.Check(schema, value)) return value;
--- a/packages/daemon/src/settings/settings-files.ts
+++ b/packages/daemon/src/settings/settings-files.ts
@@ -1,4 +1,4 @@
-// Reads the files that hold settings. What they say is checked elsewhere.
+// Reads and parses settings files. Their content is checked elsewhere.
 import { readFileSync } from 'node:fs';
 import { errorMessage } from '@gingerlock/wire';
 import { parse as parseYaml } from 'yaml';
@@ -6,14 +6,14 @@
 
 /**
  * Reads a JSON file.
- * @param file what the file is called in messages
+ * @param file name of the file in messages
  * @throws SettingsError if it can't be read or parsed
  */
 export function readJsonFile(path: string, file: string): unknown {
   return readAndParse(path, file, (text) => JSON.parse(text) as unknown);
 }
 
-/** Reads a YAML file, as `readJsonFile` does a JSON file. */
+/** Reads a YAML file; otherwise like `readJsonFile`. */
 export function readYamlFile(path: string, file: string): unknown {
   return readAndParse(path, file, (text) => parseYaml(text) as unknown);
 }
--- a/packages/daemon/src/settings/settings.ts
+++ b/packages/daemon/src/settings/settings.ts
@@ -1,4 +1,4 @@
-// All settings of a controller, put together from the files of the platform, the operators and the features.
+// All settings of a controller, combined from the files of the platform, the operators and the features.
 import { checkFeatures, type Features } from './features';
 import { type OperatorSettings, operatorSettingsOf } from './operator-settings';
 import { checkPlatformFile, knownClassesOf, type PlatformSettings, platformSettingsOf } from './platform-settings';
@@ -7,16 +7,16 @@
 export { OPERATOR_DEFAULTS, type OperatorSettings } from './operator-settings';
 export { SettingsError } from './settings-error';
 
-/** All settings of a controller. They stay the same while it runs. */
+/** All settings of a controller. They don't change while it runs. */
 export interface Settings extends PlatformSettings {
   readonly operators: OperatorSettings;
   readonly features: Features;
 }
 
 /**
- * Checks the contents of the three files and puts them together; null and undefined are an empty file, but for the
- * platform's.
- * @throws SettingsError naming the file, the key and what is wrong
+ * Checks and combines the contents of the three files. Null and undefined mean an empty file, except for the platform's
+ * file, which is required.
+ * @throws SettingsError naming the file, the key and the reason
  */
 export function settingsOf(platform: unknown, operators: unknown, features: unknown = {}): Settings {
   const platformFile = checkPlatformFile(platform);
@@ -28,19 +28,19 @@
   };
 }
 
-/** The files that hold settings; null: there is no such file. */
+/** Paths of the settings files; null if there is no such file. */
 export interface SettingsPaths {
-  /** JSON. */
+  /** JSON file. */
   readonly platform: string;
-  /** YAML. */
+  /** YAML file. */
   readonly operators: string | null;
-  /** YAML. */
+  /** YAML file. */
   readonly features: string | null;
 }
 
 /**
  * Reads and checks all settings.
- * @throws SettingsError naming the file, the key and what is wrong
+ * @throws SettingsError naming the file, the key and the reason
  */
 export function loadSettings(paths: SettingsPaths): Settings {
   const platform = readJsonFile(paths.platform, 'settings');
--- a/packages/daemon/test/borrowing-command.test.ts
+++ b/packages/daemon/test/borrowing-command.test.ts
@@ -1,4 +1,4 @@
-// `gingerlock borrowing`: what it prints of a log, and how it ends.
+// The output and the exit status of `gingerlock borrowing`.
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { Readable } from 'node:stream';
@@ -11,8 +11,8 @@
   return borrowingCommand(options, Readable.from(lines.map((line) => `${line}\n`)));
 }
 
-/** The log of all controllers on a day with a surge. */
-async function logOfADay(): Promise<string[]> {
+/** Runs a simulation with a surge and returns the log of all controllers. */
+async function logOfSurge(): Promise<string[]> {
   const lines: string[] = [];
   let clock = (): number => 0;
   const write = (detail: object, msg: string): void => {
@@ -40,8 +40,8 @@
   return lines;
 }
 
-test('accounts, reclaims and the reasons for none are shown as the daemon wrote them', async () => {
-  const log = await logOfADay();
+test('the command shows accounts, reclaims and refusals as the controllers logged them', async () => {
+  const log = await logOfSurge();
   const { status, out, error } = await run(['not JSON', '[1]', ...log]);
   assert.deepEqual([status, error], [0, '']);
   assert.match(
@@ -64,35 +64,35 @@
   assert.ok(report.refusals.every(({ team }) => team === 'red'));
 });
 
-test('lines in another order than their times give the same', async () => {
-  const log = await logOfADay();
-  // Lines of one moment have no order of their own: only whole moments are turned round.
+test('the order of the log lines does not change the result', async () => {
+  const log = await logOfSurge();
+  // Lines with equal times keep their order, since the later one counts. Only groups of equal times are reversed.
   const byTime = new Map<number, string[]>();
   for (const line of log) {
     const { time } = JSON.parse(line) as { time: number };
     byTime.set(time, [...(byTime.get(time) ?? []), line]);
   }
-  const turned = [...byTime.values()].reverse().flat();
-  const [straight, reversed] = [await run(log, { json: true }), await run(turned, { json: true })];
+  const reversedLog = [...byTime.values()].reverse().flat();
+  const [inOrder, reversed] = [await run(log, { json: true }), await run(reversedLog, { json: true })];
   const stateOf = ({ out }: CommandOutput): unknown => {
     const { reclaims, accounts } = JSON.parse(out) as BorrowingReport;
     const names = reclaims.map(({ reclaim, state }) => `${reclaim} ${state}`).sort();
     return [names, [...accounts].sort((a, b) => a.team.localeCompare(b.team))];
   };
-  assert.deepEqual(stateOf(reversed), stateOf(straight));
+  assert.deepEqual(stateOf(reversed), stateOf(inOrder));
 });
 
-/** Lines that one controller of version 6c8b998 wrote on such a day, and what that version's command printed of them. */
+/** Log of a controller of version 6c8b998 in such a simulation, and the output of that version's command for it. */
 const RECORDED_LOG = 'packages/daemon/test/borrowing-log-of-6c8b998.jsonl';
 const RECORDED_OUTPUT = 'packages/daemon/test/borrowing-log-of-6c8b998.expected.txt';
 
-test('a log that the version before wrote gives to the byte what that version printed of it', async () => {
+test('a log written by version 6c8b998 gives byte for byte the output of that version', async () => {
   const lines = readFileSync(RECORDED_LOG, 'utf8').trimEnd().split('\n');
   const expected = readFileSync(RECORDED_OUTPUT, 'utf8');
   assert.deepEqual(await run(lines), { status: 0, out: expected, error: '' });
   assert.deepEqual(await run([], { log: RECORDED_LOG }), { status: 0, out: expected, error: '' });
 
-  // Its lines on withdrawn reclaims name the reason.
+  // Lines of that version about withdrawn reclaims have the reason.
   const [reclaim, job, machine] = ['g/b/1/3-5', 'j-000007', 'm-000005'];
   const detail = { reclaim, job, machine, tasks: 1, reason: 'priority', why: 'its room was taken' };
   const withdrawn = { level: 30, time: 1764700023300, node: 'stall-0', ...detail, msg: 'reclaim withdrawn' };
@@ -100,7 +100,7 @@
   assert.deepEqual((JSON.parse(out) as BorrowingReport).reclaims.at(-1), { ...detail, state: 'withdrawn' });
 });
 
-test('a log without a line about borrowing, an unknown team and a file that is not there end with their status and one line', async () => {
+test('a log without borrowing, an unknown team and a missing file give a status and a one-line error', async () => {
   const account = JSON.stringify({ time: 5, msg: 'team account', team: 'red', guarantee: 4 });
   const cases: [Promise<CommandOutput>, number, RegExp][] = [
     [run(['{"msg":"serving"}']), 1, /^gingerlock: no line of the log is about borrowing.*\n$/],
--- a/packages/daemon/test/daemon.test.ts
+++ b/packages/daemon/test/daemon.test.ts
@@ -7,9 +7,9 @@
 import { SILENT } from '../src/controller/log';
 import { platform } from './platform';
 
-test('a setting that is missing or wrong is named with its path, and unknown ones are ignored', () => {
+test('errors name the path of a missing or invalid setting, and unknown platform settings are ignored', () => {
   assert.equal(settingsOf({ ...platform, more: 1 }, {}).clusterConfig.workerLeaseMs, 5000);
-  const walk = (value: unknown, path: string[]): void => {
+  const checkRequired = (value: unknown, path: string[]): void => {
     if (typeof value !== 'object' || value === null || Array.isArray(value)) return;
     for (const key of Object.keys(value)) {
       const copy = structuredClone(platform) as Record<string, unknown>;
@@ -22,16 +22,16 @@
         (e: Error) => e instanceof SettingsError && e.message.includes(name),
         name,
       );
-      walk((value as Record<string, unknown>)[key], [...path, key]);
+      checkRequired((value as Record<string, unknown>)[key], [...path, key]);
     }
   };
-  walk(platform, []);
+  checkRequired(platform, []);
   assert.throws(() => settingsOf(platform, { headrom: 1 }), /headrom/);
   assert.throws(() => settingsOf(platform, { headroom: -1 }), /headroom/);
   assert.equal(settingsOf(platform, { max_spot_machines: 3 }).operators.maxSpotMachines, 3);
 });
 
-test('HTTP: what can not be taken is answered at once with its status, and the server goes on', async () => {
+test('HTTP: invalid requests get their status at once, and the server keeps working', async () => {
   const world = new World({ seed: 3 });
   const node = world.nodes[0]!;
   await world.sim.run(4000);
@@ -50,7 +50,7 @@
   assert.equal((await app.inject({ method: 'GET', url: '/nowhere' })).statusCode, 404);
   const job = { ...world.randomJob(), id: 'j-000001' };
   const impossible = post('/submissions', encodeSubmission({ ...job, team: 'nobody' }));
-  // Its answer needs a read of the state service, in simulated time.
+  // The reply needs a read of the key-value store, which takes simulated time.
   for (let i = 0; i < 50; i++) await new Promise((resolve) => setImmediate(resolve));
   await world.sim.run(6000);
   assert.equal(await impossible, 422);
--- a/packages/daemon/test/docs.test.ts
+++ b/packages/daemon/test/docs.test.ts
@@ -1,5 +1,5 @@
-// Holds pages and sources against each other: the paths that pages name, the log lines that they list, and the names of the protocol, which
-// the code is to know at its edge alone.
+// Checks the documentation pages and the sources against each other: the paths in the pages, the list of log lines, and
+// the names of the protocol, which only the packages wire and peer may use.
 import assert from 'node:assert/strict';
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
 import { dirname, join } from 'node:path';
@@ -16,35 +16,35 @@
   type NameUse,
 } from './source-reader';
 
-// --- paths -------------------------------------------------------------------------------------------------------------
+// --- paths -----------------------------------------------------------------------------------------------------------
 
 const PAGES_WITH_PATHS = ['docs/architecture.md', 'CONTRIBUTING.md'];
 
-/** Files at the root, and what is below these directories. What a build makes, below `target`, is not there in a fresh clone. */
+/** Files at the root or below these directories, except build output in `target`, which a fresh clone does not have. */
 const PATH = /^(packages|docs|deploy|journal|\.ci)(\/[\w.*-]+)+\/?$|^[\w.-]+\.(md|mjs|json|ts|txt)$/;
 
 function pathsIn(text: string): string[] {
   return [...text.matchAll(/`([^`\n]+)`/g)].map(([, code]) => code!).filter((code) => PATH.test(code));
 }
 
-/** Whether there is such a file or directory; `*` stands for any one name. */
+/** Whether such a file or directory exists; `*` matches any one name. */
 function exists(path: string): boolean {
   const star = path.indexOf('*');
   if (star < 0) return existsSync(path);
   return readdirSync(path.slice(0, star)).some((name) => exists(path.slice(0, star) + name + path.slice(star + 1)));
 }
 
-test('every path that the architecture and the contributing page name exists', () => {
+test('every path in the architecture and contributing pages exists', () => {
   for (const page of PAGES_WITH_PATHS) {
     const paths = pathsIn(readFileSync(page, 'utf8'));
     assert.ok(paths.length >= 5, `${page} names paths`);
-    // The list of known failures is there only while there are any.
+    // The list of known failures exists only while there are any.
     const missing = paths.filter((path) => path !== 'KNOWN-RED.txt' && !exists(path));
     assert.deepEqual(missing, [], page);
   }
 });
 
-test('every link between pages leads to a file', () => {
+test('every link between pages points to an existing file', () => {
   const pages = ['README.md', 'CONTRIBUTING.md', ...readdirSync('docs').map((name) => `docs/${name}`)];
   for (const page of pages.filter((name) => name.endsWith('.md'))) {
     const targets = [...readFileSync(page, 'utf8').matchAll(/\]\(([^)\s#]+)(?:#[^)\s]*)?\)/g)].map(
@@ -55,12 +55,12 @@
   }
 });
 
-// --- log lines ---------------------------------------------------------------------------------------------------------
+// --- log lines -------------------------------------------------------------------------------------------------------
 
-/** All packages that a controller consists of. */
+/** The packages that make up a controller. */
 const CONTROLLER_PACKAGES = ['borrowing', 'clients', 'core', 'daemon', 'peer', 'replica-groups', 'wire'];
 
-/** `reclaim STATE` is written with the state that the owner has moved it to. */
+/** The states of the message `reclaim STATE`: the owner logs the new state of a reclaim. */
 const RECLAIM_STATES: Record<ReclaimState, true> = {
   decided: true,
   stopping: true,
@@ -69,17 +69,17 @@
   withdrawn: true,
 };
 
-/** The messages that templates come to, by what stands before the state. */
-const TEMPLATES: ReadonlyMap<string, readonly string[]> = new Map<string, readonly string[]>([
+/** The states that follow the text of a message template, by that text. */
+const STATES_BY_TEMPLATE: ReadonlyMap<string, readonly string[]> = new Map<string, readonly string[]>([
   ['reclaim ', Object.keys(RECLAIM_STATES)],
   ['group ', GROUP_STATES],
 ]);
 
-/** The messages of a template, or the one of a literal, as `LEVEL MESSAGE`. */
-function linesOf({ level, text, isTemplate, where }: LogMessage): string[] {
+/** All messages of a template, or the single message of a literal, as `LEVEL MESSAGE`. */
+function linesOf({ level, text, isTemplate, location }: LogMessage): string[] {
   if (!isTemplate) return [`${level} ${text}`];
-  const endings = TEMPLATES.get(text);
-  assert.ok(endings !== undefined, `${where}: the messages of this template have to be listed in the test`);
+  const endings = STATES_BY_TEMPLATE.get(text);
+  assert.ok(endings !== undefined, `${location}: the test must list the states of this template`);
   return endings.map((ending) => `${level} ${text}${ending}`);
 }
 
@@ -95,9 +95,9 @@
   return lines;
 }
 
-test('docs/log-lines.md lists every log line that the code writes, at its level, and no other', () => {
+test('docs/log-lines.md lists exactly the log lines that the code writes, with their levels', () => {
   const messages = logMessagesOf(readSources(...CONTROLLER_PACKAGES));
-  for (const prefix of TEMPLATES.keys())
+  for (const prefix of STATES_BY_TEMPLATE.keys())
     assert.ok(
       messages.some(({ text, isTemplate }) => isTemplate && text === prefix),
       `no template begins with ${prefix}`,
@@ -107,16 +107,16 @@
   assert.deepEqual([...documented].sort(), [...new Set(messages.flatMap(linesOf))].sort());
 });
 
-// --- names of the protocol ---------------------------------------------------------------------------------------------
+// --- names of the protocol -------------------------------------------------------------------------------------------
 
-/** Fields of the protocol that are in no schema but written or read by name. */
+/** Fields of the protocol that the code reads or writes by name and that are in no schema. */
 const OTHER_FIELDS = ['foreman', 'sku', 'yards', 'low_price', 'fetch_gb_per_s', 'ready_s', 'cache_gb'];
 
 interface Exception {
   readonly names: readonly string[];
-  /** Where they may be used; left out: everywhere. */
+  /** The packages that may use them; undefined means all packages. */
   readonly packageNames?: readonly string[];
-  /** They may only name a method that is called. */
+  /** They may be used only as the name of a called method. */
   readonly methodCallsOnly?: boolean;
   readonly reason: string;
 }
@@ -142,11 +142,11 @@
   },
   {
     names: ['awaits'],
-    reason: "the code's own name for the jobs that a job depends on is the same",
+    reason: 'the code has the same name for the dependencies of a job',
   },
   {
     names: ['generation', 'members', 'rank'],
-    reason: "fields of our own messages of replica groups; they are the field's terms (rendezvous) in the code too",
+    reason: "fields of gingerlock's own replica group messages; the code uses the same terms",
   },
   { names: ['shift'], methodCallsOnly: true, reason: 'the method of arrays; the field is `agentEpoch` in the code' },
   {
@@ -162,7 +162,7 @@
   {
     names: ['shape'],
     packageNames: ['core'],
-    reason: 'what tasks that are alike ask for; the field is `kind` in the code',
+    reason: 'the request that alike tasks share; the field is `kind` in the code',
   },
   {
     names: ['parts'],
@@ -186,14 +186,14 @@
   );
 }
 
-test('the names of the protocol are used in wire and peer alone', () => {
+test('only wire and peer use the names of the protocol', () => {
   const wire = readSources('wire');
   for (const field of OTHER_FIELDS)
     assert.ok(
       wire.some(({ tree }) => new RegExp(`\\b${field}\\b`).test(tree.text)),
       `wire does not know ${field}`,
     );
-  // One or two letters say nothing: those are keys of stored records.
+  // Names of one or two letters are keys of stored records and too short to search for.
   const fields = new Set([...schemaFieldsOf(wire), ...OTHER_FIELDS].filter((name) => name.length > 2));
   for (const name of ['rig', 'parcel', 'baton', 'shift', 'tally', 'breed', 'yard', 'crew'])
     assert.ok(fields.has(name), `${name} is found in the schemas`);
@@ -202,7 +202,7 @@
   const others = readSources().filter(({ packageName }) => packageName !== 'wire' && packageName !== 'peer');
   const found = namesUsedIn(others).filter((use) => fields.has(use.name) && !isExcepted(use));
   assert.deepEqual(
-    found.map(({ name, where }) => `${name} at ${where}`),
+    found.map(({ name, location }) => `${name} at ${location}`),
     [],
   );
 });
--- a/packages/daemon/test/features.test.ts
+++ b/packages/daemon/test/features.test.ts
@@ -1,4 +1,4 @@
-// The file of features: off by default, and whatever is wrong in it ends the start with its path and exit code 2.
+// The features file: features are off by default, and an invalid file ends the start with the key's path and status 2.
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
@@ -6,7 +6,7 @@
 import { SettingsError, settingsOf } from '../src/settings/settings';
 import { platform } from './platform';
 
-test('borrowing is off unless its file says otherwise', () => {
+test('borrowing is off unless the features file enables it', () => {
   for (const file of [
     undefined,
     null,
@@ -20,12 +20,12 @@
   });
 });
 
-test('the file that stands under deploy/ is one that can be used', () => {
+test('deploy/features.yaml is valid', () => {
   const file: unknown = parse(readFileSync('deploy/features.yaml', 'utf8'));
   assert.deepEqual(settingsOf(platform, {}, file).features.borrowing, { maxShare: 0.25 });
 });
 
-test('unknown features and keys and wrong values are refused with their path', () => {
+test('errors name the path of unknown features, unknown keys and invalid values', () => {
   const wrong: [unknown, RegExp][] = [
     [{ lending: { enabled: true } }, /lending/],
     [{ borrowing: {} }, /borrowing\.enabled/],
@@ -47,7 +47,7 @@
   }
 });
 
-test('teams that borrowing can not work with are refused only where it is on', () => {
+test('team settings that borrowing does not support are refused only if borrowing is on', () => {
   const team = { name: 'red', cpus: 0, cpus_max: 0, gpus: 4, gpus_max: 8 };
   const withTeams = (teams: unknown[]): unknown => ({ ...platform, facts: { ...platform.facts, teams } });
   const wrong: [unknown[], RegExp][] = [
@@ -65,7 +65,7 @@
   assert.doesNotThrow(() => settingsOf(withTeams([{ ...team, gpus: 2.5 }]), {}, { borrowing: { enabled: true } }));
 });
 
-test('replica groups are off unless their file says otherwise, and their classes are checked', () => {
+test('replica groups are off unless the features file enables them, and their classes are checked', () => {
   const groups = { enabled: true, classes: ['main', 'mid'] };
   assert.equal(settingsOf(platform, {}, {}).features.replicaGroups, null);
   assert.equal(
@@ -76,7 +76,7 @@
   assert.deepEqual([...on.classes], ['main', 'mid']);
   assert.equal(on.backoffReports, 2);
   const objectives = [{ kind: 'wait', class: 'main', within_s: 6, share: 0.8 }, { kind: 'guarantee' }];
-  const listing = { ...platform, facts: { ...platform.facts, objectives } };
+  const platformWithObjectives = { ...platform, facts: { ...platform.facts, objectives } };
   const wrong: [unknown, unknown, RegExp][] = [
     [platform, { ...groups, classes: ['main', 'main'] }, /replica_groups\.classes\.1/],
     [platform, { ...groups, classes: [] }, /replica_groups\.classes/],
@@ -84,7 +84,7 @@
     [platform, { ...groups, members: 3 }, /replica_groups\.members/],
     [platform, { ...groups, serve_lease_share: 0 }, /replica_groups\.serve_lease_share/],
     [platform, { ...groups, hold_reports: '8' }, /replica_groups\.hold_reports/],
-    [listing, groups, /replica_groups\.classes\.1.*no class mid/],
+    [platformWithObjectives, groups, /replica_groups\.classes\.1.*no class mid/],
   ];
   for (const [settings, file, path] of wrong) {
     assert.throws(
@@ -93,5 +93,7 @@
       JSON.stringify(file),
     );
   }
-  assert.doesNotThrow(() => settingsOf(listing, {}, { replica_groups: { ...groups, classes: ['main'] } }));
+  assert.doesNotThrow(() =>
+    settingsOf(platformWithObjectives, {}, { replica_groups: { ...groups, classes: ['main'] } }),
+  );
 });
--- a/packages/daemon/test/platform.ts
+++ b/packages/daemon/test/platform.ts
@@ -1,4 +1,4 @@
-/** The platform's settings, as small as they come. */
+/** Minimal valid settings of the platform. */
 export const platform = {
   node: 'n0',
   area: 'a',
--- a/packages/daemon/test/source-reader.ts
+++ b/packages/daemon/test/source-reader.ts
@@ -1,21 +1,22 @@
-// Reads the sources of the packages with the compiler's parser, for tests that hold pages and sources against each other. Tests run from the
-// root of the repository.
+// Reads the sources of the packages with the compiler's parser, for tests that check sources against documentation
+// pages. Tests run from the root of the repository.
 import { readdirSync, readFileSync } from 'node:fs';
 import { createRequire } from 'node:module';
 import { join, sep } from 'node:path';
 import type ts from 'typescript';
 
-// Loaded at run time: the bundle of the tests need not contain a compiler.
+// Loaded at run time, so that the bundle of the tests does not contain the compiler.
 const compiler = createRequire(join(process.cwd(), 'package.json'))('typescript') as typeof ts;
 
+/** A parsed module. */
 export interface Source {
-  /** From the root, with slashes. */
+  /** Path relative to the root, with slashes. */
   readonly path: string;
   readonly packageName: string;
   readonly tree: ts.SourceFile;
 }
 
-/** All modules below `src` of the packages; no names: of all packages. */
+/** Parses all modules below `src` of the packages; without names, of all packages. */
 export function readSources(...packageNames: string[]): Source[] {
   const names = packageNames.length > 0 ? packageNames : readdirSync('packages');
   return names.flatMap((packageName) =>
@@ -40,17 +41,18 @@
   for (const child of children) yield* nodesOf(child);
 }
 
-// --- log lines ---------------------------------------------------------------------------------------------------------
+// --- log lines -------------------------------------------------------------------------------------------------------
 
+/** Level of a log line. */
 export type LogLevel = 'error' | 'info' | 'debug';
 
-/** A message as the code writes it. */
+/** A message of a log line in the sources. */
 export interface LogMessage {
   readonly level: LogLevel;
-  /** The text; of a template what stands before its first substitution. */
+  /** The text; for a template, the part before its first substitution. */
   readonly text: string;
   readonly isTemplate: boolean;
-  readonly where: string;
+  readonly location: string;
 }
 
 interface LogFunction {
@@ -65,14 +67,14 @@
   debug: { level: 'debug', messageIndex: 1 },
 };
 
-/** Functions that are handed down to modules which do not know the log, and what they come to. */
+/** Callbacks that are passed to modules without access to the log, with the level at which they log. */
 const LOG_CALLBACKS: Readonly<Record<string, LogFunction>> = {
   log: { level: 'debug', messageIndex: 0 },
   alarm: { level: 'error', messageIndex: 0 },
   logOnce: { level: 'error', messageIndex: 2 },
 };
 
-/** The function of the log that a call is of; null: of none. */
+/** Returns the log function that is called, or null if the call is not to one. */
 function logFunctionOf({ expression }: ts.CallExpression): LogFunction | null {
   const name = compiler.isPropertyAccessExpression(expression) ? expression.name.text : expression.getText();
   const plainName = name.replace(/^#/, '');
@@ -82,43 +84,43 @@
   return isOfLog && Object.hasOwn(LOG_METHODS, plainName) ? LOG_METHODS[plainName]! : null;
 }
 
-/** The messages that an expression may come to. Throws on one that is neither written out nor a parameter `message`. */
-function messagesOf(expression: ts.Expression, level: LogLevel, where: string): LogMessage[] {
-  if (compiler.isStringLiteralLike(expression)) return [{ level, text: expression.text, isTemplate: false, where }];
+/** Returns the possible messages of an expression. Throws if it is neither literal text nor the parameter `message`. */
+function messagesOf(expression: ts.Expression, level: LogLevel, location: string): LogMessage[] {
+  if (compiler.isStringLiteralLike(expression)) return [{ level, text: expression.text, isTemplate: false, location }];
   if (compiler.isTemplateExpression(expression))
-    return [{ level, text: expression.head.text, isTemplate: true, where }];
+    return [{ level, text: expression.head.text, isTemplate: true, location }];
   if (compiler.isConditionalExpression(expression))
-    return [expression.whenTrue, expression.whenFalse].flatMap((branch) => messagesOf(branch, level, where));
+    return [expression.whenTrue, expression.whenFalse].flatMap((branch) => messagesOf(branch, level, location));
   if (compiler.isIdentifier(expression) && expression.text === 'message') return [];
-  throw new Error(`${where}: the message of a log line has to be written out: ${expression.getText()}`);
+  throw new Error(`${location}: the message of a log line must be a literal: ${expression.getText()}`);
 }
 
-/** All messages that the modules log, also those that are kept as `{ detail, message }` until they may be logged. */
+/** Returns all messages that the modules log, including those stored as `{ detail, message }` to be logged later. */
 export function logMessagesOf(sources: readonly Source[]): LogMessage[] {
   const messages: LogMessage[] = [];
   for (const { path, tree } of sources) {
     for (const node of nodesOf(tree)) {
-      const where = `${path}:${tree.getLineAndCharacterOfPosition(node.getStart()).line + 1}`;
+      const location = `${path}:${tree.getLineAndCharacterOfPosition(node.getStart()).line + 1}`;
       if (compiler.isCallExpression(node)) {
         const called = logFunctionOf(node);
         const message = called === null ? undefined : node.arguments[called.messageIndex];
-        if (called !== null && message !== undefined) messages.push(...messagesOf(message, called.level, where));
-      } else if (isKeptMessage(node)) {
-        messages.push(...messagesOf(node.initializer, 'info', where));
+        if (called !== null && message !== undefined) messages.push(...messagesOf(message, called.level, location));
+      } else if (isDeferredMessage(node)) {
+        messages.push(...messagesOf(node.initializer, 'info', location));
       }
     }
   }
   return messages;
 }
 
-function isKeptMessage(node: ts.Node): node is ts.PropertyAssignment {
+function isDeferredMessage(node: ts.Node): node is ts.PropertyAssignment {
   if (!compiler.isPropertyAssignment(node) || node.name.getText() !== 'message') return false;
   return node.parent.properties.some((property) => property.name?.getText() === 'detail');
 }
 
-// --- names -------------------------------------------------------------------------------------------------------------
+// --- names -----------------------------------------------------------------------------------------------------------
 
-/** The field names in the schemas of messages: the keys of what is handed to `Type.Object`. */
+/** Returns the field names in the schemas of messages: the keys of the arguments of `Type.Object`. */
 export function schemaFieldsOf(sources: readonly Source[]): Set<string> {
   const fields = new Set<string>();
   for (const { tree } of sources) {
@@ -136,23 +138,24 @@
   return compiler.isComputedPropertyName(name) ? name.getText() : name.text;
 }
 
+/** One use of a name in the sources. */
 export interface NameUse {
   readonly name: string;
-  /** It names a method that is called here, as in `queue.shift()`. */
+  /** Whether the name is that of a called method, as in `queue.shift()`. */
   readonly isMethodCall: boolean;
   readonly packageName: string;
-  readonly where: string;
+  readonly location: string;
 }
 
-/** Every identifier, and every property that is named by a string. Comments and other strings do not count. */
+/** Returns every identifier and every string that names a property. Comments and other strings do not count. */
 export function namesUsedIn(sources: readonly Source[]): NameUse[] {
   const uses: NameUse[] = [];
   for (const { path, packageName, tree } of sources) {
     for (const node of nodesOf(tree)) {
       const isName = compiler.isIdentifier(node) || compiler.isPrivateIdentifier(node);
       if (!isName && !isNamingString(node)) continue;
-      const where = `${path}:${tree.getLineAndCharacterOfPosition(node.getStart()).line + 1}`;
-      uses.push({ name: node.text.replace(/^#/, ''), isMethodCall: isCalledMethod(node), packageName, where });
+      const location = `${path}:${tree.getLineAndCharacterOfPosition(node.getStart()).line + 1}`;
+      uses.push({ name: node.text.replace(/^#/, ''), isMethodCall: isCalledMethod(node), packageName, location });
     }
   }
   return uses;
