--- a/packages/clients/src/key-value-store.ts
+++ b/packages/clients/src/key-value-store.ts
@@ -33,7 +33,7 @@
   | { readonly kind: 'conflict'; readonly revision: number }
   /** The transaction was not executed: the lease that it names does not exist any more. */
   | { readonly kind: 'no lease' }
-  /** The transaction was not executed and must not be repeated: it is malformed or exceeds a limit. */
+  /** The transaction was not executed and would be rejected again: it is malformed or exceeds a limit. */
   | { readonly kind: 'invalid' }
   /** The transaction was not executed, as it was refused or never sent. It may be sent again. */
   | { readonly kind: 'refused'; readonly why: string }
--- a/packages/clients/src/watch-cache.ts
+++ b/packages/clients/src/watch-cache.ts
@@ -168,7 +168,7 @@
   }
 
   #applyEvents({ events, revision }: { readonly events: readonly StateEvent[]; readonly revision: number }): void {
-    // The protocol guarantees no order: if a removal came before the change it follows, the key would reappear.
+    // The protocol guarantees no order: if the removal of a key came before an older change, the key would reappear.
     const inOrder = [...events].sort((a, b) => a.version - b.version);
     for (const { key, value, version } of inOrder) this.#apply(key, value, version);
     this.revision = Math.max(this.revision, revision);
--- a/packages/clients/test/key-value-store.test.ts
+++ b/packages/clients/test/key-value-store.test.ts
@@ -192,7 +192,7 @@
   watchCache.stop();
 });
 
-// The store may return events in any order. An event that is older than a removal and follows it must not undo it.
+// The store may return events in any order. A removal must not be undone by an older event that comes after it.
 test('events in any order leave each key at its latest change', async () => {
   const sim = new Sim(6);
   const service = new SimStateService(sim);
