--- a/packages/testkit/src/audits/audited-world.ts
+++ b/packages/testkit/src/audits/audited-world.ts
@@ -1,4 +1,4 @@
-// What audits see of a deployment, whether it is simulated or on loopback. Each audit adds what it alone needs.
+// The view that audits have of a deployment, simulated or on loopback. Each audit extends it by what it alone needs.
 import type { Controller } from '@gingerlock/daemon';
 import type { JobSpec } from '@gingerlock/wire';
 import type { Scheduler } from '../simulation/sim';
@@ -6,26 +6,26 @@
 import type { SimWorker } from '../standins/worker';
 import type { Invariant } from './invariants';
 
-/** A deployment that is audited. */
+/** A deployment under audit. */
 export interface AuditedWorld {
   readonly sim: Scheduler;
   readonly state: SimStateService;
-  /** By name of the machine. */
+  /** By machine name. */
   readonly workers: ReadonlyMap<string, SimWorker>;
   readonly heartbeatIntervalMs: number;
-  /** How long tasks may go on after their user got the answer that the job is cancelled. */
+  /** How long tasks may keep running after the user received the answer that the job is cancelled. */
   readonly cancellationBoundMs: number;
-  /** The job of this id, if any user has submitted it. */
+  /** The job with this id; undefined if no user has submitted it. */
   job(id: string): JobSpec | undefined;
-  /** Notes that something happened, so that a test can show that its scenario brought it about. */
+  /** Counts an occurrence, so that a test can check that its scenario caused it. */
   recordOccurrence(what: string): void;
   reportViolation(rule: Invariant, detail: string): void;
 }
 
-/** One whose controllers and tasks can be looked into. */
+/** An audited deployment whose controllers and running tasks can be inspected. */
 export interface InspectableWorld extends AuditedWorld {
-  /** The controllers; null where the process does not run. */
+  /** All controllers; `controller` is null while the process is not running. */
   readonly nodes: readonly { readonly name: string; readonly controller: Controller | null }[];
-  /** The tasks that are on machines, with their machines. */
+  /** The machine of each running task, by task name. */
   runningTasks(): ReadonlyMap<string, string>;
 }
--- a/packages/testkit/src/audits/borrowing-audit.ts
+++ b/packages/testkit/src/audits/borrowing-audit.ts
@@ -1,14 +1,14 @@
-// Checks reclaims of GPUs against what really runs, from the moment at which each is stored to its end.
+// Checks each reclaim of GPUs against the tasks that actually run, from when it is stored until it is deleted.
 import { PRIORITIES, parseTaskName, type ReclaimRecord, reclaimRecord } from '@gingerlock/wire';
 import { ABANDONED_BOUNDS } from '@gingerlock/borrowing';
 import type { AuditedWorld } from './audited-world';
 import type { ObservedStatus } from '../standins/users';
 
-/** What is audited of a deployment, simulated or on loopback. */
+/** The parts of a deployment that the borrowing audit reads. */
 export interface BorrowingAuditedWorld extends AuditedWorld {
   readonly users: {
     readonly observedByJob: ReadonlyMap<string, ObservedStatus>;
-    /** Whether the job's user got the answer that it is cancelled. */
+    /** Whether the job's user received the answer that the job is cancelled. */
     isCancelled(observed: ObservedStatus): boolean;
   };
   readonly longestSaveMs: number;
@@ -20,16 +20,13 @@
 /** The prefix of the keys under which reclaims are stored. */
 export const RECLAIM_PREFIX = 'g/b/';
 
-/** The leader's view of what runs may be as old as this many heartbeat intervals. */
-const VIEW_INTERVALS = 3;
+/** The maximum age of the leader's view of running tasks, in heartbeat intervals. */
+const LEADER_VIEW_INTERVALS = 3;
 
-/**
- * Once all faults are over, a reclaim may outlast its bound by this many heartbeat intervals, for a new leader to see
- * it.
- */
+/** How far a reclaim may exceed its bound after all faults, in heartbeat intervals: a new leader must first read it. */
 const SLACK_INTERVALS = 20;
 
-/** GPUs that each team used at a moment. */
+/** The GPUs that each team used at one time. */
 interface Sample {
   readonly at: number;
   readonly use: ReadonlyMap<string, number>;
@@ -37,19 +34,19 @@
 
 /** Audits reclaims. */
 export class BorrowingAudit {
-  /** By key: the reclaims that are stored now, and since when. */
+  /** The reclaims that are stored now, and since when, by key. */
   readonly stored = new Map<string, { readonly record: ReclaimRecord; readonly since: number }>();
-  /** How often each task was named as a victim. */
+  /** How often each task was chosen as a victim, by task name. */
   readonly stops = new Map<string, number>();
-  /** How many reclaims there have been. */
+  /** The number of reclaims so far. */
   decided = 0;
   #samples: Sample[] = [];
 
   constructor(readonly world: BorrowingAuditedWorld) {}
 
   /**
-   * GPUs that each team's tasks hold now, those that fetch their images included, for jobs that are not known to be
-   * cancelled.
+   * The GPUs that each team's tasks hold now, including tasks that are fetching their images. Excludes jobs whose users
+   * know that they are cancelled.
    */
   useNow(): Map<string, number> {
     const use = new Map<string, number>();
@@ -64,17 +61,17 @@
     return use;
   }
 
-  /** Checks all reclaims and takes a sample of what teams use; to be called periodically. */
+  /** Samples the GPU use of all teams and checks all reclaims. Called periodically. */
   audit(quietAt: number): void {
     const { now } = this.world.sim;
-    const before = now - this.world.heartbeatIntervalMs * VIEW_INTERVALS;
-    this.#samples = this.#samples.filter((sample) => sample.at >= before);
+    const oldestAt = now - this.world.heartbeatIntervalMs * LEADER_VIEW_INTERVALS;
+    this.#samples = this.#samples.filter((sample) => sample.at >= oldestAt);
     this.#samples.push({ at: now, use: this.useNow() });
-    this.#watchStored(now);
+    this.#updateStored(now);
     this.#checkEnds(now, quietAt);
   }
 
-  #watchStored(now: number): void {
+  #updateStored(now: number): void {
     const { data } = this.world.state;
     for (const key of this.stored.keys()) if (!data.has(key)) this.stored.delete(key);
     for (const [key, { value }] of data) {
@@ -90,13 +87,13 @@
     this.world.recordOccurrence('reclaim');
     this.world.recordOccurrence(`reclaim by ${record.reason}`);
     for (const { task: taskName } of record.victims) this.stops.set(taskName, (this.stops.get(taskName) ?? 0) + 1);
-    this.#checkPromisedOnce(key, record);
+    this.#checkConflicts(key, record);
     this.#checkPriorities(key, record);
     this.#checkGuarantees(key, record);
   }
 
-  /** One reclaim at a time for each machine and each task that it is for. */
-  #checkPromisedOnce(key: string, { machine, job, tasks }: ReclaimRecord): void {
+  /** Checks that no other stored reclaim is on the same machine or for the same task. */
+  #checkConflicts(key: string, { machine, job, tasks }: ReclaimRecord): void {
     for (const [other, { record }] of this.stored) {
       if (other === key) continue;
       const isSameTask = record.job === job && record.tasks.some((taskIndex) => tasks.includes(taskIndex));
@@ -115,14 +112,17 @@
       if (isReplica && (victim.priority === 'production' || isHigher))
         this.world.reportViolation('replica_reclaimed', `${key}: ${taskName}`);
       if (victimPriority <= rank && victim.team === beneficiary.team)
-        this.world.reportViolation('replica_reclaimed', `${key}: ${taskName} is as urgent and of the same team`);
+        this.world.reportViolation(
+          'replica_reclaimed',
+          `${key}: ${taskName} has no lower priority and is of the same team`,
+        );
     }
   }
 
   /**
-   * No team falls below its guarantee, or what it has work for, by all that is being stopped of it for others. What
-   * it used at any time that the leader may still have seen counts: tasks that end by themselves meanwhile are not
-   * the reclaim's doing.
+   * Checks that stopping all current victims leaves each team its guarantee, or all that it used if that is less. Use
+   * is the team's peak within the maximum age of the leader's view, so that tasks that ended by themselves in the
+   * meantime are not blamed on the reclaim.
    */
   #checkGuarantees(key: string, added: ReclaimRecord): void {
     const guarantee = this.world.guaranteedGpus;
@@ -132,15 +132,15 @@
     );
     for (const team of teams) {
       if (team === beneficiary || team === this.world.guestTeam) continue;
-      const most = Math.max(...this.#samples.map(({ use }) => use.get(team) ?? 0));
-      const left = most - this.#stoppedOf(team);
-      if (left < Math.min(guarantee, most) - 1e-9)
-        this.world.reportViolation('below_guarantee', `${key}: ${team} is left ${left} of ${most}`);
+      const peak = Math.max(...this.#samples.map(({ use }) => use.get(team) ?? 0));
+      const remaining = peak - this.#gpusBeingStopped(team);
+      if (remaining < Math.min(guarantee, peak) - 1e-9)
+        this.world.reportViolation('below_guarantee', `${key}: ${team} keeps ${remaining} of ${peak} GPUs`);
     }
   }
 
-  /** GPUs of the team's tasks that are named as victims and still hold something. */
-  #stoppedOf(team: string): number {
+  /** The GPUs held by those tasks of the team that are victims of a stored reclaim and have not exited. */
+  #gpusBeingStopped(team: string): number {
     let gpus = 0;
     for (const { record } of this.stored.values()) {
       const held = this.world.workers.get(record.machine)?.tasks;
@@ -153,7 +153,7 @@
     return gpus;
   }
 
-  /** Once all faults are over, no reclaim stays for longer than a leader lets it. */
+  /** Checks that, once all faults are over, no reclaim stays stored past its bound. */
   #checkEnds(now: number, quietAt: number): void {
     const { cancellationBoundMs, heartbeatIntervalMs } = this.world;
     const boundMs =
--- a/packages/testkit/src/audits/group-audit.ts
+++ b/packages/testkit/src/audits/group-audit.ts
@@ -1,38 +1,38 @@
-// Checks replica groups against what really runs: their records as they are stored, every start, and what owners keep
-// room for.
+// Checks replica groups against the tasks that actually run: each stored record, each start of a member, and the
+// reservations of the owners.
 import type { PartitionOwner } from '@gingerlock/daemon';
 import { GROUP_TRANSITIONS } from '@gingerlock/replica-groups';
 import { type GroupRecord, groupRecord, KEYS, ownerRecord, parseKey, parseTaskName, taskName } from '@gingerlock/wire';
 import type { ObservedStatus } from '../standins/users';
 import type { InspectableWorld } from './audited-world';
 
-/** What is audited of a deployment. */
+/** The parts of a deployment that the group audit reads. */
 export interface GroupAuditedWorld extends InspectableWorld {
-  /** How long a group may be on its way from one state to the next. */
+  /** How long a group may take from one state to the next. */
   readonly groupBoundMs: number;
   readonly users: { open(): readonly ObservedStatus[] };
   /** Whether the tasks of the job are the members of a replica group. */
   isGroup(job: string): boolean;
-  /** How many tasks of the job are on machines. */
+  /** The number of running tasks of the job. */
   tasksOn(job: string): number;
 }
 
-/** An owner that reads the state service acts on a change after so many heartbeat intervals. */
-const READ_INTERVALS = 3;
+/** An owner in contact with the state service acts on a change within this many heartbeat intervals. */
+const OWNER_REACTION_INTERVALS = 3;
 
 /**
- * Once all faults are over, a group may be between two states for so many times `cancel_s`, beside what its times
- * allow.
+ * How much longer than `groupBoundMs` a group may stay between two states once all faults are over, as a multiple of
+ * `cancel_s`.
  */
-const ON_THE_WAY_CANCELS = 2;
+const TRANSITION_CANCELS = 2;
 
-interface SeenRecord {
+interface StoredRecord {
   readonly record: GroupRecord;
   readonly version: number;
   readonly at: number;
 }
 
-/** For how long a group had some members up, and all of them, in milliseconds. */
+/** How long some but not all members of a group were running, and how long all were, in milliseconds. */
 export interface GroupUptime {
   partialMs: number;
   wholeMs: number;
@@ -40,22 +40,22 @@
 
 /** Audits replica groups. */
 export class GroupAudit {
-  /** By job: the record that is stored now, and since when. */
-  readonly seen = new Map<string, SeenRecord>();
-  /** By task: the last generation in which it was started. */
-  readonly #startedIn = new Map<string, number>();
-  /** By task and attempt: the generation in which it was started. */
-  readonly #generationOf = new Map<string, number>();
+  /** The newest stored record of each group, and when it was stored, by job. */
+  readonly seen = new Map<string, StoredRecord>();
+  /** The last generation in which each task was started, by task name. */
+  readonly #lastGenerationByTask = new Map<string, number>();
+  /** The generation in which each attempt was started, by task name and attempt. */
+  readonly #generationByAttempt = new Map<string, number>();
   /** By job. */
   readonly uptime = new Map<string, GroupUptime>();
-  /** By state: how often groups came to it. */
+  /** How often groups entered each state. */
   readonly moves = new Map<string, number>();
   #auditedAt = 0;
   readonly #reported = new Set<string>();
 
   constructor(readonly world: GroupAuditedWorld) {}
 
-  /** A record was stored. */
+  /** Checks the record that was just stored under the key, if it is that of a group. */
   stored(key: string): void {
     const parsed = parseKey(key);
     if (parsed.kind !== 'group') return;
@@ -64,33 +64,34 @@
     const before = this.seen.get(parsed.job)?.record;
     this.seen.set(parsed.job, { record, version, at: this.world.sim.now });
     this.moves.set(record.state, (this.moves.get(record.state) ?? 0) + 1);
-    this.#checkMove(parsed.job, before, record);
-    if (record.state === 'admitted') this.#checkHeld(parsed.job, record);
+    this.#checkTransition(parsed.job, before, record);
+    if (record.state === 'admitted') this.#checkAdmitted(parsed.job, record);
   }
 
-  #checkMove(job: string, before: GroupRecord | undefined, { state, generation }: GroupRecord): void {
+  #checkTransition(job: string, before: GroupRecord | undefined, { state, generation }: GroupRecord): void {
     const from = before?.state ?? 'waiting';
     const expected = (before?.generation ?? 0) + (state === 'reserved' ? 1 : 0);
     if (GROUP_TRANSITIONS[from].includes(state) && generation === expected) return;
     this.world.reportViolation(
       'group_moved',
-      `${job}: ${from} of ${before?.generation ?? 0} to ${state} of ${generation}`,
+      `${job}: ${from} in generation ${before?.generation ?? 0} to ${state} in generation ${generation}`,
     );
   }
 
-  /** The resources of all members are reserved as the record says, by the owners that have the partitions then. */
-  #checkHeld(job: string, { members, generation }: GroupRecord): void {
+  /** Checks that the current owners have reserved the resources of all members as the record says. */
+  #checkAdmitted(job: string, { members, generation }: GroupRecord): void {
     for (const [rank, { partitionId, machine }] of members.entries()) {
       const owner = this.#ownerOf(partitionId);
       const task = owner?.claimTable.tasksByJob.get(job)?.get(rank);
       if (owner === undefined || task === undefined || task.job.isCancelled) continue;
-      const isHeld =
+      const isReserved =
         owner.claimTable.reservations.reservedMachineFor(task.name) === machine && task.startedIn !== generation;
-      if (!isHeld) this.world.reportViolation('member_unheld', `${task.name} is admitted and not kept on ${machine}`);
+      if (!isReserved)
+        this.world.reportViolation('member_unheld', `${task.name} is admitted without a reservation on ${machine}`);
     }
   }
 
-  /** The owner that the state service names, if its process is there. */
+  /** The partition's owner according to the state service; undefined if its process is not running. */
   #ownerOf(partitionId: number): PartitionOwner | undefined {
     const { nodes, state } = this.world;
     const entry = state.data.get(KEYS.owner(String(partitionId)));
@@ -100,7 +101,7 @@
     return controller?.owned().find((owner) => owner.partitionId === partitionId && owner.ownershipTerm.term === term);
   }
 
-  /** A start command that was not known yet has come to a worker. */
+  /** Checks a new start command that has reached a worker. */
   started(taskName: string, attempt: number, machine: string): void {
     const { job, index } = parseTaskName(taskName)!;
     const { world } = this;
@@ -110,35 +111,35 @@
     if (!isAdmitted || record.members[index]?.machine !== machine) {
       world.reportViolation(
         'member_unheld',
-        `${taskName} starts on ${machine} while its group is ${record?.state ?? 'not placed'}`,
+        `${taskName} starts on ${machine} while its group is ${record?.state ?? 'without a record'}`,
       );
       return;
     }
     const { generation } = record;
-    if (this.#startedIn.get(taskName) === generation)
-      world.reportViolation('member_restarted', `${taskName} twice in generation ${generation}`);
-    this.#startedIn.set(taskName, generation);
-    this.#generationOf.set(`${taskName} ${attempt}`, generation);
+    if (this.#lastGenerationByTask.get(taskName) === generation)
+      world.reportViolation('member_restarted', `${taskName} started twice in generation ${generation}`);
+    this.#lastGenerationByTask.set(taskName, generation);
+    this.#generationByAttempt.set(`${taskName} ${attempt}`, generation);
   }
 
-  /** Checks what only time can show, and counts up-time; to be called periodically. */
+  /** Checks running members, reservations and progress, and counts uptime. Called periodically. */
   audit(quietAt: number): void {
     const { now } = this.world.sim;
-    const sinceMs = now - this.#auditedAt;
+    const elapsedMs = now - this.#auditedAt;
     this.#auditedAt = now;
-    this.#checkRuns(sinceMs);
+    this.#checkGenerations(elapsedMs);
     for (const { controller } of this.world.nodes)
-      for (const owner of controller?.owned() ?? []) this.#checkKept(owner);
+      for (const owner of controller?.owned() ?? []) this.#checkReservations(owner);
     if (now > quietAt) this.#checkProgress(quietAt);
   }
 
-  /** All members on machines are of one generation, and none is of a group that is withdrawn. */
-  #checkRuns(sinceMs: number): void {
+  /** Checks that all running members of a group have one generation and that no member of a withdrawn group runs. */
+  #checkGenerations(elapsedMs: number): void {
     const generations = new Map<string, Set<number>>();
     for (const { tasks } of this.world.workers.values()) {
       for (const { task: taskName, attempt, state } of tasks.values()) {
         const { job } = parseTaskName(taskName)!;
-        const generation = this.#generationOf.get(`${taskName} ${attempt}`);
+        const generation = this.#generationByAttempt.get(`${taskName} ${attempt}`);
         if (state === 'exited' || generation === undefined) continue;
         generations.set(job, (generations.get(job) ?? new Set()).add(generation));
       }
@@ -149,22 +150,25 @@
       if (state === 'waiting' || state === 'reserved')
         this.world.reportViolation('withdrawn_runs', `${job} is ${state}`);
     }
-    this.#countUptime(sinceMs);
+    this.#countUptime(elapsedMs);
   }
 
-  #countUptime(sinceMs: number): void {
+  #countUptime(elapsedMs: number): void {
     for (const { spec } of this.world.users.open()) {
       if (!this.world.isGroup(spec.id)) continue;
       const runningMembers = this.world.tasksOn(spec.id);
       const uptime = this.uptime.get(spec.id) ?? { partialMs: 0, wholeMs: 0 };
       this.uptime.set(spec.id, uptime);
-      if (runningMembers >= spec.tasks) uptime.wholeMs += sinceMs;
-      else if (runningMembers > 0) uptime.partialMs += sinceMs;
+      if (runningMembers >= spec.tasks) uptime.wholeMs += elapsedMs;
+      else if (runningMembers > 0) uptime.partialMs += elapsedMs;
     }
   }
 
-  /** No resources are reserved without a record that says so. An owner that can't read the state service can't know. */
-  #checkKept({ groups, context, partitionId, claimTable }: PartitionOwner): void {
+  /**
+   * Checks that the owner keeps no reservation without a record of it. Skips an owner without contact to the state
+   * service, as it can't read the record.
+   */
+  #checkReservations({ groups, context, partitionId, claimTable }: PartitionOwner): void {
     const { clock, watchCache } = context;
     const { now } = this.world.sim;
     const isFresh =
@@ -173,18 +177,18 @@
     for (const [taskName, machine] of groups.members.keptTasks) {
       const { job, index } = parseTaskName(taskName)!;
       const stored = this.seen.get(job);
-      const isKept = stored?.record.state === 'reserved' || stored?.record.state === 'admitted';
-      if (isKept && stored.record.members[index]?.machine === machine) continue;
-      if (now - (stored?.at ?? 0) < this.world.heartbeatIntervalMs * READ_INTERVALS) continue;
+      const isReservedInRecord = stored?.record.state === 'reserved' || stored?.record.state === 'admitted';
+      if (isReservedInRecord && stored.record.members[index]?.machine === machine) continue;
+      if (now - (stored?.at ?? 0) < this.world.heartbeatIntervalMs * OWNER_REACTION_INTERVALS) continue;
       if (claimTable.tasksByJob.get(job)?.get(index)?.job.isCancelled === true) continue;
-      this.world.reportViolation('kept_in_vain', `partition ${partitionId} keeps ${machine} for ${taskName}`);
+      this.world.reportViolation('kept_in_vain', `partition ${partitionId} reserves ${machine} for ${taskName}`);
     }
   }
 
-  /** Once all faults are over, no group stays between two states. */
+  /** Checks that, once all faults are over, no group stays between two states. */
   #checkProgress(quietAt: number): void {
     const { world } = this;
-    const boundMs = world.groupBoundMs + world.cancellationBoundMs * ON_THE_WAY_CANCELS;
+    const boundMs = world.groupBoundMs + world.cancellationBoundMs * TRANSITION_CANCELS;
     for (const [job, { record, at, version }] of this.seen) {
       if (!world.state.data.has(KEYS.group(job))) {
         this.seen.delete(job);
@@ -194,11 +198,11 @@
       const key = `${job} ${version}`;
       if (world.sim.now - Math.max(at, quietAt) < boundMs || this.#reported.has(key)) continue;
       this.#reported.add(key);
-      world.reportViolation('group_stuck', `${job} is ${record.state} since ${Math.round(at)}: ${record.reason}`);
+      world.reportViolation('group_stuck', `${job} has been ${record.state} since ${Math.round(at)}: ${record.reason}`);
     }
   }
 
-  /** Whether all members of the group run, as its record says. */
+  /** Whether the group's record says that it serves and all its members run. */
   serves(job: string): boolean {
     const record = this.seen.get(job)?.record;
     if (record?.state !== 'serving') return false;
--- a/packages/testkit/src/audits/invariants.ts
+++ b/packages/testkit/src/audits/invariants.ts
@@ -1,18 +1,18 @@
-// The invariants that audits check. Recorded scenarios and logs of violations name them by these ids.
+// The invariants that audits check. Recorded scenarios and violation logs refer to them by these ids.
 
-/** What the users of one job may rely on; see `SimUsers`. */
+/** What the service guarantees to the user of a job; see `SimUsers`. */
 type UserInvariant =
-  /** A job that was accepted is not known any more. */
+  /** An accepted job is reported as unknown. */
   | 'forgotten'
-  /** A job that nobody has submitted is known. */
+  /** A job that nobody has submitted is reported as known. */
   | 'invented'
-  /** A job is said to be done while a task of it is not. */
+  /** A job is reported as done although one of its tasks is not. */
   | 'not_done'
-  /** A final state changes, or a job is said to be cancelled though nobody asked for it. */
+  /** A final state changes, or a job is reported as cancelled although nobody cancelled it. */
   | 'went_back'
-  /** A job was accepted though it can never run or lacks a field. */
+  /** A job is accepted although it can never run or lacks a field. */
   | 'accepted_bad'
-  /** A job is said to be queued or running long after its user got the answer that one that it awaits is cancelled. */
+  /** A job is reported as queued or running long after the user learned that a job that it awaits is cancelled. */
   | 'orphaned';
 
 /** Where and when tasks run; see `PlacementAudit`. */
@@ -21,81 +21,82 @@
   | 'ran_twice'
   /** A team uses more than its limit. */
   | 'quota'
-  /** A task runs on a machine, or tasks of a job in zones, that the job excludes. */
+  /** A task runs on a machine that its job excludes, or a job's tasks run in zones that it excludes together. */
   | 'wrong_place'
-  /** The tasks on a machine use more than it has. */
+  /** The tasks on a machine use more resources than it has. */
   | 'overcommitted'
   /** A task starts before all jobs that its job awaits are done. */
   | 'too_early'
-  /** A task runs long after its user got the answer that the job is cancelled. */
+  /** A task runs long after the user received the answer that the job is cancelled. */
   | 'ran_cancelled'
-  /** A start command comes to a worker long after that answer. */
+  /** A start command reaches a worker long after the user received the answer that the job is cancelled. */
   | 'start_cancelled';
 
-/** What ends once all faults are over; see `LivenessAudit`. */
+/** Lack of progress once all faults are over; see `LivenessAudit`. */
 type LivenessInvariant =
-  /** A task waits while a machine that fits has the free resources and its team is under its limit. */
+  /** A task waits although a suitable machine has the free resources and the team's limit allows the task. */
   | 'left_waiting'
-  /** Machines that fit a waiting job come up and are returned unused, one after the other. */
+  /** Several machines in a row that suit a waiting job come up and are returned unused. */
   | 'rented_in_vain'
-  /** No question about an accepted job is answered. */
+  /** Requests for the status of an accepted job get no answer. */
   | 'unanswered';
 
-/** The statements on which `ran_twice` and `wrong_place` rest; see `OwnershipAudit`. */
+/** Conditions that prevent `ran_twice` and `wrong_place`; see `OwnershipAudit`. */
 type OwnershipInvariant =
-  /** A worker is answered by a controller whose own copy of the records shows another owner. */
+  /** A controller answers a worker as owner although its own watch cache shows another owner. */
   | 'deposed_owner'
-  /** A task that may be started, or assigned anew, runs. */
+  /** A task runs although its owner may start it or the leader may assign it again. */
   | 'free_but_running'
-  /** A task waits to be started elsewhere than the newest record that its owner has read says. */
+  /** A waiting task does not match the newest job record that its owner has read. */
   | 'stale_entry';
 
-/** What operators count beside the protocol; see `OperationsAudit`. */
+/** Conditions on quarantine, retries and rented machines; see `OperationsAudit`. */
 type OperationsInvariant =
   /** A machine that was never at fault is quarantined. */
   | 'condemned_healthy'
-  /** A job that fails wherever it runs is started again and again. */
+  /** A job that fails on every machine is restarted without bound. */
   | 'retried_often'
-  /** Once all faults are over, a machine that never comes up stays rented. */
+  /** A machine that never comes up stays rented after all faults are over. */
   | 'forgotten_machine';
 
-/** What controllers may ask of others. */
+/** Limits on the requests and messages that controllers send. */
 type TransportInvariant =
-  /** The state service refuses a change as malformed or beyond its limits. */
+  /** The state service refuses a change because it is malformed or exceeds a limit. */
   | 'refused'
-  /** A controller sends another one a message that its link does not accept. */
+  /** A controller sends a peer a message that exceeds the size limit of the link. */
   | 'frame_too_large';
 
 /** Borrowing; see `BorrowingAudit`. */
 type BorrowingInvariant =
-  /** A reclaim leaves a team less than its guarantee, or than it has work for. */
+  /** A reclaim leaves a team less than its guarantee, and less than it used before. */
   | 'below_guarantee'
-  /** Two reclaims at once are for one machine, or for one task. */
+  /** Two concurrent reclaims are on the same machine or for the same task. */
   | 'promised_twice'
   /**
-   * A replica is stopped for a service of lower priority, or a task for one that is no more urgent and of its own team.
+   * A reclaim stops a production replica, a replica for a service of lower priority, or a task for one of its own team
+   * that has no higher priority.
    */
   | 'replica_reclaimed'
-  /** Once all faults are over, a reclaim never ends. */
+  /** A reclaim does not end after all faults are over. */
   | 'endless_reclaim';
 
 /** Replica groups; see `GroupAudit`. */
 type GroupInvariant =
-  /** A record follows another one that it can't follow. */
+  /** The stored state or generation of a group makes a transition that is not allowed. */
   | 'group_moved'
-  /** A group is admitted, or a member starts, while the resources of a member are not reserved. */
+  /** A group is admitted, or a member starts, without a reservation for the member. */
   | 'member_unheld'
-  /** A member is started twice in a generation. */
+  /** A member is started twice in one generation. */
   | 'member_restarted'
-  /** Members of two generations of a group are on machines at once. */
+  /** Members of two generations of a group run at the same time. */
   | 'two_generations'
-  /** A member of a group that waits or is only reserved is on a machine. */
+  /** A member runs although its group is only waiting or reserved. */
   | 'withdrawn_runs'
-  /** An owner keeps resources reserved for a member without a record that says so. */
+  /** An owner keeps a reservation for a member that the group's record does not have. */
   | 'kept_in_vain'
-  /** Once all faults are over, a group never gets from one state to the next. */
+  /** A group does not reach its next state after all faults are over. */
   | 'group_stuck'
-  /** Once all faults are over, a machine is returned without which a group that waits does not fit any more. */
+  /** After all faults are over, a machine is returned although a waiting group fits only with it. */
   | 'group_machine_returned';
 
 /** The id of an invariant. */
@@ -112,8 +113,8 @@
 /** An invariant that did not hold. */
 export interface Violation {
   readonly rule: Invariant;
-  /** In simulated time. */
+  /** Simulated time in milliseconds. */
   readonly at: number;
-  /** Of what, for whoever reads a failed test. */
+  /** The items that are affected, for the output of a failed test. */
   readonly detail: string;
 }
--- a/packages/testkit/src/audits/liveness-audit.ts
+++ b/packages/testkit/src/audits/liveness-audit.ts
@@ -1,12 +1,12 @@
-// What must hold once all faults are over: work starts where resources are free, machines are not rented for it in
-// vain, and questions are answered.
+// Checks progress once all faults are over: tasks start when resources are free, machines rented for waiting tasks are
+// used, and status requests are answered.
 import { type Resources, fitsIn, NO_RESOURCES, countFitting, allowsMachine, subtractResources } from '@gingerlock/core';
 import { type JobSpec, jobRecord, KEYS, parseTaskName } from '@gingerlock/wire';
 import type { ObservedStatus } from '../standins/users';
 import type { SimWorker } from '../standins/worker';
 import type { InspectableWorld } from './audited-world';
 
-/** What is audited of a deployment. */
+/** The parts of a deployment that the liveness audit reads. */
 export interface LivenessAuditedWorld extends InspectableWorld {
   readonly users: {
     readonly observedByJob: ReadonlyMap<string, ObservedStatus>;
@@ -14,46 +14,46 @@
     isUnwanted(observed: ObservedStatus): boolean;
     isReady(observed: ObservedStatus): boolean;
   };
-  /** When the last fault of the scenario is over. */
+  /** When the last fault of the scenario ends. */
   readonly quietAt: number;
-  /** The limit of each team. */
+  /** The GPU limit of each team. */
   readonly gpusMax: number;
-  /** How long a replica group may be on its way from one state to the next. */
+  /** How long a replica group may take from one state to the next. */
   readonly groupBoundMs: number;
   isGroup(job: string): boolean;
   /** Machines that were at fault at any time. */
   readonly everUnhealthy: ReadonlySet<string>;
   /** Whether the job was submitted with a mistake. */
   isBroken(id: string): boolean;
-  /** How many tasks of the job are done. */
+  /** The number of finished tasks of the job. */
   doneOf(id: string): number;
   capacityOfType(type: string): Resources;
 }
 
 /**
- * A job may wait this many times `cancel_s` though resources are free: until then what may still run had to be waited
- * for.
+ * How long a job may wait although resources are free, as a multiple of `cancel_s`: its tasks are not started again
+ * while earlier attempts may still run.
  */
 const WAIT_CANCELS = 2;
 
-/** A machine whose last answered heartbeat is no older than this many intervals is heard. */
-const HEARD_INTERVALS = 2;
+/** A machine counts as reachable if its last answered heartbeat is at most this many intervals old. */
+const REACHABLE_INTERVALS = 2;
 
-/** Users ask every other second or so, and wait 5 s for an answer. */
+/** How long a user may go without an answer. Users ask about every two seconds, with a timeout of 5 s. */
 const UNANSWERED_MS = 30_000;
 
-/** So many machines in a row may come up and go again, unused, while the same job waits for just such a machine. */
-const MOST_VAIN_RENTALS = 2;
+/** How many suitable machines in a row may come up and be returned unused while the same job waits. */
+const MAX_UNUSED_RENTALS = 2;
 
-/** Audits that work makes progress. */
+/** Audits that jobs make progress. */
 export class LivenessAudit {
-  /** By job: since when a task of it could have started all the time, and none did. */
+  /** By job: since when a task could have started but none did, and the number of starts until then. */
   readonly #waiting = new Map<string, { since: number; started: number }>();
-  /** By job: how many of its tasks have started. */
-  readonly #startsOf = new Map<string, number>();
-  /** By job: machines of use to it that went unused since a task of it last started. */
-  readonly #vainRentals = new Map<string, number>();
-  /** By job: since when its group has been waiting though all members fit and their team's limit allows them. */
+  /** By job: the number of its task starts. */
+  readonly #startsByJob = new Map<string, number>();
+  /** By job: the number of suitable machines that were returned unused since one of its tasks last started. */
+  readonly #unusedRentals = new Map<string, number>();
+  /** By job: since when its group has been waiting although all members fit and the team's limit allows them. */
   #groupFitsSince: ReadonlyMap<string, number> = new Map();
   readonly #usedMachines = new Set<string>();
   /** By machine: when it came up. */
@@ -61,42 +61,43 @@
 
   constructor(readonly world: LivenessAuditedWorld) {}
 
-  /** A machine has come up. */
+  /** Records that a machine has come up. */
   machineUp(machine: string): void {
     this.#upSince.set(machine, this.world.sim.now);
   }
 
-  /** A task of the job runs on the machine now. */
+  /** Records that a task of the job has started on the machine. */
   taskStarted(job: string, machine: string): void {
-    this.#startsOf.set(job, (this.#startsOf.get(job) ?? 0) + 1);
-    this.#vainRentals.delete(job);
+    this.#startsByJob.set(job, (this.#startsByJob.get(job) ?? 0) + 1);
+    this.#unusedRentals.delete(job);
     this.#usedMachines.add(machine);
   }
 
-  /** The controllers return a machine. */
+  /** Checks a machine that the controllers return to the cloud. */
   machineReturned(worker: SimWorker): void {
     this.#checkNeededByGroup(worker);
-    this.#checkRentedInVain(worker);
+    this.#checkUnusedRental(worker);
   }
 
   /**
-   * A group that has waited for a moment and fits on the machines that are up must fit without this one too: the cloud
-   * may have no other. Machines that can't be heard, are at fault or are taken back may go at any time.
+   * Checks that each group that has waited for a heartbeat interval and fits on the running machines also fits without
+   * this one, as the cloud may have no replacement. Machines that are unreachable, were unhealthy or have an eviction
+   * notice may be returned at any time.
    */
   #checkNeededByGroup(worker: SimWorker): void {
     const { world } = this;
-    const momentMs = world.heartbeatIntervalMs;
-    const isOfUse =
-      worker.unansweredMs <= momentMs * HEARD_INTERVALS &&
+    const intervalMs = world.heartbeatIntervalMs;
+    const isUsable =
+      worker.unansweredMs <= intervalMs * REACHABLE_INTERVALS &&
       worker.noticeS === null &&
       !world.everUnhealthy.has(worker.name);
-    if (world.sim.now < world.quietAt + momentMs || !isOfUse) return;
+    if (world.sim.now < world.quietAt + intervalMs || !isUsable) return;
     for (const observed of world.users.open()) {
       const { id } = observed.spec;
       const fitsSince = this.#groupFitsSince.get(id) ?? Infinity;
-      if (world.sim.now - fitsSince < momentMs || !this.#isWaitingGroupThatFits(observed)) continue;
-      if (!this.#couldStartWhole(observed.spec, worker))
-        world.reportViolation('group_machine_returned', `${id} waits, ${worker.name} goes`);
+      if (world.sim.now - fitsSince < intervalMs || !this.#isWaitingGroupThatFits(observed)) continue;
+      if (!this.#couldStartGroup(observed.spec, worker))
+        world.reportViolation('group_machine_returned', `${id} waits, ${worker.name} is returned`);
     }
   }
 
@@ -104,49 +105,51 @@
     const { spec } = observed;
     return (
       this.world.isGroup(spec.id) &&
-      this.#wantsMore(observed) &&
+      this.#hasPendingTask(observed) &&
       this.#assignedTasksOf(spec.id) === 0 &&
       this.#isWithinLimit(spec) &&
-      this.#couldStartWhole(spec)
+      this.#couldStartGroup(spec)
     );
   }
 
-  /** Notes since when each group has been waiting though it fits on the machines that are up, and its team's limit. */
-  #noteGroupsThatFit(): void {
+  /** Updates since when each group has been waiting although it fits on the running machines and its team's limit. */
+  #updateFittingGroups(): void {
     const { now } = this.world.sim;
     const fitting = this.world.users.open().filter((observed) => this.#isWaitingGroupThatFits(observed));
     const since = fitting.map(({ spec: { id } }) => [id, this.#groupFitsSince.get(id) ?? now] as const);
     this.#groupFitsSince = new Map(since);
   }
 
-  #checkRentedInVain(worker: SimWorker): void {
+  #checkUnusedRental(worker: SimWorker): void {
     const { world } = this;
     const upSince = this.#upSince.get(worker.name) ?? -Infinity;
     if (upSince < world.quietAt || this.#usedMachines.has(worker.name)) return;
     for (const observed of world.users.open()) {
       const { id } = observed.spec;
-      // For moments its team's limit allows one more again and again: only what could have started all the time is left
-      // out.
+      // Count only jobs that could have started ever since the machine came up: a team near its limit may start one
+      // more task only for short periods.
       const waitsSince = this.#waiting.get(id)?.since ?? Infinity;
-      if (waitsSince > upSince + world.heartbeatIntervalMs || !this.#wantsMore(observed) || world.isGroup(id)) continue;
+      if (waitsSince > upSince + world.heartbeatIntervalMs || !this.#hasPendingTask(observed) || world.isGroup(id))
+        continue;
       if (!this.#isWithinLimit(observed.spec) || !this.#couldStartOn(worker, observed.spec, this.#zonesOf(id)))
         continue;
-      const times = (this.#vainRentals.get(id) ?? 0) + 1;
-      this.#vainRentals.set(id, times);
-      if (times === MOST_VAIN_RENTALS + 1) world.reportViolation('rented_in_vain', `${id} waits, ${worker.name} goes`);
+      const times = (this.#unusedRentals.get(id) ?? 0) + 1;
+      this.#unusedRentals.set(id, times);
+      if (times === MAX_UNUSED_RENTALS + 1)
+        world.reportViolation('rented_in_vain', `${id} waits, ${worker.name} is returned`);
     }
   }
 
-  /** Checks what only time can show; `quietAt` is when the last fault ended. To be called periodically. */
+  /** Checks for lack of progress; `quietAt` is when the last fault ended. Called periodically. */
   audit(quietAt: number): void {
     const { world } = this;
     const { now } = world.sim;
     if (now < quietAt) return;
-    this.#noteGroupsThatFit();
+    this.#updateFittingGroups();
     for (const observed of world.users.open()) {
       const { id } = observed.spec;
       if (now - Math.max(observed.answeredAt, quietAt) > UNANSWERED_MS) world.reportViolation('unanswered', id);
-      if (!this.#wantsMore(observed) || !this.#couldStart(observed.spec)) {
+      if (!this.#hasPendingTask(observed) || !this.#couldStart(observed.spec)) {
         this.#waiting.delete(id);
         continue;
       }
@@ -157,7 +160,7 @@
   #auditWaiting(spec: JobSpec): void {
     const { world } = this;
     const { now } = world.sim;
-    const started = this.#startsOf.get(spec.id) ?? 0;
+    const started = this.#startsByJob.get(spec.id) ?? 0;
     const known = this.#waiting.get(spec.id);
     if (known?.started !== started) {
       this.#waiting.set(spec.id, { since: now, started });
@@ -169,8 +172,8 @@
     this.#waiting.set(spec.id, { since: now, started });
   }
 
-  /** Whether the job has a task that could be started, but for free resources and limits. */
-  #wantsMore(observed: ObservedStatus): boolean {
+  /** Whether the job has a task that could start, given free resources and room under the team's limit. */
+  #hasPendingTask(observed: ObservedStatus): boolean {
     const { world } = this;
     const { id, tasks } = observed.spec;
     return (
@@ -181,7 +184,7 @@
     );
   }
 
-  /** The machines on which tasks of the job are. */
+  /** The machine of each running task of the job. */
   #machinesOf(id: string): string[] {
     return [...this.world.runningTasks()]
       .filter(([taskName]) => taskName.startsWith(`${id}/`))
@@ -189,21 +192,22 @@
   }
 
   /**
-   * Whether its team's limit allows one more task of the job beside all that is assigned to others of the
-   * team: that counts before it runs. What is assigned of the job itself may be just what waits.
+   * Whether the team's limit allows one more task of the job, or all members of a replica group. The team's other jobs
+   * count with their assigned tasks, which use the limit before they run. The job itself counts with its running tasks,
+   * as its assigned tasks may be those that wait.
    */
   #isWithinLimit(spec: JobSpec): boolean {
     const { world } = this;
     let gpus = this.#machinesOf(spec.id).length * spec.gpus;
     for (const observed of world.users.observedByJob.values()) {
-      const { id, team, gpus: each } = observed.spec;
-      if (team === spec.team && id !== spec.id) gpus += each * this.#assignedTasksOf(id);
+      const { id, team, gpus: gpusPerTask } = observed.spec;
+      if (team === spec.team && id !== spec.id) gpus += gpusPerTask * this.#assignedTasksOf(id);
     }
     const nextGpus = world.isGroup(spec.id) ? spec.gpus * spec.tasks : spec.gpus;
     return gpus + nextGpus <= world.gpusMax;
   }
 
-  /** How many unfinished tasks of the job its stored record assigns. */
+  /** The number of unfinished tasks that the job's stored record assigns. */
   #assignedTasksOf(id: string): number {
     const stored = this.world.state.data.get(KEYS.job(id));
     const record = stored === undefined ? null : jobRecord.read(stored.value);
@@ -212,7 +216,7 @@
     return Math.max(0, assigned - this.world.doneOf(id));
   }
 
-  /** Whether a task of the job could start now on some machine, or all members of a replica group at once. */
+  /** Whether a task of the job, or all members of a replica group together, could start now. */
   #couldStart(spec: JobSpec): boolean {
     const { world } = this;
     let gpus = 0;
@@ -220,15 +224,15 @@
       const running = world.job(parseTaskName(taskName)!.job)!;
       if (running.team === spec.team) gpus += running.gpus;
     }
-    // All members of a replica group start together or not at all.
-    if (world.isGroup(spec.id)) return gpus + spec.gpus * spec.tasks <= world.gpusMax && this.#couldStartWhole(spec);
+    // A replica group starts all members together.
+    if (world.isGroup(spec.id)) return gpus + spec.gpus * spec.tasks <= world.gpusMax && this.#couldStartGroup(spec);
     if (gpus + spec.gpus > world.gpusMax) return false;
     const zones = this.#zonesOf(spec.id);
     return [...world.workers.values()].some((worker) => this.#couldStartOn(worker, spec, zones));
   }
 
-  /** Whether all members fit at once on the machines that are up; `without`: on all but this one. */
-  #couldStartWhole(spec: JobSpec, without?: SimWorker): boolean {
+  /** Whether all members fit together on the running machines, excluding `without`. */
+  #couldStartGroup(spec: JobSpec, without?: SimWorker): boolean {
     const byZone = new Map<string, number>();
     for (const worker of this.world.workers.values()) {
       if (worker === without || !allowsMachine(spec, worker.type, worker.zone, worker.spot)) continue;
@@ -237,11 +241,11 @@
     }
     const counts = [...byZone.values()];
     if (spec.oneZone) return counts.some((members) => members >= spec.tasks);
-    const most = spec.spread ? Math.ceil(spec.tasks / 2) : spec.tasks;
-    return counts.reduce((sum, members) => sum + Math.min(members, most), 0) >= spec.tasks;
+    const maxPerZone = spec.spread ? Math.ceil(spec.tasks / 2) : spec.tasks;
+    return counts.reduce((sum, members) => sum + Math.min(members, maxPerZone), 0) >= spec.tasks;
   }
 
-  /** The zones in which tasks of the job are, one for each. */
+  /** The zone of each running task of the job. */
   #zonesOf(id: string): (string | undefined)[] {
     return this.#machinesOf(id).map((machine) => this.world.workers.get(machine)?.zone);
   }
@@ -254,7 +258,7 @@
     return fitsIn(spec, this.#freeOn(worker));
   }
 
-  /** What the tasks on the machine leave free. */
+  /** The free resources of the machine. */
   #freeOn(worker: SimWorker): Resources {
     const { world } = this;
     let available = world.capacityOfType(worker.type);
--- a/packages/testkit/src/audits/operations-audit.ts
+++ b/packages/testkit/src/audits/operations-audit.ts
@@ -1,42 +1,41 @@
-// What must hold in the faults that operators met beside the protocol: only machines at fault are quarantined, what
-// fails is not retried without bound, and no rented machine is forgotten.
+// Checks quarantine, retries and rented machines: only unhealthy machines are quarantined, failing tasks have bounded
+// retries, and rented machines that never come up are returned.
 import type { MachineType } from '@gingerlock/wire';
 import type { RentedMachine } from '../standins/cloud-records';
 import type { InspectableWorld } from './audited-world';
 
-/** What is audited of a deployment. */
+/** The parts of a deployment that the operations audit reads. */
 export interface OperationsAuditedWorld extends InspectableWorld {
-  /** Jobs that were submitted with a mistake, and how often tasks of them were started. */
+  /** Jobs whose tasks always fail: how often their tasks were started and when first. */
   readonly brokenJobs: ReadonlyMap<string, { starts: number; firstStartAt: number | null }>;
-  /** Machines that were at fault at any time. */
+  /** Machines that have been unhealthy at any time. */
   readonly everUnhealthy: ReadonlySet<string>;
   readonly cloud: { readonly rented: readonly RentedMachine[] };
   machineType(name: string): MachineType | undefined;
 }
 
-/**
- * How often the tasks of a broken job may be started: so many times each until it counts as crash-looping, and one
- * probe in so many heartbeat intervals.
- */
+/** How often each task of a broken job may be started before the job counts as crash-looping. */
 const STARTS_PER_TASK = 3;
+
+/** A crash-looping job may be started as a probe once in this many heartbeat intervals. */
 const PROBE_INTERVALS = 2;
 
 /**
- * A machine that has not come up after this many times the usual boot is returned; more is allowed for changes of
- * leader.
+ * A machine must be returned if it has not come up within this multiple of its type's boot time. The multiple leaves
+ * time for changes of leader.
  */
-const MOST_BOOTS = 8;
+const MAX_BOOT_FACTOR = 8;
 
 /** Audits quarantine, retries and rented machines. */
 export class OperationsAudit {
-  /** Machines that were reported as quarantined though never at fault. */
+  /** Machines already reported as quarantined although never unhealthy. */
   readonly #reportedHealthy = new Set<string>();
-  /** Machines that were reported as never come up. */
-  readonly #forgotten = new Set<string>();
+  /** Machines already reported as rented but never up. */
+  readonly #reportedNeverUp = new Set<string>();
 
   constructor(readonly world: OperationsAuditedWorld) {}
 
-  /** A task of the job is on a machine now. */
+  /** Counts a task start of the job and checks the bound on retries. */
   started(job: string): void {
     const { world } = this;
     const broken = world.brokenJobs.get(job);
@@ -46,11 +45,11 @@
     const { tasks } = world.job(job)!;
     const probes = (world.sim.now - broken.firstStartAt) / (world.heartbeatIntervalMs * PROBE_INTERVALS);
     if (broken.starts > tasks * STARTS_PER_TASK + probes + 1) {
-      world.reportViolation('retried_often', `${job} of ${tasks} tasks was started ${broken.starts} times`);
+      world.reportViolation('retried_often', `${job} with ${tasks} tasks had ${broken.starts} task starts`);
     }
   }
 
-  /** Checks what only time can show; to be called periodically. */
+  /** Checks quarantined and rented machines. Called periodically. */
   audit(quietAt: number): void {
     for (const { controller } of this.world.nodes) {
       for (const { claimTable } of controller?.owned() ?? []) {
@@ -75,10 +74,10 @@
     const { now } = world.sim;
     for (const { name, type, state, bornAt } of world.cloud.rented) {
       const bootMs = (world.machineType(type)?.bootS ?? 0) * 1000;
-      if (state !== 'booting' || now - Math.max(bornAt, quietAt) < bootMs * MOST_BOOTS) continue;
-      if (this.#forgotten.has(name)) continue;
-      this.#forgotten.add(name);
-      world.reportViolation('forgotten_machine', `${name} is paid for and never came up`);
+      if (state !== 'booting' || now - Math.max(bornAt, quietAt) < bootMs * MAX_BOOT_FACTOR) continue;
+      if (this.#reportedNeverUp.has(name)) continue;
+      this.#reportedNeverUp.add(name);
+      world.reportViolation('forgotten_machine', `${name} is still rented and never came up`);
     }
   }
 }
--- a/packages/testkit/src/audits/ownership-audit.ts
+++ b/packages/testkit/src/audits/ownership-audit.ts
@@ -1,27 +1,27 @@
-// Checks the statements on which `ran_twice` rests, while a scenario runs: they break long before a task starts twice.
+// Checks, while a scenario runs, the conditions that prevent `ran_twice`: they fail long before a task runs twice.
 import type { PartitionOwner } from '@gingerlock/daemon';
 import { type TaskEntry, tasksAssignedTo } from '@gingerlock/core';
 import { jobRecord, type JobRecord, KEYS, parseTaskName, type AssignedRange } from '@gingerlock/wire';
 import type { InspectableWorld } from './audited-world';
 
-/** What is audited of a deployment. */
+/** The parts of a deployment that the ownership audit reads. */
 export interface OwnershipAuditedWorld extends InspectableWorld {
-  /** Whether the task is done for good. */
+  /** Whether the task has finished for good. */
   isDone(taskName: string): boolean;
 }
 
-function isIn({ from, count }: AssignedRange, taskIndex: number): boolean {
+function isInRange({ from, count }: AssignedRange, taskIndex: number): boolean {
   return taskIndex >= from && taskIndex < from + count;
 }
 
-/** Audits what owners and the leader believe of tasks against where these run. */
+/** Audits the task states of owners and the assignments of the leader against where tasks run. */
 export class OwnershipAudit {
-  /** Records of jobs as they were parsed last, by key. */
+  /** Parsed job records, by key. */
   readonly #records = new Map<string, { readonly version: number; readonly record: JobRecord }>();
 
   constructor(readonly world: OwnershipAuditedWorld) {}
 
-  /** Checks all tasks; to be called periodically. */
+  /** Checks all tasks. Called periodically. */
   audit(): void {
     for (const { controller } of this.world.nodes) {
       for (const owner of controller?.owned() ?? []) this.#checkClaims(owner);
@@ -29,7 +29,7 @@
     for (const [taskName, machine] of this.world.runningTasks()) this.#checkAssigned(taskName, machine);
   }
 
-  /** A worker is being answered with 200 by a controller that takes itself for the owner of the worker's partition. */
+  /** Checks a controller that answers a worker with status 200 as the owner of the worker's partition. */
   answered(node: string, owner: PartitionOwner): void {
     const { ownershipTerm, context } = owner;
     const copy = context.clusterState.owners.get(ownershipTerm.resource);
@@ -45,46 +45,47 @@
     const isOwner = this.world.state.data.get(KEYS.owner(ownershipTerm.resource))?.version === ownershipTerm.version;
     for (const tasksByIndex of claimTable.tasksByJob.values()) {
       for (const task of tasksByIndex.values()) {
-        if (task.state === 'waiting') this.#checkPlace(owner, task);
-        if (isOwner && this.#isFree(owner.partitionId, task)) this.#checkFree(task);
+        if (task.state === 'waiting') this.#checkZone(owner, task);
+        if (isOwner && this.#mayStartOrReturn(owner.partitionId, task)) this.#checkNotRunning(task);
       }
     }
   }
 
-  /** What waits to be started is what the newest record that was read says. */
-  #checkPlace({ claimTable, partitionId }: PartitionOwner, { job, index, name, zone }: TaskEntry): void {
+  /** Checks that the newest job record that the owner has read assigns the waiting task to it, and for its zone. */
+  #checkZone({ claimTable, partitionId }: PartitionOwner, { job, index, name, zone }: TaskEntry): void {
     const assigned = tasksAssignedTo(job, partitionId, claimTable.term).get(index);
     if (assigned?.zone === zone) return;
-    this.world.reportViolation('stale_entry', `${name} waits for zone ${zone}, its record says ${assigned?.zone}`);
+    this.world.reportViolation('stale_entry', `${name} waits for zone ${zone}, assigned zone is ${assigned?.zone}`);
   }
 
   /**
-   * Whether the task may be started by its owner or returned by it. One that is leaving is neither any more once
-   * the record has been written without it: it may run elsewhere before its former partition has read that.
+   * Whether the owner may start the task or return it. Once the job record no longer assigns a returning task to the
+   * partition, the task may run elsewhere before this owner has read the record.
    */
-  #isFree(partitionId: number, { job, index, state }: TaskEntry): boolean {
+  #mayStartOrReturn(partitionId: number, { job, index, state }: TaskEntry): boolean {
     if (state !== 'returning') return state === 'waiting';
     const record = this.#recordOf(job.id);
     return (
       record?.final === null &&
-      record.assignedRanges.some((range) => range.partitionId === partitionId && isIn(range, index))
+      record.assignedRanges.some((range) => range.partitionId === partitionId && isInRange(range, index))
     );
   }
 
-  /** What may be started, or returned to be started elsewhere, runs nowhere. */
-  #checkFree({ name, state }: TaskEntry): void {
+  /** Checks that a task that may be started or returned does not run. */
+  #checkNotRunning({ name, state }: TaskEntry): void {
     const machine = this.world.runningTasks().get(name);
-    if (machine !== undefined) this.world.reportViolation('free_but_running', `${name} is ${state} and on ${machine}`);
+    if (machine !== undefined)
+      this.world.reportViolation('free_but_running', `${name} is ${state} but runs on ${machine}`);
   }
 
-  /** What is assigned to no partition runs nowhere: the leader may assign it to any. */
+  /** Checks that a running task is assigned to a partition, as the leader may assign an unassigned one to any. */
   #checkAssigned(taskName: string, machine: string): void {
     const { job, index } = parseTaskName(taskName)!;
     const record = this.#recordOf(job);
     if (record === null || this.world.isDone(taskName)) return;
-    const isAssigned = record.final === null && record.assignedRanges.some((range) => isIn(range, index));
+    const isAssigned = record.final === null && record.assignedRanges.some((range) => isInRange(range, index));
     if (!isAssigned)
-      this.world.reportViolation('free_but_running', `${taskName} is assigned nowhere and on ${machine}`);
+      this.world.reportViolation('free_but_running', `${taskName} is not assigned but runs on ${machine}`);
   }
 
   #recordOf(job: string): JobRecord | null {
--- a/packages/testkit/src/audits/placement-audit.ts
+++ b/packages/testkit/src/audits/placement-audit.ts
@@ -1,5 +1,5 @@
-// Checks each start of a task against its job and its machine: it runs once, where it may, within its team's limit,
-// after what it awaits, and not after its cancellation.
+// Checks each start of a task: the task runs on one machine only, the job allows the machine, the team's limit and the
+// machine's capacity hold, all awaited jobs are done, and the job is not cancelled.
 import type { Resources } from '@gingerlock/core';
 import { type JobSpec, parseTaskName } from '@gingerlock/wire';
 import type { TaskTracker } from '../simulation/task-tracker';
@@ -7,39 +7,39 @@
 import type { SimWorker } from '../standins/worker';
 import type { AuditedWorld } from './audited-world';
 
-/** What is audited of a deployment. */
+/** The parts of a deployment that the placement audit reads. */
 export interface PlacementAuditedWorld extends AuditedWorld {
   readonly tasks: TaskTracker;
   readonly users: {
     readonly observedByJob: ReadonlyMap<string, ObservedStatus>;
-    /** Whether all that the job awaits has completed. */
+    /** Whether all jobs that the job awaits have completed. */
     isReady(observed: ObservedStatus): boolean;
   };
   readonly network: { standsStill(host: string): boolean };
-  /** The limit of each team. */
+  /** The GPU limit of each team. */
   readonly gpusMax: number;
   capacityOfType(type: string): Resources;
 }
 
-/** Sums of resources may be off by so much. */
-const ROUNDING = 1e-9;
+/** Tolerance for the rounding error of summed resources. */
+const ROUNDING_TOLERANCE = 1e-9;
 
-/** An owner may start a task until `cancel_s` divided by this has passed since its last look at the jobs. */
+/** An owner may start a task for `cancel_s` divided by this after it last read the jobs. */
 const OWNER_VIEWS_PER_BOUND = 10;
 
-/** How long an answer of an owner counts at its worker. */
+/** How long a worker acts on an answer of its owner. */
 const ANSWER_VALID_MS = 4000;
 
 /** Audits where and when tasks run. */
 export class PlacementAudit {
-  /** The most GPUs that a team has ever used. */
+  /** The maximum number of GPUs that a team has used. */
   peakGpus = 0;
-  /** The longest that a task was on a machine after its user got the answer that it is cancelled. */
+  /** The longest time that a task ran after the user received the answer that the job is cancelled. */
   longestCancelledMs = 0;
 
   constructor(readonly world: PlacementAuditedWorld) {}
 
-  /** A start command that was not known yet has come to a worker. */
+  /** Checks that a new start command has not reached a worker too long after the job's cancellation. */
   checkCommand(taskName: string): void {
     const { world } = this;
     const cancelledAt = world.users.observedByJob.get(parseTaskName(taskName)?.job ?? '')?.cancelledAt ?? null;
@@ -49,14 +49,14 @@
     if (world.sim.now - cancelledAt > boundMs) world.reportViolation('start_cancelled', taskName);
   }
 
-  /** A task is about to run on the machine: it must run on no other. */
+  /** Checks that a task about to start on the machine runs on no other. */
   checkRunsOnce(taskName: string, machine: string): void {
     const other = this.world.tasks.machineByTask.get(taskName);
     if (other !== undefined && other !== machine)
       this.world.reportViolation('ran_twice', `${taskName} on ${machine} and ${other}`);
   }
 
-  /** A task now runs on the machine. */
+  /** Checks a task that has just started on the machine. */
   checkStart(taskName: string, machine: string, spec: JobSpec): void {
     const worker = this.world.workers.get(machine)!;
     this.#checkMachine(taskName, worker, spec);
@@ -69,7 +69,7 @@
   #checkMachine(taskName: string, { zone, spot, type }: SimWorker, spec: JobSpec): void {
     const { world } = this;
     if (spec.zone !== null && spec.zone !== zone) world.reportViolation('wrong_place', `${taskName} in zone ${zone}`);
-    if (spot && !spec.spot) world.reportViolation('wrong_place', `${taskName} on spot`);
+    if (spot && !spec.spot) world.reportViolation('wrong_place', `${taskName} on a spot machine`);
     if (spec.types?.includes(type) === false) world.reportViolation('wrong_place', `${taskName} on type ${type}`);
   }
 
@@ -86,16 +86,16 @@
     const { world } = this;
     const gpus = world.tasks.gpusOfTeam(team);
     this.peakGpus = Math.max(this.peakGpus, gpus);
-    if (gpus > world.gpusMax + ROUNDING) world.reportViolation('quota', `team ${team} uses ${gpus}`);
+    if (gpus > world.gpusMax + ROUNDING_TOLERANCE) world.reportViolation('quota', `team ${team} uses ${gpus}`);
     const used = world.tasks.gpusOnMachine(name);
-    if (used > world.capacityOfType(type).gpus + ROUNDING)
+    if (used > world.capacityOfType(type).gpus + ROUNDING_TOLERANCE)
       world.reportViolation('overcommitted', `${name}: ${used} GPUs`);
   }
 
   #checkDependencies(taskName: string, { id, awaits }: JobSpec): void {
     const { users } = this.world;
     if (!users.isReady(users.observedByJob.get(id)!))
-      this.world.reportViolation('too_early', `${taskName} before one of ${awaits.join()}`);
+      this.world.reportViolation('too_early', `${taskName} started before one of ${awaits.join()} was done`);
   }
 
   #checkCancelled(taskName: string, machine: string): void {
@@ -109,7 +109,7 @@
     world.reportViolation('ran_cancelled', `${taskName} on ${machine}${suffix}`);
   }
 
-  /** Checks what only time can show: to be called again and again. */
+  /** Checks how long tasks of cancelled jobs have been running. Called periodically. */
   audit(): void {
     for (const [taskName, machine] of this.world.tasks.machineByTask) this.#checkCancelled(taskName, machine);
   }
--- a/packages/testkit/src/faults/borrowing-faults.ts
+++ b/packages/testkit/src/faults/borrowing-faults.ts
@@ -1,14 +1,14 @@
-// What borrowing has to live through: surges that come, grow and end, lenders that want their GPUs back, and
-// controllers that end between two steps of a reclaim.
+// Faults of borrowing: surges of demand, lenders that reclaim their GPUs, and controllers that crash between two steps
+// of a reclaim.
 import type { JobSpec } from '@gingerlock/wire';
 import type { World } from '../simulation/world';
 import { type FaultTargets, pollFor } from './fault-targets';
 import { type FaultOfKind, type FaultTable, noDurationMs, statedDurationMs } from './fault-table';
-import { type MachineIncident, strikeMachine } from './machine-faults';
+import { type MachineIncident, injectIncident } from './machine-faults';
 
-/** A fault that strikes while GPUs are lent and reclaimed. `team` is the number of a team. */
+/** A fault while GPUs are lent and reclaimed. `team` is the index of a team. */
 export type BorrowingFault =
-  /** A team submits services of one replica after the other, and cancels them all at the end. */
+  /** A team submits services of one replica each, one by one, and cancels them all at the end. */
   | {
       readonly kind: 'surge';
       readonly team: number;
@@ -16,9 +16,9 @@
       readonly everyMs: number;
       readonly forMs: number;
     }
-  /** A team submits arrays of long tasks, all at once. */
+  /** A team submits one array of long tasks. */
   | { readonly kind: 'batch wave'; readonly team: number; readonly tasks: number; readonly estimateS: number }
-  /** Controllers end as a reclaim comes to that step, again and again. */
+  /** Controllers repeatedly crash as a reclaim reaches the step. */
   | {
       readonly kind: 'crash at reclaim';
       readonly who: 'leader' | 'owner' | 'both';
@@ -26,20 +26,20 @@
       readonly backMs: number;
       readonly forMs: number;
     }
-  /** Machines on which tasks are to be stopped hang, are not heard, are taken back or die as a reclaim is decided. */
+  /** An incident affects a share of the machines of victims as a reclaim is decided. */
   | {
       readonly kind: 'victims trouble';
       readonly what: MachineIncident;
       readonly share: number;
       readonly forMs: number;
     }
-  /** The jobs that GPUs are reclaimed for are cancelled midway. */
+  /** A share of the jobs for which GPUs are reclaimed is cancelled as the reclaim is decided. */
   | { readonly kind: 'beneficiaries cancelled'; readonly share: number; readonly forMs: number };
 
-/** How far a reclaim has come: stored, its victims being stopped, or all its victims gone. */
+/** A step of a reclaim: stored, some victim stopping, or all victims gone. */
 export type ReclaimStep = 'decided' | 'stopping' | 'freed';
 
-/** A fault that strikes each reclaim which is decided while it lasts may still strike as long afterwards. */
+/** The duration of a fault whose effect on a reclaim decided at its end may last for `forMs` more. */
 function twiceStatedDurationMs({ forMs }: { readonly forMs: number }): number {
   return forMs * 2;
 }
@@ -54,7 +54,7 @@
   },
   'victims trouble': {
     inject: (world, fault) =>
-      onNewReclaims(world, fault.forMs, (machine) => strikeMachineOfVictims(world, machine, fault)),
+      onNewReclaims(world, fault.forMs, (machine) => injectIncidentOnVictims(world, machine, fault)),
     durationMs: twiceStatedDurationMs,
   },
   'beneficiaries cancelled': {
@@ -101,7 +101,7 @@
   void world.users.live(spec, null);
 }
 
-/** Calls back for each reclaim that is stored from now on. */
+/** Calls `onReclaim` for each reclaim that is stored within `forMs` from now. */
 function onNewReclaims(world: World, forMs: number, onReclaim: (machine: string, job: string) => void): void {
   const known = new Set(world.borrowing.stored.keys());
   pollFor(world, forMs, () => {
@@ -113,17 +113,17 @@
   });
 }
 
-function strikeMachineOfVictims(
+function injectIncidentOnVictims(
   world: World,
   machine: string,
   { what, share, forMs }: FaultOfKind<BorrowingFault, 'victims trouble'>,
 ): void {
   if (!world.workers.has(machine) || world.sim.random() >= share) return;
   world.recordOccurrence(`victims ${what}`);
-  strikeMachine(world, machine, what, forMs);
+  injectIncident(world, machine, what, forMs);
 }
 
-/** Whether some reclaim is at the step now. */
+/** Whether any reclaim is at the step now. */
 function isAnyReclaimAt(world: World, step: ReclaimStep): boolean {
   for (const { record } of world.borrowing.stored.values()) {
     const worker = world.workers.get(record.machine);
@@ -152,13 +152,13 @@
   let nextAt = sim.now;
   pollFor(world, forMs, () => {
     if (sim.now < nextAt || !isAnyReclaimAt(world, step)) return;
-    for (const name of controllersOfReclaims(world, who)) targets.crashFor(name, backMs);
+    for (const name of controllersOfReclaims(world, who)) targets.crashAndRestart(name, backMs);
     world.recordOccurrence(`crash at ${step}`);
     nextAt = sim.now + backMs * 2 + world.workerLeaseMs;
   });
 }
 
-/** The names of the leader, of the owners of partitions that have a reclaim, or of both. */
+/** The names of the leader, of the owners of partitions with a reclaim, or of both. */
 function controllersOfReclaims(world: World, who: 'leader' | 'owner' | 'both'): Set<string> {
   const names = new Set<string>();
   const leader = world.leader();
--- a/packages/testkit/src/faults/cloud-faults.ts
+++ b/packages/testkit/src/faults/cloud-faults.ts
@@ -1,13 +1,13 @@
-// Faults of the cloud: it serves nobody, lists what is long past, or lets machines boot fast, late or never.
+// Faults of the cloud: outages, outdated machine lists, and machines that boot fast, late or never.
 import { type FaultTable, statedDurationMs } from './fault-table';
 
 /** A fault of the cloud. */
 export type CloudFault =
   | { readonly kind: 'cloud outage'; readonly forMs: number }
   | { readonly kind: 'fast boots'; readonly forMs: number }
-  /** Machines that are rented now come up late, or never: this share never, the others so many times as slowly. */
+  /** Of the machines rented meanwhile, the share `never` does not boot; the others take `factor` times as long. */
   | { readonly kind: 'boot trouble'; readonly never: number; readonly factor: number; readonly forMs: number }
-  /** The cloud lists its machines as they were so long ago. */
+  /** The cloud lists its machines as they were `ms` earlier. */
   | { readonly kind: 'stale list'; readonly ms: number; readonly forMs: number };
 
 /** Faults of the cloud by kind. */
--- a/packages/testkit/src/faults/controller-faults.ts
+++ b/packages/testkit/src/faults/controller-faults.ts
@@ -1,34 +1,33 @@
-// Faults of controllers: they crash and come back, stand still, have wrong clocks, or lose the lease that others rely
-// on.
+// Faults of controllers: they crash and restart, freeze, have clock jumps, or lose their store lease.
 import type { World } from '../simulation/world';
 import type { FaultTargets } from './fault-targets';
 import { type FaultOfKind, type FaultTable, statedDurationMs } from './fault-table';
 import { cutNode, isBetweenZoneAndOthers } from './network-faults';
 
-/** A fault of controllers. `node` is the number of one; -1 is whoever leads. */
+/** A fault of controllers. `node` is the index of a controller; -1 means the leader. */
 export type ControllerFault =
   | { readonly kind: 'crash'; readonly nodes: readonly number[]; readonly backMs: number }
-  /** Ends again and again, and is back within a fraction of a second. */
+  /** A controller crashes every `everyMs`, `times` times, and restarts after a third of that interval. */
   | { readonly kind: 'flapping'; readonly node: number; readonly times: number; readonly everyMs: number }
-  /** Whoever leads ends, again and again. */
+  /** The current leader crashes, repeatedly. */
   | { readonly kind: 'leaders end'; readonly times: number; readonly everyMs: number; readonly backMs: number }
-  /** All controllers are restarted, one after the other. */
+  /** All controllers restart, one after the other. */
   | { readonly kind: 'rolling restarts'; readonly everyMs: number; readonly backMs: number }
-  /** A controller stands still while its clocks run on; on waking it takes what has come, or runs its timers, first. */
+  /** A controller freezes while its clocks run on; on resuming, it handles either pending input or due timers first. */
   | {
       readonly kind: 'freeze';
       readonly node: number;
       readonly forMs: number;
       readonly wakes: 'input first' | 'timers first';
     }
-  /** The times of day of all controllers jump from one end of what is allowed to the other, again and again. */
+  /** The wall clocks of all controllers repeatedly jump between the two ends of the permitted skew. */
   | { readonly kind: 'clocks jump'; readonly everyMs: number; readonly forMs: number }
   /**
-   * One controller's state lease ends, which the others read late; nothing that it then writes is answered, and its
-   * zone loses all others.
+   * A controller's store lease expires, which its peers read late. Its transactions get no answer, and its zone is cut
+   * off from the other zones.
    */
   | { readonly kind: 'lapsed apart'; readonly node: number; readonly lapseMs: number; readonly forMs: number }
-  /** One controller ends and is back, with slow reads and a lease that ends; then it loses state service and peers. */
+  /** A controller restarts with slow reads and no lease renewals, then is cut off from the state service and peers. */
   | {
       readonly kind: 'back and cut off';
       readonly node: number;
@@ -42,14 +41,14 @@
 export const CONTROLLER_FAULTS: FaultTable<ControllerFault> = {
   crash: {
     inject: (_world, { nodes, backMs }, targets) => {
-      for (const node of nodes) targets.crashFor(targets.node(node), backMs);
+      for (const node of nodes) targets.crashAndRestart(targets.node(node), backMs);
     },
     durationMs: ({ backMs }) => backMs,
   },
   flapping: { inject: flap, durationMs: ({ times, everyMs }) => times * everyMs },
   'leaders end': {
     inject: ({ sim }, { times, everyMs, backMs }, targets) => {
-      for (let i = 0; i < times; i++) sim.after(i * everyMs, () => targets.crashFor(targets.node(-1), backMs));
+      for (let i = 0; i < times; i++) sim.after(i * everyMs, () => targets.crashAndRestart(targets.node(-1), backMs));
     },
     durationMs: ({ times, everyMs, backMs }) => times * everyMs + backMs,
   },
@@ -67,7 +66,7 @@
     },
     durationMs: statedDurationMs,
   },
-  'lapsed apart': { inject: lapseApart, durationMs: ({ lapseMs, forMs }) => lapseMs + forMs },
+  'lapsed apart': { inject: expireLeaseAndIsolateZone, durationMs: ({ lapseMs, forMs }) => lapseMs + forMs },
   'back and cut off': {
     inject: restartAndCutOff,
     durationMs: ({ backMs, afterMs, forMs }) => backMs + afterMs + forMs,
@@ -93,18 +92,18 @@
   }
 }
 
-/** The reads of the others take this share of a heartbeat interval longer while the lease ends. */
+/** The delay of the peers' reads while the lease expires, as a share of the heartbeat interval. */
 const SLOW_READ_SHARE = 0.7;
 
-function lapseApart(
+function expireLeaseAndIsolateZone(
   world: World,
   { node, lapseMs, forMs }: FaultOfKind<ControllerFault, 'lapsed apart'>,
   targets: FaultTargets,
 ): void {
   const { sim, network, state } = world;
   const name = targets.node(node);
-  targets.addFor(state.unrenewed, name, lapseMs);
-  targets.addFor(state.unansweredFrom, name, lapseMs + forMs);
+  targets.addTemporarily(state.unrenewed, name, lapseMs);
+  targets.addTemporarily(state.unansweredFrom, name, lapseMs + forMs);
   for (const other of world.controllers) {
     if (other === name) continue;
     state.slowReadsOf.set(other, world.heartbeatIntervalMs * SLOW_READ_SHARE);
@@ -121,9 +120,9 @@
 ): void {
   const { sim, state } = world;
   const name = targets.node(node);
-  targets.crashFor(name, backMs);
+  targets.crashAndRestart(name, backMs);
   state.slowReadsOf.set(name, readMs);
-  targets.addFor(state.unrenewed, name, backMs + afterMs + forMs);
+  targets.addTemporarily(state.unrenewed, name, backMs + afterMs + forMs);
   sim.after(backMs + afterMs, () => {
     state.slowReadsOf.delete(name);
     world.recordOccurrence('node cut');
--- a/packages/testkit/src/faults/fault-table.ts
+++ b/packages/testkit/src/faults/fault-table.ts
@@ -1,9 +1,9 @@
-// How a kind of fault is described: what it does to a simulated deployment and how long that lasts. The faults of a
-// concern form a table by kind, whose type demands a row for each kind.
+// Types of fault tables. A table maps each fault kind of one area to its effect on a simulated deployment and its
+// duration; its type requires an entry for each kind.
 import type { World } from '../simulation/world';
 import type { FaultTargets } from './fault-targets';
 
-/** What all faults have: the kind that recorded scenarios name. */
+/** The field common to all faults; recorded scenarios contain the kind. */
 export interface FaultBase {
   readonly kind: string;
 }
@@ -11,11 +11,11 @@
 /** The member of the union `F` that has the kind `K`. */
 export type FaultOfKind<F extends FaultBase, K extends F['kind']> = Extract<F, { readonly kind: K }>;
 
-/** What is known of one kind of fault. */
+/** Injects one kind of fault and computes its duration. */
 export interface FaultHandler<F extends FaultBase> {
-  /** Begins the fault now, and schedules its end. */
+  /** Starts the fault now and schedules its end. */
   inject(world: World, fault: F, targets: FaultTargets): void;
-  /** How long the fault lasts, what it leaves under way included, in a deployment of so many controllers. */
+  /** The duration including delayed effects, in milliseconds; it may depend on the number of controllers. */
   durationMs(fault: F, controllerCount: number): number;
 }
 
@@ -24,12 +24,12 @@
   readonly [K in F['kind']]: FaultHandler<FaultOfKind<F, K>>;
 };
 
-/** The duration of a fault that says itself how long it lasts and leaves nothing under way. */
+/** The duration of a fault that lasts for its `forMs` and has no delayed effects. */
 export function statedDurationMs({ forMs }: { readonly forMs: number }): number {
   return forMs;
 }
 
-/** The duration of a fault that is over at once. */
+/** The duration of a fault that ends immediately. */
 export function noDurationMs(): number {
   return 0;
 }
--- a/packages/testkit/src/faults/fault-targets.ts
+++ b/packages/testkit/src/faults/fault-targets.ts
@@ -1,28 +1,28 @@
-// Whom a fault strikes, by the numbers that a generator draws, and for how long.
+// Resolves the targets of faults from the indexes that a generator draws, and limits effects in time.
 import type { Cut } from '../simulation/network';
 import type { World } from '../simulation/world';
 
-/** How often a fault that waits for a state of the deployment looks whether it has come. */
+/** How often a fault that waits for a state of the deployment checks for it. */
 const POLL_INTERVAL_MS = 20;
 
-/** Resolves the numbers in a fault to controllers, machines and zones, and applies effects that end after a time. */
+/** Resolves the indexes in a fault to controllers, machines and zones, and applies effects for a limited time. */
 export class FaultTargets {
   constructor(readonly world: World) {}
 
-  /** The name of a controller; -1 is whoever leads. */
+  /** The name of a controller. -1 means the leader, or the first controller if there is none. */
   node(index: number): string {
     const { nodes } = this.world;
     const leader = index < 0 ? this.world.leader() : null;
     return leader ?? nodes[Math.max(0, index) % nodes.length]!.name;
   }
 
-  /** Undefined: there is no machine. */
+  /** The name of a machine; undefined if there is no machine. */
   machine(index: number): string | undefined {
     const names = [...this.world.workers.keys()];
     return names[index % Math.max(1, names.length)];
   }
 
-  /** Several machines that follow each other, each once; none if there is no machine. */
+  /** The distinct names of `count` consecutive machines; empty if there is no machine. */
   machines(from: number, count: number): string[] {
     const names = Array.from({ length: count }, (_, i) => this.machine(from + i));
     return [...new Set(names)].filter((name) => name !== undefined);
@@ -34,7 +34,7 @@
     return zones[index % zones.length]!;
   }
 
-  /** Cuts these routes, each from the first host to the second, for a time. */
+  /** Cuts each route, from the first host to the second, for `forMs`. */
   cutRoutes(routes: readonly (readonly [string, string])[], how: Cut, forMs: number): void {
     const { network, sim } = this.world;
     for (const [from, to] of routes) network.cut(from, to, how);
@@ -43,20 +43,20 @@
     });
   }
 
-  /** Has the name in the set of affected ones for a time. */
-  addFor(affected: Set<string>, name: string, forMs: number): void {
+  /** Adds the name to the set and removes it after `forMs`. */
+  addTemporarily(affected: Set<string>, name: string, forMs: number): void {
     affected.add(name);
     this.world.sim.after(forMs, () => affected.delete(name));
   }
 
-  /** Kills a controller, which is started again after a time. */
-  crashFor(name: string, backMs: number): void {
+  /** Kills a controller and starts it again after `backMs`. */
+  crashAndRestart(name: string, backMs: number): void {
     this.world.crash(name);
     this.world.sim.after(backMs, () => this.world.startNode(name));
   }
 }
 
-/** Acts now and again until the time is over; `nextInMs` is asked after each act how long to wait for the next. */
+/** Calls `act` now and repeatedly for `forMs`; after each call, `nextInMs` returns the time to the next. */
 export function repeatFor({ sim }: World, forMs: number, act: () => void, nextInMs: () => number): void {
   const until = sim.now + forMs;
   const next = (): void => {
@@ -67,13 +67,13 @@
   next();
 }
 
-/** Looks now and every few milliseconds until the time is over; `end` is called after the last look. */
-export function pollFor({ sim }: World, forMs: number, look: () => void, end: () => void = () => undefined): void {
+/** Calls `check` now and every `POLL_INTERVAL_MS` for `forMs`, then `onEnd` once. */
+export function pollFor({ sim }: World, forMs: number, check: () => void, onEnd: () => void = () => undefined): void {
   const until = sim.now + forMs;
   const poll = (): void => {
-    look();
+    check();
     if (sim.now < until) sim.after(POLL_INTERVAL_MS, poll);
-    else end();
+    else onEnd();
   };
   poll();
 }
--- a/packages/testkit/src/faults/faults.ts
+++ b/packages/testkit/src/faults/faults.ts
@@ -1,4 +1,4 @@
-// Faults as data, so that a generator can draw them and a shrinker can take them away one by one.
+// Faults as data, so that a generator can draw them and a shrinker can remove them one by one.
 import { BORROWING_FAULTS, type BorrowingFault } from './borrowing-faults';
 import { CLOUD_FAULTS, type CloudFault } from './cloud-faults';
 import { CONTROLLER_FAULTS, type ControllerFault } from './controller-faults';
@@ -13,7 +13,7 @@
 import { USER_FAULTS, type UserFault } from './user-faults';
 import type { World } from '../simulation/world';
 
-/** Whatever can go wrong in a scenario. */
+/** Any fault of a scenario. */
 export type Fault =
   | NetworkFault
   | MachineFault
@@ -39,18 +39,18 @@
   ...GROUP_FAULTS,
 };
 
-/** The compiler can't tell that the row of a fault's own kind takes that very fault; the type of the table says so. */
+/** The handler for the fault's kind. `FaultTable` ensures that it accepts the fault, which the compiler can't infer. */
 function handlerOf({ kind }: Fault): FaultHandler<Fault> {
   return FAULTS[kind];
 }
 
-/** Lets the fault begin now. */
+/** Starts the fault now and counts its kind as an occurrence. */
 export function injectFault(world: World, fault: Fault): void {
   world.recordOccurrence(fault.kind);
   handlerOf(fault).inject(world, fault, new FaultTargets(world));
 }
 
-/** How long a fault lasts, what it leaves under way included, in a deployment of so many controllers. */
+/** The fault's duration including delayed effects, in milliseconds; it may depend on the number of controllers. */
 export function faultDurationMs(fault: Fault, controllerCount: number): number {
   return handlerOf(fault).durationMs(fault, controllerCount);
 }
--- a/packages/testkit/src/faults/group-faults.ts
+++ b/packages/testkit/src/faults/group-faults.ts
@@ -1,12 +1,11 @@
-// What replica groups have to live through: machines and controllers that end as a group comes to a state, and users
-// who cancel it then.
+// Faults of replica groups: as a group enters a state, machines or controllers fail, or users cancel the group.
 import { type JobSpec, type GroupState, taskName } from '@gingerlock/wire';
 import type { World } from '../simulation/world';
 import { type FaultTargets, pollFor } from './fault-targets';
 import { type FaultOfKind, type FaultTable, statedDurationMs } from './fault-table';
-import { type MachineIncident, strikeMachine } from './machine-faults';
+import { type MachineIncident, injectIncident } from './machine-faults';
 
-/** A fault that strikes replica groups. */
+/** A fault of replica groups. */
 export type GroupFault =
   /** A team submits services of several members, one after the other. */
   | {
@@ -17,7 +16,7 @@
       readonly everyMs: number;
       readonly place: 'any' | 'spread' | 'one zone' | 'spot';
     }
-  /** Something happens to machines of members as groups come to a state, to so many of each. */
+  /** As groups enter the state, an incident affects up to `machines` machines of members in a share of the cases. */
   | {
       readonly kind: 'members trouble';
       readonly state: GroupState;
@@ -28,11 +27,11 @@
       readonly forMs: number;
     }
   /**
-   * The process of one member fails after its group has served for a moment, each time that it comes to serve. That is
-   * the work's own doing and no fault of the deployment: audits of progress hold meanwhile.
+   * The process of one member fails `afterMs` after its group starts to serve, up to `times` times for each group. Its
+   * duration is zero, as failures of user code must not suspend the audits of progress.
    */
   | { readonly kind: 'members fail'; readonly afterMs: number; readonly times: number; readonly forMs: number }
-  /** Controllers end as a group comes to a state, again and again. */
+  /** Controllers repeatedly crash as a group enters the state. */
   | {
       readonly kind: 'crash at group';
       readonly who: 'leader' | 'owners' | 'all';
@@ -43,7 +42,7 @@
     }
   | { readonly kind: 'groups cancelled'; readonly state: GroupState; readonly share: number; readonly forMs: number };
 
-/** The class of the services that these faults submit. */
+/** The job class of the services that these faults submit. */
 export const GROUP_CLASS = 'replicated';
 
 /** Faults of replica groups by kind. */
@@ -51,9 +50,9 @@
   groups: { inject: submitGroups, durationMs: ({ count, everyMs }) => count * everyMs },
   'members trouble': {
     inject: (world, fault) =>
-      onState(world, fault, (job) => {
+      onEnteredState(world, fault, (job) => {
         if (world.sim.random() < fault.share)
-          world.sim.after(fault.afterMs, () => strikeMachinesOfMembers(world, job, fault));
+          world.sim.after(fault.afterMs, () => injectIncidentOnMembers(world, job, fault));
       }),
     durationMs: ({ forMs, afterMs }) => forMs * 2 + afterMs,
   },
@@ -61,7 +60,7 @@
   'crash at group': { inject: crashAtGroup, durationMs: ({ forMs, afterMs, backMs }) => forMs + afterMs + backMs },
   'groups cancelled': {
     inject: (world, fault) =>
-      onState(world, fault, (job) => {
+      onEnteredState(world, fault, (job) => {
         if (world.sim.random() >= fault.share) return;
         world.recordOccurrence(`cancelled while ${fault.state}`);
         void world.users.cancel(job);
@@ -70,7 +69,7 @@
   },
 };
 
-const PLACES: Record<FaultOfKind<GroupFault, 'groups'>['place'], Partial<JobSpec>> = {
+const PLACEMENTS: Record<FaultOfKind<GroupFault, 'groups'>['place'], Partial<JobSpec>> = {
   any: {},
   spread: { spread: true },
   'one zone': { oneZone: true },
@@ -92,14 +91,14 @@
       spread: false,
       spot: false,
       estimateS: 0,
-      ...PLACES[place],
+      ...PLACEMENTS[place],
     };
     world.sim.after(i * everyMs, () => void world.users.live(spec, null));
   }
 }
 
-/** Calls back each time that a group comes to the state. */
-function onState(
+/** Calls `onGroup` each time that a group enters the state within `forMs` from now. */
+function onEnteredState(
   world: World,
   { state, forMs }: { readonly state: GroupState; readonly forMs: number },
   onGroup: (job: string) => void,
@@ -114,20 +113,20 @@
   });
 }
 
-function strikeMachinesOfMembers(
+function injectIncidentOnMembers(
   world: World,
   job: string,
   { what, state, machines: machineCount, forMs }: FaultOfKind<GroupFault, 'members trouble'>,
 ): void {
   const record = world.groups.seen.get(job)?.record;
   const machines = [...new Set(record?.members.map(({ machine }) => machine))].slice(0, machineCount);
-  for (const machine of machines) if (world.workers.has(machine)) strikeMachine(world, machine, what, forMs);
+  for (const machine of machines) if (world.workers.has(machine)) injectIncident(world, machine, what, forMs);
   if (machines.length > 0) world.recordOccurrence(`members ${what} while ${state}`);
 }
 
 function failMembers(world: World, fault: FaultOfKind<GroupFault, 'members fail'>): void {
   const timesByJob = new Map<string, number>();
-  onState(world, { state: 'serving', forMs: fault.forMs }, (job) => {
+  onEnteredState(world, { state: 'serving', forMs: fault.forMs }, (job) => {
     const times = timesByJob.get(job) ?? 0;
     if (times >= fault.times) return;
     timesByJob.set(job, times + 1);
@@ -146,12 +145,12 @@
 function crashAtGroup(world: World, fault: FaultOfKind<GroupFault, 'crash at group'>, targets: FaultTargets): void {
   const { sim } = world;
   let nextAt = sim.now;
-  onState(world, fault, (job) => {
+  onEnteredState(world, fault, (job) => {
     if (sim.now < nextAt) return;
     nextAt = sim.now + fault.afterMs + fault.backMs + world.workerLeaseMs;
     sim.after(fault.afterMs, () => {
       world.recordOccurrence(`crash while ${fault.state}`);
-      for (const name of controllersOfGroup(world, job, fault.who)) targets.crashFor(name, fault.backMs);
+      for (const name of controllersOfGroup(world, job, fault.who)) targets.crashAndRestart(name, fault.backMs);
     });
   });
 }
--- a/packages/testkit/src/faults/heartbeat-faults.ts
+++ b/packages/testkit/src/faults/heartbeat-faults.ts
@@ -1,11 +1,11 @@
-// Faults of heartbeats: old ones that come to controllers which have just begun a term.
+// Faults of heartbeats: old heartbeats that reach controllers just after the start of a term.
 import { KEYS } from '@gingerlock/wire';
 import { observeDirect } from '../simulation/traffic';
 import type { World } from '../simulation/world';
 import { pollFor } from './fault-targets';
 import { type FaultTable, statedDurationMs } from './fault-table';
 
-/** Copies of heartbeats are kept until a new leader or owner begins, and then come to every controller. */
+/** Copies of heartbeats are held until a new leader's or owner's term starts and then reach every controller. */
 export interface HeartbeatFault {
   readonly kind: 'reports for the next';
   readonly share: number;
@@ -17,10 +17,10 @@
   'reports for the next': { inject: replayHeartbeats, durationMs: statedDurationMs },
 };
 
-/** Copies come to each controller within so many milliseconds. */
+/** The maximum delay with which a copy reaches a controller. */
 const REPLAY_WITHIN_MS = 500;
 
-/** Keeps copies of heartbeats, the oldest of each worker, and gives them to every controller when a term begins. */
+/** Keeps the oldest sampled heartbeat of each worker and delivers the copies to all controllers when a term starts. */
 function replayHeartbeats(world: World, { share, forMs }: HeartbeatFault): void {
   const { sim, network, state } = world;
   const keptByWorker = new Map<string, Buffer>();
@@ -31,18 +31,18 @@
   };
   const termVersion = (): number | undefined => state.data.get(KEYS.term)?.version;
   let seenVersion = termVersion();
-  const look = (): void => {
+  const checkTerm = (): void => {
     if (termVersion() === seenVersion) return;
     seenVersion = termVersion();
     for (const [worker, body] of keptByWorker) deliverToAll(world, worker, body);
     keptByWorker.clear();
   };
-  pollFor(world, forMs, look, () => {
+  pollFor(world, forMs, checkTerm, () => {
     network.onSent = onSentBefore;
   });
 }
 
-/** An old heartbeat of the worker comes to every controller that runs then. */
+/** Delivers an old heartbeat of the worker to every running controller. */
 function deliverToAll(world: World, worker: string, body: Buffer): void {
   const { sim, network } = world;
   world.recordOccurrence('old report');
--- a/packages/testkit/src/faults/machine-faults.ts
+++ b/packages/testkit/src/faults/machine-faults.ts
@@ -1,14 +1,14 @@
-// Faults of machines: they hang, are not heard or hear nothing, are slow, at fault, taken back or dead.
+// Faults of machines: they hang, lose connectivity in one direction, are slow, unhealthy, evicted or dead.
 import type { World } from '../simulation/world';
 import type { FaultTargets } from './fault-targets';
 import { type FaultOfKind, type FaultTable, noDurationMs, statedDurationMs } from './fault-table';
 
-/** A fault of machines. `machine` is the number of the first one that is struck. */
+/** A fault of machines. `machine` is the index of the first affected machine. */
 export type MachineFault =
   | { readonly kind: 'machines hang'; readonly machine: number; readonly count: number; readonly forMs: number }
-  /** What controllers send them is lost. */
+  /** Messages from controllers to the machines are lost. */
   | { readonly kind: 'deaf machines'; readonly machine: number; readonly count: number; readonly forMs: number }
-  /** What they send controllers is held back or lost. */
+  /** Requests from the machines to controllers are held back or lost. */
   | {
       readonly kind: 'mute machines';
       readonly machine: number;
@@ -18,15 +18,15 @@
     }
   | { readonly kind: 'machine dies'; readonly machine: number; readonly listedAs: 'failed' | 'gone' }
   | { readonly kind: 'unhealthy machine'; readonly machine: number; readonly forMs: number }
-  /** The cloud takes back this share of the spot machines, with or without notice. */
+  /** The cloud evicts a share of the spot machines, with an eviction notice if `noticeMs` is positive. */
   | { readonly kind: 'spot wave'; readonly share: number; readonly noticeMs: number }
   | { readonly kind: 'slow machine'; readonly machine: number; readonly factor: number; readonly forMs: number };
 
 /** Faults of machines by kind. */
 export const MACHINE_FAULTS: FaultTable<MachineFault> = {
   'machines hang': { inject: hangMachines, durationMs: statedDurationMs },
-  'deaf machines': { inject: deafenMachines, durationMs: statedDurationMs },
-  'mute machines': { inject: muteMachines, durationMs: statedDurationMs },
+  'deaf machines': { inject: cutRoutesToMachines, durationMs: statedDurationMs },
+  'mute machines': { inject: cutRoutesFromMachines, durationMs: statedDurationMs },
   'machine dies': {
     inject: (world, { machine, listedAs }, targets) => {
       const name = targets.machine(machine);
@@ -35,7 +35,7 @@
     durationMs: noDurationMs,
   },
   'unhealthy machine': { inject: makeUnhealthy, durationMs: statedDurationMs },
-  'spot wave': { inject: takeSpotMachines, durationMs: ({ noticeMs }) => noticeMs * 1.5 },
+  'spot wave': { inject: evictSpotMachines, durationMs: ({ noticeMs }) => noticeMs * 1.5 },
   'slow machine': { inject: slowMachine, durationMs: statedDurationMs },
 };
 
@@ -44,36 +44,36 @@
   { machine, count, forMs }: FaultOfKind<MachineFault, 'machines hang'>,
   targets: FaultTargets,
 ): void {
-  // One after the other, also the same again where there are fewer.
+  // If `count` exceeds the number of machines, some are frozen more than once, which changes nothing.
   for (let i = 0; i < count; i++) {
     const name = targets.machine(machine + i);
     if (name !== undefined) network.freeze(name, forMs);
   }
 }
 
-function deafenMachines(
+function cutRoutesToMachines(
   { nodes }: World,
   { machine, count, forMs }: FaultOfKind<MachineFault, 'deaf machines'>,
   targets: FaultTargets,
 ): void {
-  const deaf = targets.machines(machine, count);
-  const routes = deaf.flatMap((name) => nodes.map((node) => [node.name, name] as const));
+  const names = targets.machines(machine, count);
+  const routes = names.flatMap((name) => nodes.map((node) => [node.name, name] as const));
   targets.cutRoutes(routes, 'lose', forMs);
 }
 
-function muteMachines(
+function cutRoutesFromMachines(
   { network, nodes, sim }: World,
   { machine, count, how, forMs }: FaultOfKind<MachineFault, 'mute machines'>,
   targets: FaultTargets,
 ): void {
-  const mute = targets.machines(machine, count);
+  const names = targets.machines(machine, count);
   if (how === 'lose') {
-    // Direct commands reach them, and are answered.
-    for (const name of mute) network.mute.add(name);
-    sim.after(forMs, () => mute.forEach((name) => network.mute.delete(name)));
+    // The machines still receive and answer direct commands.
+    for (const name of names) network.mute.add(name);
+    sim.after(forMs, () => names.forEach((name) => network.mute.delete(name)));
     return;
   }
-  const routes = mute.flatMap((name) => nodes.map((node) => [name, node.name] as const));
+  const routes = names.flatMap((name) => nodes.map((node) => [name, node.name] as const));
   targets.cutRoutes(routes, how, forMs);
 }
 
@@ -91,7 +91,7 @@
   });
 }
 
-function takeSpotMachines(world: World, { share, noticeMs }: FaultOfKind<MachineFault, 'spot wave'>): void {
+function evictSpotMachines(world: World, { share, noticeMs }: FaultOfKind<MachineFault, 'spot wave'>): void {
   const { sim } = world;
   for (const [name, worker] of world.workers) {
     if (!worker.spot || sim.random() > share) continue;
@@ -113,14 +113,11 @@
   });
 }
 
-/** What can happen to one machine at the moment when something else is under way on it. */
+/** An incident that affects one machine while an operation is in progress on it. */
 export type MachineIncident = 'die' | 'hang' | 'mute' | 'notice';
 
-/**
- * Lets it happen to a machine that is up; all but death lasts for a time, and a notice ends with the machine being
- * taken back.
- */
-export function strikeMachine(world: World, machine: string, what: MachineIncident, forMs: number): void {
+/** Injects an incident on a running machine for `forMs`; 'die' is permanent, and 'notice' ends with the eviction. */
+export function injectIncident(world: World, machine: string, what: MachineIncident, forMs: number): void {
   const { sim, network } = world;
   switch (what) {
     case 'die':
--- a/packages/testkit/src/faults/network-faults.ts
+++ b/packages/testkit/src/faults/network-faults.ts
@@ -1,10 +1,10 @@
-// Faults of the network: routes that lose, hold back, refuse, slow down or repeat what goes over them.
+// Faults of the network: routes that lose, delay, refuse or duplicate messages.
 import type { Cut, RoutePredicate } from '../simulation/network';
 import type { World } from '../simulation/world';
 import type { FaultTargets } from './fault-targets';
 import { type FaultOfKind, type FaultTable, statedDurationMs } from './fault-table';
 
-/** A fault of the network. `node` is the number of a controller, `zone` that of a zone. */
+/** A fault of the network. `node` is the index of a controller, `zone` that of a zone. */
 export type NetworkFault =
   | {
       readonly kind: 'node cut';
@@ -13,19 +13,19 @@
       readonly how: Cut;
       readonly forMs: number;
     }
-  /** A controller reaches nobody and nobody reaches it, users included; it runs on. */
+  /** A controller keeps running, but is cut off from all other hosts, including users. */
   | { readonly kind: 'silent controller'; readonly node: number; readonly how: Cut; readonly forMs: number }
   | { readonly kind: 'slow controller'; readonly node: number; readonly ms: number; readonly forMs: number }
   | { readonly kind: 'peers refused'; readonly forMs: number }
-  /** A zone loses all hosts outside it, those that belong to no zone included. */
+  /** A zone is cut off from all hosts outside it, including those that belong to no zone. */
   | { readonly kind: 'zone cut'; readonly zone: number; readonly how: 'hold' | 'lose'; readonly forMs: number }
-  /** A zone loses all others, while the state service, the cloud and users are reached from everywhere. */
+  /** A zone is cut off from all other zones, but not from the state service, the cloud and users. */
   | { readonly kind: 'zone apart'; readonly zone: number; readonly how: 'hold' | 'lose'; readonly forMs: number }
-  /** Two zones lose each other. */
+  /** Two zones are cut off from each other. */
   | { readonly kind: 'zones apart'; readonly zone: number; readonly how: 'hold' | 'lose'; readonly forMs: number }
-  /** Copies of this share of the requests come late. */
+  /** A share of the requests is duplicated, and the copies arrive late. */
   | { readonly kind: 'late copies'; readonly share: number; readonly withinMs: number; readonly forMs: number }
-  /** The same for messages between controllers. */
+  /** A share of the messages between controllers is duplicated, and the copies arrive late. */
   | { readonly kind: 'late peer copies'; readonly share: number; readonly withinMs: number; readonly forMs: number }
   | { readonly kind: 'lost answers'; readonly share: number; readonly forMs: number };
 
@@ -71,7 +71,7 @@
   },
 };
 
-/** Cuts one controller off from the state service, its peers, both, or the workers. */
+/** Cuts a controller off from the state service, its peers, both of these, or the workers. */
 export function cutNode(
   world: World,
   { node, from: cutFrom, how, forMs }: FaultOfKind<NetworkFault, 'node cut'>,
@@ -87,14 +87,14 @@
   }
   targets.cutRoutes(routes, how, forMs);
   if (cutFrom !== 'workers') return;
-  // Those too that come up during the cut.
+  // A predicate also covers workers that come up during the cut.
   const isWorker = (host: string): boolean => world.workers.has(host.replace(/:\d+$/, ''));
   const isCut: RoutePredicate = (from, to) => (from === name && isWorker(to)) || (to === name && isWorker(from));
   const heal = world.network.wall(isCut, how);
   world.sim.after(forMs, heal);
 }
 
-/** Whether a host is the controller, as its clients or as its peers know it. */
+/** Returns a predicate that matches the controller's host names for clients and for peers. */
 function isHostOf(node: string): (host: string) => boolean {
   return (host) => host === node || host === `peer:${node}`;
 }
@@ -105,8 +105,8 @@
   targets: FaultTargets,
 ): void {
   const name = targets.node(node);
-  const isIt = isHostOf(name);
-  const heal = network.wall((from, to) => isIt(from) || isIt(to), how);
+  const isController = isHostOf(name);
+  const heal = network.wall((from, to) => isController(from) || isController(to), how);
   silent.add(name);
   sim.after(forMs, () => {
     heal();
@@ -119,8 +119,8 @@
   { node, ms, forMs }: FaultOfKind<NetworkFault, 'slow controller'>,
   targets: FaultTargets,
 ): void {
-  const isIt = isHostOf(targets.node(node));
-  const heal = network.slow((from, to) => isIt(from) || isIt(to), ms);
+  const isController = isHostOf(targets.node(node));
+  const heal = network.slow((from, to) => isController(from) || isController(to), ms);
   sim.after(forMs, heal);
 }
 
@@ -150,7 +150,7 @@
   world.sim.after(forMs, heal);
 }
 
-/** Holds between the zone and all others; what belongs to no zone is reached from everywhere. */
+/** Returns a predicate for routes between the zone and other zones; routes of hosts without a zone do not match. */
 export function isBetweenZoneAndOthers(world: World, zone: string): RoutePredicate {
   return (from, to) => {
     const zones = [world.zoneOf(from), world.zoneOf(to)];
@@ -165,7 +165,7 @@
   network.copies = {
     share,
     withinMs,
-    // Heartbeats, stops, and all that is asked of the state service and of the cloud.
+    // Heartbeats, stops, and all requests to the state service and the cloud.
     only: (path) => path !== '/inspect',
   };
   sim.after(forMs, () => {
--- a/packages/testkit/src/faults/state-faults.ts
+++ b/packages/testkit/src/faults/state-faults.ts
@@ -1,33 +1,33 @@
-// Faults of the state service: it serves nobody or not all, answers late or not at all, and keeps less than usual.
+// Faults of the state service: outages, refused requests, late or lost answers, and short event histories.
 import type { FaultTargets } from './fault-targets';
 import { type FaultOfKind, type FaultTable, noDurationMs, statedDurationMs } from './fault-table';
 import type { World } from '../simulation/world';
 
-/** A fault of the state service. `node` is the number of a controller. */
+/** A fault of the state service. `node` is the index of a controller. */
 export type StateFault =
   | { readonly kind: 'state outage'; readonly forMs: number }
-  /** It refuses one controller with 503, whose lease expires; or carries out its requests and the answers are lost. */
+  /** One controller's requests are refused with 503, so that its lease expires, or executed but their answers lost. */
   | {
       readonly kind: 'state refuses one';
       readonly node: number;
       readonly how: 'refuse' | 'lose answers';
       readonly forMs: number;
     }
-  /** Answers of the state service are lost, to reads and transactions alike. */
+  /** A share of the answers of the state service is lost, for reads and transactions alike. */
   | { readonly kind: 'state answers lost'; readonly share: number; readonly forMs: number }
-  /** Transactions get no answer, and are carried out at once or seconds later, after newer ones. */
+  /** A share of the transactions gets no answer and is executed at once, or seconds later and after newer ones. */
   | { readonly kind: 'late writes'; readonly share: number; readonly atOnce: boolean; readonly forMs: number }
-  /** The state service lowers its limits to those that the settings announce, for good. */
+  /** The state service permanently lowers its limits to those that the settings announce. */
   | { readonly kind: 'state limits' }
   | { readonly kind: 'events forgotten' }
   | { readonly kind: 'slow state service'; readonly ms: number; readonly forMs: number }
-  /** Transactions of one controller get no answer and are never carried out; all else of it is served. */
+  /** Transactions of one controller get no answer and are never executed; its other requests are served. */
   | { readonly kind: 'writes unanswered'; readonly node: number; readonly forMs: number }
-  /** The renewals of one controller's state lease are refused: the lease ends. */
+  /** Renewals of one controller's store lease are refused, so that it expires. */
   | { readonly kind: 'renewals refused'; readonly node: number; readonly forMs: number }
-  /** One controller's reads of the state service are answered late, with what stood there when they were asked. */
+  /** One controller's reads are answered late, with the state at the time of the request. */
   | { readonly kind: 'slow reads'; readonly node: number; readonly ms: number; readonly forMs: number }
-  /** Changes come in any order and the last of each key only; few are kept, and lists have many pages. */
+  /** Watches return only the last change of each key, in any order; few events are kept, and list pages are small. */
   | {
       readonly kind: 'unhelpful reads';
       readonly keptEvents: number;
@@ -35,7 +35,7 @@
       readonly forMs: number;
     };
 
-/** Transactions that are carried out late are so at most this long after they were sent. */
+/** The maximum delay of a transaction that is executed late. */
 const LATE_WRITE_MS = 12_000;
 
 /** Faults of the state service by kind. */
@@ -79,11 +79,12 @@
     durationMs: statedDurationMs,
   },
   'writes unanswered': {
-    inject: ({ state }, { node, forMs }, targets) => targets.addFor(state.unansweredFrom, targets.node(node), forMs),
+    inject: ({ state }, { node, forMs }, targets) =>
+      targets.addTemporarily(state.unansweredFrom, targets.node(node), forMs),
     durationMs: statedDurationMs,
   },
   'renewals refused': {
-    inject: ({ state }, { node, forMs }, targets) => targets.addFor(state.unrenewed, targets.node(node), forMs),
+    inject: ({ state }, { node, forMs }, targets) => targets.addTemporarily(state.unrenewed, targets.node(node), forMs),
     durationMs: statedDurationMs,
   },
   'slow reads': {
--- a/packages/testkit/src/faults/submission-faults.ts
+++ b/packages/testkit/src/faults/submission-faults.ts
@@ -1,4 +1,4 @@
-// Load beyond the usual: pipelines, floods of small jobs, jobs with a mistake, and guests who submit more than there
+// Additional load: pipelines, floods of small jobs, jobs that always fail, and guests who submit more work than there
 // is capacity for.
 import type { JobSpec } from '@gingerlock/wire';
 import { PipelineUser } from '../standins/pipelines';
@@ -6,13 +6,13 @@
 import { repeatFor } from './fault-targets';
 import { type FaultOfKind, type FaultTable, statedDurationMs } from './fault-table';
 
-/** Jobs that come beside those that arrive in any scenario. */
+/** Jobs that are submitted in addition to the usual load of a scenario. */
 export type SubmissionFault =
-  /** Jobs of one task, so many a second, a quarter of them cancelled. */
+  /** Jobs of one task, `perS` a second, a quarter of them cancelled. */
   | { readonly kind: 'small jobs'; readonly perS: number; readonly forMs: number }
-  /** Users submit pipelines of jobs that await each other, one every so often. */
+  /** Every `everyMs`, a user submits a pipeline of jobs that await each other. */
   | { readonly kind: 'pipelines'; readonly everyMs: number; readonly forMs: number; readonly seed: number }
-  /** Arrays whose tasks fail wherever they run, until their users cancel them. */
+  /** Arrays whose tasks fail on every machine, until their users cancel them. */
   | {
       readonly kind: 'broken jobs';
       readonly count: number;
@@ -48,15 +48,15 @@
   guests: { inject: submitAsGuests, durationMs: statedDurationMs },
 };
 
-/** So small that many of them run at once whatever else does. */
-const SMALL = { cpus: 0.25, gpus: 0, memoryGb: 0.5 };
+/** The resources of a task so small that many of them fit beside other work. */
+const SMALL_TASK = { cpus: 0.25, gpus: 0, memoryGb: 0.5 };
 
-const ARRAY = { kind: 'array', spread: false, oneZone: false, zone: null, spot: true } as const;
+const ARRAY_JOB = { kind: 'array', spread: false, oneZone: false, zone: null, spot: true } as const;
 
-/** As many tasks as the largest array of guests has here: enough for several pages of a small state service. */
-const HUGE_TASKS = 1500;
+/** The number of tasks of a 'huge array': its records take several pages of a state service with low limits. */
+const HUGE_ARRAY_TASKS = 1500;
 
-/** The time to the next submission of `perS` a second: half as long to one and a half times as long as on average. */
+/** The time to the next submission, uniformly 0.5 to 1.5 times the mean interval of `perS` submissions a second. */
 function nextSubmissionMs({ sim }: World, perS: number): number {
   return (1000 / perS) * (0.5 + sim.random());
 }
@@ -71,19 +71,19 @@
 }
 
 function submitBroken(world: World, { tasks, cancelAfterMs }: FaultOfKind<SubmissionFault, 'broken jobs'>): void {
-  const spec: JobSpec = { ...world.randomJob(), ...ARRAY, ...SMALL, tasks, priority: 'normal' };
+  const spec: JobSpec = { ...world.randomJob(), ...ARRAY_JOB, ...SMALL_TASK, tasks, priority: 'normal' };
   world.brokenJobs.set(spec.id, { starts: 0, firstStartAt: null });
   void world.users.live(spec, cancelAfterMs);
 }
 
 function submitAsGuests(world: World, { what, perS, forMs }: FaultOfKind<SubmissionFault, 'guests'>): void {
-  const guest = { ...ARRAY, ...SMALL, team: world.guestTeam, priority: 'low' } as const;
-  const submit = (over: Partial<JobSpec>): void => {
-    void world.users.live({ ...world.randomJob(), ...guest, ...over }, null);
+  const guest = { ...ARRAY_JOB, ...SMALL_TASK, team: world.guestTeam, priority: 'low' } as const;
+  const submit = (overrides: Partial<JobSpec>): void => {
+    void world.users.live({ ...world.randomJob(), ...guest, ...overrides }, null);
   };
   switch (what) {
     case 'huge array':
-      submit({ tasks: HUGE_TASKS, estimateS: 0.5 });
+      submit({ tasks: HUGE_ARRAY_TASKS, estimateS: 0.5 });
       return;
     case 'long work':
       submit({ tasks: 20, estimateS: 40 });
--- a/packages/testkit/src/faults/user-faults.ts
+++ b/packages/testkit/src/faults/user-faults.ts
@@ -1,19 +1,19 @@
-// What users do beyond submitting, asking and now and then cancelling.
+// Unusual behaviour of users: mass cancellations, odd requests and frequent polling.
 import { parseTaskName } from '@gingerlock/wire';
 import { type FaultTargets, repeatFor } from './fault-targets';
 import { type FaultOfKind, type FaultTable, statedDurationMs } from './fault-table';
 import type { World } from '../simulation/world';
 
-/** Unusual conduct of users. */
+/** Unusual behaviour of users. `node` is the index of a controller. */
 export type UserFault =
-  /** Users cancel running jobs, all within a fifth of a second; some of their machines then hang. */
+  /** Users cancel running jobs, all within `CANCEL_WITHIN_MS`; some machines of these jobs hang for `hangMs`. */
   | { readonly kind: 'cancel now'; readonly count: number; readonly hangMs: number }
-  /** This share of the jobs is cancelled at the moment at which their last task completes. */
+  /** A share of the jobs is cancelled at the moment when the last task completes. */
   | { readonly kind: 'cancel at end'; readonly share: number; readonly forMs: number }
   | { readonly kind: 'odd requests'; readonly forMs: number }
-  /** Users ask for their jobs much more often than usual. */
+  /** On each change of a job's status, its user polls and resubmits at all controllers, and some users cancel. */
   | { readonly kind: 'close looks'; readonly forMs: number }
-  /** One controller alone is refused, others cancel jobs, and a moment later nobody is served. */
+  /** The state service refuses one controller while users cancel jobs, and after `afterMs` fails entirely. */
   | {
       readonly kind: 'gap';
       readonly node: number;
@@ -22,7 +22,7 @@
       readonly forMs: number;
     };
 
-/** Unusual conduct of users by kind. */
+/** Unusual behaviour of users by kind. */
 export const USER_FAULTS: FaultTable<UserFault> = {
   'cancel now': { inject: cancelNow, durationMs: ({ hangMs }) => hangMs },
   'cancel at end': {
@@ -50,11 +50,11 @@
   gap: { inject: cancelBeforeOutage, durationMs: ({ afterMs, forMs }) => afterMs + forMs },
 };
 
-/** Jobs that are cancelled together are so within so many milliseconds. */
+/** The period within which a 'cancel now' fault cancels all its jobs. */
 const CANCEL_WITHIN_MS = 200;
 
-/** At most so many machines of cancelled jobs hang. */
-const MAX_HANGING = 8;
+/** The maximum number of machines that a 'cancel now' fault freezes. */
+const MAX_HANGING_MACHINES = 8;
 
 function cancelNow(world: World, { count, hangMs }: FaultOfKind<UserFault, 'cancel now'>): void {
   const jobs = cancelSome(world, count, CANCEL_WITHIN_MS);
@@ -64,7 +64,7 @@
   for (const [taskName, machine] of world.runningTasks()) {
     if (jobs.has(parseTaskName(taskName)!.job)) machines.add(machine);
   }
-  for (const machine of [...machines].slice(0, MAX_HANGING)) world.network.freeze(machine, hangMs);
+  for (const machine of [...machines].slice(0, MAX_HANGING_MACHINES)) world.network.freeze(machine, hangMs);
 }
 
 function cancelBeforeOutage(
@@ -83,7 +83,7 @@
   });
 }
 
-/** Users cancel some jobs that run, within so many milliseconds; returns which. */
+/** Users cancel up to `count` running jobs, each within `withinMs`; returns the ids of these jobs. */
 function cancelSome(world: World, count: number, withinMs: number): Set<string> {
   const running = new Set([...world.runningTasks().keys()].map((taskName) => parseTaskName(taskName)!.job));
   const jobs = world.users
