--- a/packages/testkit/test/counts.test.ts
+++ b/packages/testkit/test/counts.test.ts
@@ -3,8 +3,8 @@
 import { FORMAT, KEYS, metaRecord } from '@gingerlock/wire';
 import { runScenario, World } from '../src/index';
 
-// The number of partitions is fixed by the first start; the number of controllers may be another one later.
-test('no partition is lost when there are more or fewer controllers than at the first start', async () => {
+// The first start fixes the number of partitions; later starts can have another number of controllers.
+test('every partition has an owner when there are more or fewer controllers than partitions', async () => {
   for (const { partitionCount, controllers } of [
     { partitionCount: 3, controllers: 5 },
     { partitionCount: 5, controllers: 2 },
--- a/packages/testkit/test/growth.test.ts
+++ b/packages/testkit/test/growth.test.ts
@@ -2,14 +2,14 @@
 import { test } from 'node:test';
 import { runScenario, World } from '../src/index';
 
-/** Work that grows in step with the fleet, give or take what chance does to some days. */
-const IN_STEP = 1.25;
+/** Counts that grow linearly with the fleet may exceed the linear value by this factor, for random variation. */
+const LINEAR_TOLERANCE = 1.25;
 
-/** How many machines stay rented on a small day is chance: one day alone would measure that. */
+/** Counts are summed over several seeds: in one small scenario they depend on how many machines stay rented. */
 const SEEDS = [6, 7, 8, 9];
 
-/** A quiet day of a fleet so many times as large. */
-async function playOf(seed: number, times: number): Promise<World> {
+/** Runs a scenario without faults in a fleet of `times` the base size. */
+async function runWithoutFaults(seed: number, times: number): Promise<World> {
   const world = new World({
     seed,
     controllers: 5,
@@ -23,14 +23,14 @@
   return world;
 }
 
-// Five controllers share a state service that does not grow, and each has the same fraction of a core: work is
-// counted, as time would say more of the machine that runs the test.
+// The capacity of the state service and the share of a core that each controller has do not grow with the fleet. The
+// test counts work, as elapsed time would depend on the machine that runs it.
 test('requests, changes and messages between controllers grow no faster than the fleet and its jobs', async () => {
   const counts: Record<string, number>[] = [];
   for (const times of [1, 2, 4]) {
     const sums = { requests: 0, changes: 0, peerBytes: 0, peerMessages: 0 };
     for (const seed of SEEDS) {
-      const world = await playOf(seed, times);
+      const world = await runWithoutFaults(seed, times);
       sums.requests += world.state.requests;
       sums.changes += world.state.changes;
       sums.peerBytes += world.peerBytes;
@@ -41,12 +41,12 @@
   for (const what of Object.keys(counts[0]!)) {
     const [one, two, four] = counts.map((c) => c[what]!) as [number, number, number];
     assert.ok(one > 0, what);
-    assert.ok(two <= one * 2 * IN_STEP, `${what}: ${one}, then ${two}`);
-    assert.ok(four <= two * 2 * IN_STEP, `${what}: ${two}, then ${four}`);
+    assert.ok(two <= one * 2 * LINEAR_TOLERANCE, `${what}: ${one}, then ${two}`);
+    assert.ok(four <= two * 2 * LINEAR_TOLERANCE, `${what}: ${two}, then ${four}`);
   }
 });
 
-test('what one controller that owns every partition asks of the state service grows no faster than the fleet', async () => {
+test('requests and changes of one controller that owns every partition grow no faster than the fleet', async () => {
   const counts: { requests: number; changes: number }[] = [];
   for (const times of [1, 4]) {
     const world = new World({
@@ -67,6 +67,6 @@
     counts.push({ requests: world.state.requests, changes: world.state.changes });
   }
   const [one, four] = counts as [(typeof counts)[0], (typeof counts)[0]];
-  assert.ok(four.requests <= one.requests * 4 * IN_STEP, `${one.requests}, then ${four.requests}`);
-  assert.ok(four.changes <= one.changes * 4 * IN_STEP, `${one.changes}, then ${four.changes}`);
+  assert.ok(four.requests <= one.requests * 4 * LINEAR_TOLERANCE, `${one.requests}, then ${four.requests}`);
+  assert.ok(four.changes <= one.changes * 4 * LINEAR_TOLERANCE, `${one.changes}, then ${four.changes}`);
 });
--- a/packages/testkit/test/mutants.test.ts
+++ b/packages/testkit/test/mutants.test.ts
@@ -1,4 +1,4 @@
-// Breaks the code on purpose, once for each invariant: a check that can't fail would prove nothing.
+// Runs one mutant, code broken on purpose, for each invariant, to show that its check can fail.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { WatchCache } from '@gingerlock/clients';
@@ -19,16 +19,16 @@
   ...OPERATIONS_MUTANTS,
 };
 
-for (const [rule, { broken, apply, faults: own = [], options, forMs = 90_000 }] of Object.entries(mutants)) {
+for (const [rule, { broken, apply, faults: extraFaults = [], options, forMs = 90_000 }] of Object.entries(mutants)) {
   test(`the check of ${rule} fails when ${broken}`, async () => {
-    const seen = new Set<Invariant>();
-    // What a mutant breaks takes its moment: it shows on one of a few days.
+    const violated = new Set<Invariant>();
+    // A mutant need not violate its invariant with every seed.
     for (const seed of [11, 12, 13, 14]) {
       let world: World | null = null;
       let restore = (): void => undefined;
-      // Some break the classes before controllers start, some the controllers once they have.
-      const late = rule === 'quota' || rule === 'went_back' || rule === 'refused';
-      if (!late) restore = apply(() => world!);
+      // Most mutants change classes before the controllers start; these three change the controllers after it.
+      const appliesAfterStart = rule === 'quota' || rule === 'went_back' || rule === 'refused';
+      if (!appliesAfterStart) restore = apply(() => world!);
       try {
         world = new World({
           seed,
@@ -36,25 +36,25 @@
           ...options,
           ...(rule === 'refused' ? { nextLimits: { valueKb: 2, txnOps: 4, writesPerS: 70 }, load: 3 } : {}),
         });
-        if (late) restore = apply(() => world!);
-        // Machines that can't be heard for a while go on running what they run.
-        const mute = [0, 1, 2, 3, 4, 5].map((machine) => ({
+        if (appliesAfterStart) restore = apply(() => world!);
+        // Machines whose messages are lost for a while keep running their tasks.
+        const muteFaults = [0, 1, 2, 3, 4, 5].map((machine) => ({
           at: 15_000 + machine * 4000,
           fault: { kind: 'mute machines' as const, machine, count: 1, how: 'lose' as const, forMs: 4500 },
         }));
-        const faults = [...mute, ...own.map((fault) => ({ at: 12_000, fault }))];
+        const faults = [...muteFaults, ...extraFaults.map((fault) => ({ at: 12_000, fault }))];
         await runScenario(world, { seed, forMs, faults });
-        for (const b of world.violations) seen.add(b.rule);
+        for (const violation of world.violations) violated.add(violation.rule);
       } finally {
         restore();
       }
-      if (seen.has(rule as Invariant)) return;
+      if (violated.has(rule as Invariant)) return;
     }
-    assert.fail(`seen: ${[...seen].join()}`);
+    assert.fail(`violated: ${[...violated].join()}`);
   });
 }
 
-test('the check of ran_cancelled sees a task on a machine that hangs', async () => {
+test('the check of ran_cancelled finds a task on a machine that hangs', async () => {
   const restore = dropStops();
   try {
     const world = new World({ seed: 12, jobs: { kind: 'service', spot: false } });
@@ -65,15 +65,17 @@
     ];
     await runScenario(world, { seed: 12, forMs: 50_000, faults });
     assert.ok(
-      world.violations.some((b) => b.rule === 'ran_cancelled' && b.detail.endsWith('which hangs')),
-      `seen: ${world.violations.map((b) => b.detail).join()}`,
+      world.violations.some(
+        (violation) => violation.rule === 'ran_cancelled' && violation.detail.endsWith('which hangs'),
+      ),
+      `violations: ${world.violations.map((violation) => violation.detail).join()}`,
     );
   } finally {
     restore();
   }
 });
 
-test('close looks see an older answer when a controller answers without having read', async () => {
+test('frequent polls find a stale answer when controllers answer without a linearizable read', async () => {
   const restore = patch(
     WatchCache.prototype,
     'linearizableRead',
@@ -83,7 +85,7 @@
       },
   );
   try {
-    const rules = new Set<Invariant>();
+    const violated = new Set<Invariant>();
     for (const seed of [1, 2, 3]) {
       const world = new World({ seed, controllers: 5 });
       await runScenario(world, {
@@ -91,10 +93,10 @@
         forMs: 60_000,
         faults: [{ at: 0, fault: { kind: 'close looks', forMs: 60_000 } }],
       });
-      for (const b of world.violations) rules.add(b.rule);
+      for (const violation of world.violations) violated.add(violation.rule);
     }
-    // A job that was accepted is not known yet, one that was called cancelled or done still runs.
-    assert.deepEqual([...rules].sort(), ['forgotten', 'went_back']);
+    // Accepted jobs are reported as unknown, and cancelled or finished jobs as running.
+    assert.deepEqual([...violated].sort(), ['forgotten', 'went_back']);
   } finally {
     restore();
   }
--- a/packages/testkit/test/support/borrowing-mutants.ts
+++ b/packages/testkit/test/support/borrowing-mutants.ts
@@ -1,4 +1,4 @@
-// Code broken on purpose, once for each check of borrowing: see mutants.test.ts.
+// One mutant for each check of borrowing; mutants.test.ts runs them.
 import { Accounts } from '@gingerlock/borrowing';
 import { LeaderBorrowing, OwnerReclaims } from '@gingerlock/daemon';
 import { PRIORITIES } from '@gingerlock/wire';
@@ -6,7 +6,7 @@
 import { type Mutant, patch } from './mutant';
 import { readJobsAs } from './patches';
 
-/** A fleet that can not grow, in which one team's surge takes what another's batch work has. */
+/** A fleet that can not grow, in which one team's surge needs the resources that another's batch jobs use. */
 const BORROWING: Pick<Mutant, 'faults' | 'options'> = {
   options: { capacity: 2, gpusMax: 48, guaranteedGpus: 34, features: { borrowing: { enabled: true, max_share: 0.5 } } },
   faults: [
@@ -17,11 +17,11 @@
   ],
 };
 
-/** The mutants that `BorrowingAudit` must find. */
+/** Mutants that `BorrowingAudit` must detect. */
 export const BORROWING_MUTANTS = {
   below_guarantee: {
     ...BORROWING,
-    broken: 'what surely runs of a team is taken for ten times as much',
+    broken: 'the CPUs and GPUs that a team surely uses are counted ten times',
     apply: () =>
       patch(
         Accounts.prototype,
@@ -37,7 +37,7 @@
   },
   promised_twice: {
     ...BORROWING,
-    broken: 'the leader does not see what is under way',
+    broken: 'the leader does not see the reclaims that are under way',
     apply: () =>
       patch(
         LeaderBorrowing.prototype,
@@ -71,24 +71,24 @@
         oneZone: false,
       },
     },
-    broken: 'priorities are read upside down',
+    broken: 'the order of priorities is reversed',
     apply: () =>
       readJobsAs((job) => {
-        const upsideDown = PRIORITIES.length - 1 - PRIORITIES.indexOf(job.spec.priority);
-        Object.defineProperty(job, 'ownPriority', { configurable: true, get: () => upsideDown });
+        const reversed = PRIORITIES.length - 1 - PRIORITIES.indexOf(job.spec.priority);
+        Object.defineProperty(job, 'ownPriority', { configurable: true, get: () => reversed });
         job.effectivePriority = job.ownPriority;
       }),
   },
   endless_reclaim: {
     ...BORROWING,
     forMs: 200_000,
-    broken: 'reclaims that are over are never removed',
+    broken: 'records of finished or abandoned reclaims are never removed',
     apply: () => {
-      const removals = patch(OwnerReclaims.prototype, 'removals', () => () => []);
-      const abandoned = patch(LeaderBorrowing.prototype, 'abandoned', () => () => []);
+      const restoreRemovals = patch(OwnerReclaims.prototype, 'removals', () => () => []);
+      const restoreAbandoned = patch(LeaderBorrowing.prototype, 'abandoned', () => () => []);
       return () => {
-        removals();
-        abandoned();
+        restoreRemovals();
+        restoreAbandoned();
       };
     },
   },
--- a/packages/testkit/test/support/group-mutants.ts
+++ b/packages/testkit/test/support/group-mutants.ts
@@ -1,4 +1,4 @@
-// Code broken on purpose, once for each check of replica groups: see mutants.test.ts.
+// One mutant for each check of replica groups; mutants.test.ts runs them.
 import type { Versioned } from '@gingerlock/core';
 import { LeaderGroups, OwnerGroups } from '@gingerlock/daemon';
 import { PartitionGroups } from '@gingerlock/replica-groups';
@@ -6,8 +6,8 @@
 import { type Fault, GROUP_CLASS, type Invariant } from '../../src/index';
 import { type Mutant, patch } from './mutant';
 
-/** The rules that `GroupAudit` checks. */
-type GroupRule = Extract<
+/** The invariants that `GroupAudit` checks. */
+type GroupInvariant = Extract<
   Invariant,
   | 'group_moved'
   | 'member_unheld'
@@ -19,7 +19,7 @@
   | 'group_machine_returned'
 >;
 
-const dies = (state: 'reserved' | 'serving'): Fault => ({
+const memberDies = (state: 'reserved' | 'serving'): Fault => ({
   kind: 'members trouble',
   state,
   what: 'die',
@@ -40,8 +40,8 @@
   faults: [{ kind: 'groups', count: 4, members: 3, gpus: 1, everyMs: 1500, place: 'any' }, ...faults],
 });
 
-/** The machines of members that are to be stopped count as gone at once, though they run on. */
-function machinesCountAsGone(): () => void {
+/** Makes owners drop the machines of members that must stop from their claim tables while these machines still run. */
+function removeMachinesOfStoppingMembers(): () => void {
   return patch(
     OwnerGroups.prototype,
     'step',
@@ -55,7 +55,7 @@
   );
 }
 
-/** What an owner reads of groups, with one state in place of another. */
+/** Group records as an owner reads them, with groups that are ending shown as reserved. */
 class MisreadGroups extends Map<string, Versioned<GroupRecord>> {
   constructor(readonly stored: ReadonlyMap<string, Versioned<GroupRecord>>) {
     super();
@@ -75,10 +75,10 @@
   }
 }
 
-export const GROUP_MUTANTS: Record<GroupRule, Mutant> = {
+export const GROUP_MUTANTS: Record<GroupInvariant, Mutant> = {
   group_moved: {
     ...withGroups(),
-    broken: 'a group that is admitted counts as its next generation',
+    broken: 'admission increments the generation of a group',
     apply: () =>
       patch(groupRecord, 'write', (original) => (group) => {
         const generation = group.generation + (group.state === 'admitted' ? 1 : 0);
@@ -87,7 +87,7 @@
   },
   member_unheld: {
     ...withGroups(),
-    broken: 'owners start members as soon as these are reserved',
+    broken: 'owners start members of groups that are reserved but not admitted',
     apply: () =>
       patch(
         PartitionGroups.prototype,
@@ -95,8 +95,9 @@
         (original) =>
           function (this: PartitionGroups, task, machine) {
             const record = this.groups.get(task.job.id)?.record;
-            const isNext = record?.state === 'reserved' && record.members[task.index]?.machine === machine.name;
-            return isNext || original.call(this, task, machine);
+            const isReservedThere =
+              record?.state === 'reserved' && record.members[task.index]?.machine === machine.name;
+            return isReservedThere || original.call(this, task, machine);
           },
       ),
   },
@@ -108,7 +109,7 @@
         forMs: 20_000,
       })),
     ),
-    broken: 'owners start a member that has ended once more, as they do with other tasks',
+    broken: 'owners restart a member that has ended, as they do with other tasks',
     apply: () =>
       patch(
         PartitionGroups.prototype,
@@ -121,18 +122,18 @@
       ),
   },
   two_generations: {
-    ...withGroups(dies('serving')),
-    broken: 'machines of members that are stopped count as gone before they are',
-    apply: machinesCountAsGone,
+    ...withGroups(memberDies('serving')),
+    broken: 'owners treat machines of members that must stop as gone while they run',
+    apply: removeMachinesOfStoppingMembers,
   },
   withdrawn_runs: {
-    ...withGroups(dies('serving')),
-    broken: 'machines of members that are stopped count as gone before they are',
-    apply: machinesCountAsGone,
+    ...withGroups(memberDies('serving')),
+    broken: 'owners treat machines of members that must stop as gone while they run',
+    apply: removeMachinesOfStoppingMembers,
   },
   kept_in_vain: {
-    ...withGroups(dies('reserved')),
-    broken: 'owners take a group that ends for one that is reserved',
+    ...withGroups(memberDies('reserved')),
+    broken: 'owners read groups that are ending as reserved',
     apply: () =>
       patch(
         OwnerGroups.prototype,
@@ -146,18 +147,18 @@
   },
   group_stuck: {
     ...withGroups(),
-    broken: 'the leader stores no change of state',
+    broken: 'the leader does not store state changes of groups',
     forMs: 160_000,
     apply: () => patch(LeaderGroups.prototype, 'addChanges', () => () => undefined),
   },
   group_machine_returned: {
-    // Each member takes a whole machine, and there are few of them.
+    // Each member needs a whole machine, and there are few machines.
     options: { capacity: 2, gpusMax: 40, load: 0.01, features: GROUPS_ON },
     faults: [
       { kind: 'groups', count: 1, members: 3, gpus: 4, everyMs: 1, place: 'any' },
       { kind: 'members fail', afterMs: 500, times: 10, forMs: 140_000 },
     ],
-    broken: 'the leader keeps no machines for a group in its backoff',
+    broken: 'the leader keeps no machines for a group in backoff',
     forMs: 180_000,
     apply: () => patch(LeaderGroups.prototype, 'isBackingOff', () => () => false),
   },
--- a/packages/testkit/test/support/group-scenario-generator.ts
+++ b/packages/testkit/test/support/group-scenario-generator.ts
@@ -1,5 +1,5 @@
-// Draws faults for scenarios of replica groups: those of groups themselves beside those of controllers, machines, zones
-// and the state service.
+// Generates faults for scenarios of replica groups: faults of groups, and of controllers, machines, zones and the state
+// service.
 import fc from 'fast-check';
 import type { Fault } from '../../src/index';
 import { combination } from './scenario-generator';
@@ -17,10 +17,10 @@
 
 const afterMs = fc.integer({ min: 0, max: 1500 });
 
-/** The groups that are submitted in a scenario. */
+/** The groups that users submit in a scenario. */
 export const groupsOfDay: fc.Arbitrary<Fault> = fc.record({
   kind: fc.constant('groups' as const),
-  // Together they take no more than a zone, and a team, have capacity for beside ordinary jobs.
+  // All groups together fit into one zone and one team's limit, beside ordinary jobs.
   count: fc.integer({ min: 1, max: 4 }),
   members: fc.integer({ min: 2, max: 4 }),
   gpus: fc.constantFrom(1, 2, 4),
@@ -54,7 +54,7 @@
   }),
 );
 
-/** A fault of groups and one of the others, or two of either, within moments of each other. */
+/** Either a `combination`, or a fault of groups and at most 2.5 s later the first fault of a `combination`. */
 export const groupCombination = fc.oneof(
   combination,
   fc
--- a/packages/testkit/test/support/mutant.ts
+++ b/packages/testkit/test/support/mutant.ts
@@ -1,7 +1,7 @@
-// What breaks the code on purpose for one test.
+// Types and helpers of mutants: code that one test breaks on purpose.
 import type { Fault, World, WorldOptions } from '../../src/index';
 
-/** Replaces a method for one test; returns what puts it back. */
+/** Replaces a method; returns a function that restores it. */
 export function patch<T extends object, K extends keyof T>(
   target: T,
   name: K,
@@ -12,14 +12,15 @@
   return () => Object.defineProperty(target, name, descriptor);
 }
 
-/** A way to break the code, and the scenarios in which that shows. */
+/** A way to break the code, and the scenarios that detect it. */
 export interface Mutant {
+  /** Completes the test name "the check of INVARIANT fails when ...". */
   readonly broken: string;
   readonly apply: (world: () => World) => () => void;
-  /** Faults in which it shows, beside machines that can't be heard for a while. */
+  /** Faults that its scenarios need, besides machines whose messages are lost for a while. */
   readonly faults?: readonly Fault[];
-  /** How long its scenarios are, if not as long as most. */
+  /** Length of its scenarios; 90 s if absent. */
   readonly forMs?: number;
-  /** What its scenarios need otherwise. */
+  /** Options of its worlds; defaults if absent. */
   readonly options?: Partial<WorldOptions>;
 }
--- a/packages/testkit/test/support/operations-mutants.ts
+++ b/packages/testkit/test/support/operations-mutants.ts
@@ -1,4 +1,5 @@
-// Code broken on purpose, once for each check of progress, of conduct, and of what others accept: see mutants.test.ts.
+// One mutant for each check of progress, of operations, and of limits of links and the state service; mutants.test.ts
+// runs them.
 import { Autoscaler, ClaimTable, FailureAttribution } from '@gingerlock/core';
 import { PartitionOwner } from '@gingerlock/daemon';
 import { MAX_FRAME_BYTES } from '@gingerlock/peer';
@@ -7,7 +8,7 @@
 
 const BROKEN_JOBS: Fault = { kind: 'broken jobs', count: 3, tasks: 40, everyMs: 3000, cancelAfterMs: 60_000 };
 
-/** The mutants that `LivenessAudit`, `OperationsAudit`, links and the state service must find. */
+/** Mutants that `LivenessAudit`, `OperationsAudit`, links and the state service must detect. */
 export const OPERATIONS_MUTANTS = {
   frame_too_large: {
     broken: 'a machine is published with an image whose name is longer than a frame',
@@ -24,7 +25,7 @@
       ),
   },
   left_waiting: {
-    broken: 'owners start nothing',
+    broken: 'owners grant no tasks',
     apply: () =>
       patch(
         ClaimTable.prototype,
@@ -36,7 +37,7 @@
       ),
   },
   rented_in_vain: {
-    broken: 'machines that hold nothing are returned, whatever is planned for them',
+    broken: 'all empty machines are returned, even if tasks are planned for them',
     apply: () =>
       patch(
         Autoscaler.prototype,
@@ -50,8 +51,8 @@
       ),
   },
   refused: {
-    broken: 'controllers write transactions of any length',
-    // After an outage much is to be written at once.
+    broken: 'controllers write transactions with more operations than the state service accepts',
+    // Many writes are pending when an outage ends.
     faults: [
       { kind: 'state limits' },
       { kind: 'small jobs', perS: 4, forMs: 30_000 },
@@ -63,7 +64,7 @@
     },
   },
   condemned_healthy: {
-    broken: 'any two jobs that failed on a machine quarantine it',
+    broken: 'any two jobs that fail on a machine quarantine it',
     faults: [BROKEN_JOBS],
     apply: () =>
       patch(
@@ -76,14 +77,14 @@
       ),
   },
   retried_often: {
-    broken: 'each task of a failing job is retried for itself',
+    broken: 'each task of a crash-looping job is retried on its own',
     faults: [BROKEN_JOBS],
     apply: () => {
-      const held = patch(ClaimTable.prototype, 'isCrashLooping', () => () => false);
-      const marked = patch(ClaimTable.prototype, 'marksCrashLoopOnReturn', () => () => false);
+      const restoreCheck = patch(ClaimTable.prototype, 'isCrashLooping', () => () => false);
+      const restoreMark = patch(ClaimTable.prototype, 'marksCrashLoopOnReturn', () => () => false);
       return () => {
-        held();
-        marked();
+        restoreCheck();
+        restoreMark();
       };
     },
   },
--- a/packages/testkit/test/support/patches.ts
+++ b/packages/testkit/test/support/patches.ts
@@ -1,8 +1,8 @@
-// Ways to break the code that several mutants and tests share.
+// Patches that several mutants and tests share; each returns a function that removes it.
 import { ClaimTable, type Job, JobTable } from '@gingerlock/core';
 import { patch } from './mutant';
 
-/** Alters every job as it is read from the state service. */
+/** Calls `alter` with each job that is read from the state service. */
 export function readJobsAs(alter: (job: Job) => void): () => void {
   return patch(
     JobTable.prototype,
@@ -17,9 +17,9 @@
   );
 }
 
-/** Workers get no stops, neither in answers nor directly. */
+/** Drops all stop commands, in answers to heartbeats and sent directly. */
 export function dropStops(): () => void {
-  const answers = patch(
+  const restoreAnswers = patch(
     ClaimTable.prototype,
     'handleHeartbeat',
     (original) =>
@@ -29,7 +29,7 @@
         return { ...outcome, commands: outcome.commands.filter((c) => c.op !== 'stop') };
       },
   );
-  const direct = patch(
+  const restoreDirect = patch(
     ClaimTable.prototype,
     'syncJob',
     (original) =>
@@ -39,12 +39,12 @@
       },
   );
   return () => {
-    answers();
-    direct();
+    restoreAnswers();
+    restoreDirect();
   };
 }
 
-/** Alters every claim table each time before it looks at what time alone ends. */
+/** Calls `alter` with the claim table before each `tick`. */
 export function beforeTick(alter: (claimTable: ClaimTable, now: number) => void): () => void {
   return patch(
     ClaimTable.prototype,
--- a/packages/testkit/test/support/placement-mutants.ts
+++ b/packages/testkit/test/support/placement-mutants.ts
@@ -1,15 +1,14 @@
-// Code broken on purpose, once for each check of where and when tasks run, and of what that rests on: see
-// mutants.test.ts.
+// One mutant for each check of where and when tasks run, and of ownership; mutants.test.ts runs them.
 import { ClaimTable, Ownership } from '@gingerlock/core';
 import { PartitionOwner } from '@gingerlock/daemon';
 import type { Invariant } from '../../src/index';
 import { type Mutant, patch } from './mutant';
 import { beforeTick, dropStops, readJobsAs } from './patches';
 
-/** The mutants that `PlacementAudit` and `OwnershipAudit` must find. */
+/** Mutants that `PlacementAudit` and `OwnershipAudit` must detect. */
 export const PLACEMENT_MUTANTS = {
   overcommitted: {
-    broken: 'machines are taken for larger than they are',
+    broken: 'machines seem to have more free resources than they have',
     apply: () =>
       patch(
         ClaimTable.prototype,
@@ -22,7 +21,7 @@
       ),
   },
   ran_twice: {
-    broken: 'claims end after a little more than one heartbeat interval of silence',
+    broken: 'claims end after 1.3 heartbeat intervals of silence',
     apply: () =>
       beforeTick((claimTable, now) => {
         for (const m of claimTable.machines.values()) {
@@ -42,22 +41,22 @@
     },
   },
   wrong_place: {
-    broken: 'zones of jobs are ignored',
+    broken: 'zone constraints of jobs are ignored',
     apply: () =>
       readJobsAs((job) => {
         job.spec = { ...job.spec, spread: false, oneZone: false, zone: null };
       }),
   },
   ran_cancelled: {
-    broken: 'workers never get commands to stop',
+    broken: 'workers never get stop commands',
     apply: dropStops,
   },
   start_cancelled: {
     broken: 'owners keep the waiting tasks of cancelled jobs and start them',
     faults: [{ kind: 'machines hang', machine: 0, count: 6, forMs: 5500 }],
     apply: () => {
-      const kept = patch(ClaimTable.prototype, 'returnable', () => () => new Map());
-      const started = patch(
+      const restoreReturnable = patch(ClaimTable.prototype, 'returnable', () => () => new Map());
+      const restoreWaiting = patch(
         ClaimTable.prototype,
         'waitingTasks',
         () =>
@@ -66,13 +65,13 @@
           },
       );
       return () => {
-        kept();
-        started();
+        restoreReturnable();
+        restoreWaiting();
       };
     },
   },
   too_early: {
-    broken: 'every job counts as ready',
+    broken: 'every job is ready, whatever it awaits',
     faults: [{ kind: 'pipelines', everyMs: 4000, forMs: 30_000, seed: 3 }],
     apply: () =>
       readJobsAs((job) => {
@@ -80,10 +79,10 @@
       }),
   },
   deposed_owner: {
-    broken: 'owners do not look at the records while they restore their holds',
+    broken: 'owners do not check the ownership records while they resume',
     faults: [{ kind: 'lapsed apart', node: 0, lapseMs: 3000, forMs: 40_000 }],
     apply: () => {
-      const decides = patch(
+      const restoreDecide = patch(
         Ownership.prototype,
         'decide',
         (original) =>
@@ -91,7 +90,7 @@
             return this.state === 'resuming' ? { kind: 'none' } : original.apply(this, view);
           },
       );
-      const answers = patch(
+      const restoreIsOwner = patch(
         PartitionOwner.prototype,
         'isOwner',
         () =>
@@ -100,13 +99,13 @@
           },
       );
       return () => {
-        decides();
-        answers();
+        restoreDecide();
+        restoreIsOwner();
       };
     },
   },
   free_but_running: {
-    broken: 'fencing periods last for a heartbeat interval',
+    broken: 'fencing periods last only one heartbeat interval',
     faults: [
       { kind: 'mute machines', machine: 0, count: 24, how: 'lose', forMs: 5000 },
       { kind: 'crash', nodes: [0, 1], backMs: 10_000 },
@@ -120,7 +119,7 @@
       }),
   },
   stale_entry: {
-    broken: 'waiting tasks forget their zones',
+    broken: 'waiting tasks lose their assigned zones',
     apply: () =>
       patch(
         ClaimTable.prototype,
--- a/packages/testkit/test/support/scenario-generator.ts
+++ b/packages/testkit/test/support/scenario-generator.ts
@@ -1,11 +1,11 @@
-// Draws scenarios: faults alone and together, sizes and deployments.
+// Generates the parts of scenarios: faults alone and combined, sizes and deployments.
 import fc from 'fast-check';
 import type { MachineType } from '@gingerlock/wire';
 import type { Deployment, Fault } from '../../src/index';
 
 const seconds = (min: number, max: number): fc.Arbitrary<number> =>
   fc.integer({ min: min * 10, max: max * 10 }).map((n) => n * 100);
-/** -1 is whoever leads then. */
+/** The number of a controller; -1 is the leader at the time of the fault. */
 const node = fc.integer({ min: -1, max: 6 });
 const machine = fc.integer({ min: 0, max: 20 });
 
@@ -216,7 +216,7 @@
   }),
 );
 
-/** Most invariants that were violated in operation were so when a second fault came within moments of the first. */
+/** One fault, or two at most 2.5 s apart: most violations in operation followed two faults in quick succession. */
 export const combination = fc
   .record({ at: seconds(3, 60), apartMs: fc.integer({ min: 0, max: 2500 }), first: fault, second: fc.option(fault) })
   .map(({ at, apartMs, first, second }) => [
@@ -224,7 +224,7 @@
     ...(second === null ? [] : [{ at: at + apartMs, fault: second }]),
   ]);
 
-/** Any number of controllers, and fleets from a few machines to several per controller. */
+/** Options that set the size of a world: numbers of controllers and machines, arrivals, limits and times. */
 export const size = fc.record(
   {
     controllers: fc.integer({ min: 1, max: 7 }),
@@ -232,7 +232,7 @@
     capacity: fc.integer({ min: 3, max: 12 }),
     load: fc.constantFrom(1, 2),
     nextLimits: fc.constantFrom({ valueKb: 2, txnOps: 4, writesPerS: 70 }, { valueKb: 8, txnOps: 12, writesPerS: 100 }),
-    // The stand-ins' own times, and those of deployments: what is a ratio to them should hold at any.
+    // Defaults of `World` and settings of deployments; bounds that are multiples of these times must hold for all.
     times: fc.constantFrom(
       { heartbeatIntervalS: 1, workerLeaseS: 6, cancellationBoundS: 20 },
       { heartbeatIntervalS: 1.5, workerLeaseS: 10, cancellationBoundS: 30 },
@@ -242,7 +242,7 @@
   { noNullPrototype: true },
 );
 
-/** A machine type on which each of the generated jobs fits; in two zones, so that a job can be spread. */
+/** A machine type that fits every random job, in at least two zones, so that jobs can be spread. */
 function machineType(name: string, zones: readonly string[]): fc.Arbitrary<MachineType> {
   return fc
     .record({
@@ -265,7 +265,7 @@
     }));
 }
 
-/** Up to five zones, with a controller or without, up to three machine types, and clocks that are right or off. */
+/** Two to five zones, with or without a controller, one to three machine types, and exact or skewed clocks. */
 export const deployment: fc.Arbitrary<Deployment> = fc.integer({ min: 2, max: 5 }).chain((count) => {
   const zones = ['north', 'south', 'east', 'west', 'centre'].slice(0, count);
   const everywhere = machineType('type-0', zones).map((type) => ({ ...type, zones }));
--- a/packages/testkit/test/support/user-mutants.ts
+++ b/packages/testkit/test/support/user-mutants.ts
@@ -1,14 +1,14 @@
-// Code broken on purpose, once for each check of what users see: see mutants.test.ts.
+// One mutant for each check of what users see; mutants.test.ts runs them.
 import { DependencyGraph, Job } from '@gingerlock/core';
 import { Controller } from '@gingerlock/daemon';
 import { decodeSubmission, encodeJobState } from '@gingerlock/wire';
 import type { Invariant } from '../../src/index';
 import { type Mutant, patch } from './mutant';
 
-/** The mutants that users must find. */
+/** Mutants that the simulated users must detect. */
 export const USER_MUTANTS = {
   forgotten: {
-    broken: 'jobs are accepted without being written',
+    broken: 'jobs are accepted without being stored',
     apply: () =>
       patch(Controller.prototype, 'submit', () => (body) => {
         const { id } = decodeSubmission(body);
@@ -16,7 +16,7 @@
       }),
   },
   invented: {
-    broken: 'unknown jobs are called queued',
+    broken: 'unknown jobs are reported as queued',
     apply: () =>
       patch(
         Controller.prototype,
@@ -29,7 +29,7 @@
       ),
   },
   not_done: {
-    broken: 'a job counts as complete with one task missing',
+    broken: 'a job is complete with one task unfinished',
     apply: () => {
       const descriptor = Object.getOwnPropertyDescriptor(Job.prototype, 'isComplete')!;
       Object.defineProperty(Job.prototype, 'isComplete', {
@@ -42,7 +42,7 @@
     },
   },
   went_back: {
-    broken: 'one controller reads every final state as cancelled',
+    broken: 'one controller reports every final state as cancelled',
     apply: (world) => {
       const { finals } = world().nodes[1]!.controller!.clusterState.jobs;
       const get = finals.get.bind(finals);
@@ -66,27 +66,27 @@
       ),
   },
   orphaned: {
-    broken: 'the cancellation of a job is not passed on to those that need it',
+    broken: 'cancelling a job does not cancel its dependents',
     faults: [{ kind: 'pipelines', everyMs: 3000, forMs: 30_000, seed: 3 }],
     apply: () => patch(DependencyGraph.prototype, 'cancelDependents', () => () => undefined),
   },
   unanswered: {
-    broken: 'questions are put off for ever',
+    broken: 'polls and repeated submissions always get 503',
     apply: () => {
-      const later = { status: 503, body: null, retryAfterS: 1 };
-      const polls = patch(Controller.prototype, 'poll', () => () => Promise.resolve(later));
-      const repeats = patch(
+      const retryLater = { status: 503, body: null, retryAfterS: 1 };
+      const restorePoll = patch(Controller.prototype, 'poll', () => () => Promise.resolve(retryLater));
+      const restoreSubmit = patch(
         Controller.prototype,
         'submit',
         (original) =>
           async function (this: Controller, body) {
             const reply = await original.call(this, body);
-            return reply.status === 200 ? later : reply;
+            return reply.status === 200 ? retryLater : reply;
           },
       );
       return () => {
-        polls();
-        repeats();
+        restorePoll();
+        restoreSubmit();
       };
     },
   },
