--- a/packages/testkit/fingerprint/main.ts
+++ b/packages/testkit/fingerprint/main.ts
@@ -1,4 +1,4 @@
-// Runs the fixed scenarios and prints a fingerprint of each, to show that a refactoring changes no behaviour:
+// Runs the fixed scenarios and prints the fingerprint of each, to show that a refactoring changes no behaviour:
 //   npm run fingerprint -- [--day NAME] [--dump FILE]
 import { closeSync, openSync, writeSync } from 'node:fs';
 import { parseArgs } from 'node:util';
@@ -10,7 +10,9 @@
   const { values } = parseArgs({ options: { day: { type: 'string' }, dump: { type: 'string' } } });
   const scenarios = SCENARIOS.filter(({ name }) => values.day === undefined || values.day === name);
   if (scenarios.length === 0) {
-    process.stderr.write(`no day ${values.day}; there are: ${SCENARIOS.map(({ name }) => name).join(', ')}\n`);
+    process.stderr.write(
+      `unknown scenario ${values.day}; known scenarios: ${SCENARIOS.map(({ name }) => name).join(', ')}\n`,
+    );
     return 1;
   }
   const file = values.dump === undefined ? null : openSync(values.dump, 'w');
--- a/packages/testkit/fingerprint/recorder.ts
+++ b/packages/testkit/fingerprint/recorder.ts
@@ -1,10 +1,9 @@
-// Turns one scenario into two hashes: of all bytes that left or reached a simulated process, and of the records that
-// are stored at its end.
+// Hashes all bytes that simulated processes send and receive in a scenario, and the records stored at its end.
 import { createHash } from 'node:crypto';
 import { encode } from '@gingerlock/wire';
 import type { SimStateService, TrafficEvent, World } from '../src/index';
 
-/** Is called with the lines that are hashed, one by one and without their line ends. */
+/** Receives each hashed line, without its line end. */
 export type LineSink = (line: string) => void;
 
 /** The two hashes of a scenario, in hexadecimal. */
@@ -19,12 +18,12 @@
     : Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength).toString('hex');
 }
 
-/** One event as text: its simulated time, ends, request and status, and the bytes as they are on the wire. */
+/** One event as text: simulated time, kind, endpoints, request, status, `retry-after` and the bytes on the wire. */
 export function trafficLine(at: number, { what, from, to, request, status, retryAfterS, body }: TrafficEvent): string {
   return [at, what, from, to, request, status ?? '', retryAfterS ?? '', hex(body)].join('\t');
 }
 
-/** The stored records as text, in order of their keys, each value in its encoded form. */
+/** The stored records as text, sorted by key, with encoded values. */
 export function recordLines({ data, revision }: SimStateService): string[] {
   const byKey = [...data].sort(([a], [b]) => (a < b ? -1 : 1));
   const lines = byKey.map(([key, entry]) =>
@@ -33,7 +32,7 @@
   return [`revision\t${revision}`, ...lines];
 }
 
-/** Hashes the traffic of a world from now on. */
+/** Hashes the traffic of a world, from construction until `finish`. */
 export class Recorder {
   readonly #traffic = createHash('sha256');
 
@@ -48,7 +47,7 @@
     };
   }
 
-  /** Ends the recording. */
+  /** Hashes the stored records and returns both hashes. */
   finish(): Fingerprint {
     const records = createHash('sha256');
     for (const line of recordLines(this.world.state)) {
--- a/packages/testkit/fingerprint/run-recorded.ts
+++ b/packages/testkit/fingerprint/run-recorded.ts
@@ -1,9 +1,9 @@
-// Runs one of the fixed scenarios with a recorder on it.
+// Runs one fixed scenario and records it.
 import { runScenario, World } from '../src/index';
 import type { FixedScenario } from './scenarios';
 import { type Fingerprint, type LineSink, Recorder } from './recorder';
 
-/** Runs the scenario to its end; `dump` gets all that is hashed. */
+/** Runs the scenario to its end; `dump` receives every hashed line. */
 export async function runRecorded(scenario: FixedScenario, dump: LineSink): Promise<Fingerprint> {
   const { seed, forMs, faults, switched } = scenario;
   const world = new World({ ...scenario.world, seed });
--- a/packages/testkit/fingerprint/scenarios.ts
+++ b/packages/testkit/fingerprint/scenarios.ts
@@ -1,7 +1,7 @@
-// The fixed scenarios: their worlds, faults and seeds. A change of any of them changes the fingerprints.
+// The fixed scenarios with their worlds, faults and seeds. A change to one changes its fingerprint.
 import { type Scenario, GROUP_CLASS, TWO_TYPES, type WorldOptions } from '../src/index';
 
-/** A scenario with a name; all controllers may be restarted with other features at a moment of it. */
+/** A named scenario; `switched` restarts all controllers with other features at a given time. */
 export interface FixedScenario extends Scenario {
   readonly name: string;
   readonly world: Omit<WorldOptions, 'seed'>;
@@ -12,11 +12,11 @@
 const GROUPS = { replica_groups: { enabled: true, classes: [GROUP_CLASS, 'service'], backoff_reports: 1 } };
 const GROUPS_OFF = { replica_groups: { enabled: false, classes: [GROUP_CLASS] } };
 
-/** A fleet that can not grow beyond two machines of either kind in each zone. */
+/** A fleet limited to two spot and two ordinary machines in each zone. */
 const SMALL = { machines: 6, capacity: 2, load: 0.2, gpusMax: 40, guaranteedGpus: 8 };
 const ROOMY = { machines: 6, capacity: 12, gpusMax: 80, load: 0.5 };
 
-/** Each kind of fault is in one scenario at least. */
+/** Together the scenarios contain every kind of fault except `members fail`. */
 export const SCENARIOS: readonly FixedScenario[] = [
   { name: 'quiet', seed: 8, forMs: 120_000, world: {}, faults: [] },
   {
