--- a/packages/testkit/test/invariants.test.ts
+++ b/packages/testkit/test/invariants.test.ts
@@ -37,7 +37,7 @@
       fc.array(combination, { minLength: 1, maxLength: 4 }),
       async (seed, size, combinations) => {
         const world = new World({ seed, ...size, ...size.times, ...optionsFromEnvironment() });
-        // Users submit jobs in the first half; the second half is three cancellation bounds, for those jobs to finish.
+        // Users submit jobs in the first half; the jobs then have at least three cancellation bounds to finish.
         const forMs = Math.max(200_000, size.times.cancellationBoundS * 6000);
         await runScenario(world, { seed, forMs, faults: combinations.flat() });
         assert.deepEqual(world.violations, []);
