--- a/packages/testkit/test/borrowing.test.ts
+++ b/packages/testkit/test/borrowing.test.ts
@@ -160,7 +160,7 @@
   assert.ok(world.peakGpus <= 12);
 });
 
-test('with hundreds of small tasks as candidates for reclaims, no task is stopped more than three times', async () => {
+test('with hundreds of small tasks as candidates for reclaims, no task is chosen as a victim more than three times', async () => {
   const tiny = { gpus: 0.1, cpus: 0.1, memoryGb: 0.5, zone: null, oneZone: false, spread: false };
   const world = new World({ seed: 36, ...SMALL, load: 0.01 });
   const small = { ...world.randomJob(), ...tiny, team: 'blue', kind: 'array', priority: 'low', tasks: 480 } as const;
