--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -1,5 +1,6 @@
-// Type-checked rules over all sources. What does not pass yet is listed by file and rule in eslint-legacy.json, which
-// can only shrink: scripts/lint-legacy.mjs (`npm run lint:legacy`) writes it anew and refuses additions.
+// Type-checked rules for all TypeScript sources. Violations that are not fixed yet are listed by file and rule in
+// eslint-legacy.json. The list is meant only to shrink: scripts/lint-legacy.mjs (`npm run lint:legacy`) regenerates it
+// and rejects additions unless it is run with --allow-new.
 import { readFileSync } from 'node:fs';
 import js from '@eslint/js';
 import comments from '@eslint-community/eslint-plugin-eslint-comments/configs';
@@ -11,7 +12,10 @@
 const SOURCES = ['packages/*/src/**/*.ts'];
 const TESTS = ['packages/*/test/**/*.ts', 'packages/*/fingerprint/**/*.ts'];
 
-/** Rules that are off for exactly the files that break them today; LINT_ALL=1 leaves all on, to write the list anew. */
+/**
+ * Turns each rule off for the files that eslint-legacy.json lists as violating it. With LINT_ALL=1 all rules stay on,
+ * so that the list can be regenerated.
+ */
 function legacyOverrides() {
   if (process.env.LINT_ALL === '1') return [];
   const legacy = JSON.parse(readFileSync(new URL('eslint-legacy.json', import.meta.url), 'utf8'));
@@ -21,26 +25,30 @@
   }));
 }
 
-/** Names in all sources: camelCase, types in PascalCase, constants of a module in UPPER_CASE. */
+/** Naming in all sources: camelCase by default, PascalCase for types; constants of a module may be in UPPER_CASE. */
 const NAMING = [
   { selector: 'default', format: ['camelCase'], leadingUnderscore: 'forbid', trailingUnderscore: 'forbid' },
   { selector: 'variable', modifiers: ['const', 'global'], format: ['camelCase', 'UPPER_CASE'] },
   { selector: 'classProperty', modifiers: ['static', 'readonly'], format: ['camelCase', 'UPPER_CASE'] },
   { selector: 'typeLike', format: ['PascalCase'] },
-  // The compiler takes an unused parameter before a used one for a mistake unless its name begins with an underscore.
+  // The compiler reports an unused parameter, even one that a used parameter follows, unless its name begins with an
+  // underscore.
   { selector: 'parameter', modifiers: ['unused'], format: ['camelCase'], leadingUnderscore: 'allow' },
-  // These are named where they are declared: by a module, by the type of the object, or by the wire.
+  // Not checked here: these names are declared elsewhere, by a module, by the type of the object or by a wire message.
   { selector: ['import', 'objectLiteralProperty', 'objectLiteralMethod'], format: null },
   { selector: ['variable', 'parameter'], modifiers: ['destructured'], format: null },
 ];
 
-/** Where names of the wire, settings and stored records are declared, beside schemas that are named like types. */
-const EDGE_NAMING = [
+/**
+ * Naming in the files that declare wire messages, settings and stored records. Properties of types have the names that
+ * the external format gives them, and a schema may be in PascalCase because it has the name of its type.
+ */
+const SCHEMA_NAMING = [
   { selector: 'variable', modifiers: ['const', 'global'], format: ['camelCase', 'UPPER_CASE', 'PascalCase'] },
   { selector: 'typeProperty', format: null },
   ...NAMING.filter(({ selector, modifiers }) => selector !== 'variable' || !modifiers.includes('global')),
 ];
-const EDGE = ['packages/wire/src/**/*.ts', 'packages/peer/src/messages.ts', 'packages/daemon/src/settings/*.ts'];
+const SCHEMAS = ['packages/wire/src/**/*.ts', 'packages/peer/src/messages.ts', 'packages/daemon/src/settings/*.ts'];
 
 export default tseslint.config(
   { ignores: ['target/', 'node_modules/', 'journal/'] },
@@ -69,16 +77,18 @@
       '@typescript-eslint/naming-convention': ['error', ...NAMING],
       'import-x/no-duplicates': 'error',
       'import-x/order': ['error', { groups: ['builtin', ['external', 'internal'], 'parent', ['sibling', 'index']] }],
-      // An index that the bounds just checked, or a key just set, is asserted: `noUncheckedIndexedAccess` asks for it
-      // on each access to an array, and a branch that can not be taken would stand in its place.
+      // Assertions are allowed for an index that has just been checked against the bounds and for a key that has just
+      // been set. `noUncheckedIndexedAccess` makes a check necessary on every array access; without the assertion, that
+      // would be a branch that can never be taken.
       '@typescript-eslint/no-non-null-assertion': 'off',
-      // A callback in shorthand passes on the nothing that it gets, and so does an early `return` of a function
-      // without a result; the compiler knows both.
+      // A shorthand callback may return the result of a void call, and so may an early `return` in a function without
+      // a result. The compiler knows that there is no value in either case.
       '@typescript-eslint/no-confusing-void-expression': [
         'error',
         { ignoreArrowShorthand: true, ignoreVoidReturningFunctions: true },
       ],
-      // Messages are made of numbers, which a template formats well. All else (objects, null, any) stays refused.
+      // Numbers are allowed because messages contain them and a template formats them well. Objects are rejected. null
+      // and any are accepted: these options replace those of strictTypeChecked, so the rule's own defaults apply.
       '@typescript-eslint/restrict-template-expressions': ['error', { allowNumber: true }],
     },
   },
@@ -87,7 +97,7 @@
     plugins: { jsdoc },
     settings: { jsdoc: { mode: 'typescript' } },
     rules: {
-      // Nothing imports a test.
+      // Not needed for tests, because nothing imports a test.
       'import-x/no-cycle': 'error',
       'max-lines': ['error', { max: 400 }],
       'max-lines-per-function': ['error', { max: 60 }],
@@ -106,11 +116,11 @@
       ],
     },
   },
-  { files: EDGE, rules: { '@typescript-eslint/naming-convention': ['error', ...EDGE_NAMING] } },
+  { files: SCHEMAS, rules: { '@typescript-eslint/naming-convention': ['error', ...SCHEMA_NAMING] } },
   {
     files: TESTS,
     rules: {
-      // node:test's `test` gives a promise that its runner awaits.
+      // `test` of node:test returns a promise that the test runner awaits.
       '@typescript-eslint/no-floating-promises': [
         'error',
         {
@@ -119,17 +129,17 @@
           ],
         },
       ],
-      // Tests read untyped answers (JSON, MessagePack) and compare them whole.
+      // Tests decode untyped responses (JSON, MessagePack) and compare them as a whole.
       '@typescript-eslint/no-unsafe-argument': 'off',
       '@typescript-eslint/no-unsafe-assignment': 'off',
       '@typescript-eslint/no-unsafe-call': 'off',
       '@typescript-eslint/no-unsafe-member-access': 'off',
       '@typescript-eslint/no-unsafe-return': 'off',
-      // Stand-ins implement asynchronous interfaces with nothing to wait for.
+      // Fakes implement asynchronous interfaces without anything to await.
       '@typescript-eslint/require-await': 'off',
-      // Tests save a method, put another in its place and call the saved one on its object.
+      // Tests replace a method of an object, keep the original and call it on the same object.
       '@typescript-eslint/unbound-method': 'off',
-      // What a callback sets while a test waits, the compiler believes unchanged.
+      // The compiler assumes that a variable is unchanged after a test has waited, although a callback may have set it.
       '@typescript-eslint/no-unnecessary-condition': 'off',
     },
   },
--- a/scripts/lint-legacy.mjs
+++ b/scripts/lint-legacy.mjs
@@ -1,26 +1,26 @@
-// Writes eslint-legacy.json anew: by file, the rules that it does not pass yet. The list can only shrink: a file or
-// rule that is not on it yet makes this fail and leaves it as it is, unless --allow-new is given (for files that were
-// renamed or divided).
+// Regenerates eslint-legacy.json, which lists for each file the rules that the file does not pass yet. The list is
+// meant only to shrink: if a file violates a rule that is not listed for it, this script fails and leaves the list
+// unchanged. The option --allow-new permits additions, for files that were renamed or split.
 import { readFileSync, writeFileSync } from 'node:fs';
 import { relative } from 'node:path';
 import { ESLint } from 'eslint';
 import prettier from 'prettier';
 
-const LIST = 'eslint-legacy.json';
+const LEGACY_FILE = 'eslint-legacy.json';
 
 const root = new URL('..', import.meta.url).pathname;
 process.chdir(root);
 
-/** By file, the rules that it breaks with no override in force, both in order. */
-async function brokenRules() {
-  // Read by eslint.config.mjs.
+/** The rules that each file violates when eslint-legacy.json is ignored; files and rules are sorted. */
+async function findViolatedRules() {
+  // Makes eslint.config.mjs ignore eslint-legacy.json.
   process.env.LINT_ALL = '1';
   const results = await new ESLint().lintFiles(['.']);
   const rulesByFile = new Map();
   for (const { filePath, messages } of results) {
     const file = relative(root, filePath);
     for (const { ruleId, message, line } of messages) {
-      // What is no rule's finding (a syntax error, a disable comment that is of no use) can not be listed.
+      // A finding that belongs to no rule (a syntax error, an unused disable comment) can not be listed.
       if (ruleId === null) throw new Error(`${file}:${line}: ${message}`);
       rulesByFile.set(file, (rulesByFile.get(file) ?? new Set()).add(ruleId));
     }
@@ -29,21 +29,21 @@
   return Object.fromEntries(files.map((file) => [file, [...rulesByFile.get(file)].sort()]));
 }
 
-const known = JSON.parse(readFileSync(LIST, 'utf8'));
-const broken = await brokenRules();
-const pairsOf = (list) => Object.entries(list).flatMap(([file, rules]) => rules.map((rule) => `${file}: ${rule}`));
-const knownPairs = new Set(pairsOf(known));
-const added = pairsOf(broken).filter((pair) => !knownPairs.has(pair));
+const listedRules = JSON.parse(readFileSync(LEGACY_FILE, 'utf8'));
+const violatedRules = await findViolatedRules();
+const entriesOf = (list) => Object.entries(list).flatMap(([file, rules]) => rules.map((rule) => `${file}: ${rule}`));
+const listedEntries = new Set(entriesOf(listedRules));
+const newEntries = entriesOf(violatedRules).filter((entry) => !listedEntries.has(entry));
 
-for (const pair of added) console.error(`not on the list: ${pair}`);
-if (added.length > 0 && !process.argv.includes('--allow-new')) {
-  console.error(`${LIST} is left as it is: mend these, or say --allow-new.`);
+for (const entry of newEntries) console.error(`not listed in ${LEGACY_FILE}: ${entry}`);
+if (newEntries.length > 0 && !process.argv.includes('--allow-new')) {
+  console.error(`${LEGACY_FILE} was not changed: fix these violations, or use --allow-new for renamed or split files.`);
   process.exit(1);
 }
-const options = await prettier.resolveConfig(LIST);
-writeFileSync(LIST, await prettier.format(JSON.stringify(broken), { ...options, filepath: LIST }));
+const options = await prettier.resolveConfig(LEGACY_FILE);
+writeFileSync(LEGACY_FILE, await prettier.format(JSON.stringify(violatedRules), { ...options, filepath: LEGACY_FILE }));
 
-const filesByRule = new Map();
-for (const rule of Object.values(broken).flat()) filesByRule.set(rule, (filesByRule.get(rule) ?? 0) + 1);
-for (const [rule, files] of [...filesByRule].sort(([, a], [, b]) => b - a)) console.log(`${files} files: ${rule}`);
-console.log(`${pairsOf(broken).length} entries, of ${knownPairs.size} before`);
+const fileCounts = new Map();
+for (const rule of Object.values(violatedRules).flat()) fileCounts.set(rule, (fileCounts.get(rule) ?? 0) + 1);
+for (const [rule, count] of [...fileCounts].sort(([, a], [, b]) => b - a)) console.log(`${count} files: ${rule}`);
+console.log(`${entriesOf(violatedRules).length} entries, previously ${listedEntries.size}`);
