--- a/packages/testkit/src/simulation/controller-settings.ts
+++ b/packages/testkit/src/simulation/controller-settings.ts
@@ -1,8 +1,8 @@
-// The platform's settings file of a simulated controller.
+// Builds the platform's settings file of a simulated controller.
 import type { StateLimits } from '../standins/state-service';
 import { GUEST_TEAM, TEAMS } from './world-options';
 
-/** What a settings file is made from. */
+/** The values that a settings file is built from. */
 export interface SettingsSource {
   readonly nodes: readonly { readonly name: string; readonly zone: string }[];
   readonly deployment: { readonly zones: readonly string[]; readonly maxClockSkewMs: number };
@@ -14,7 +14,7 @@
   readonly options: { readonly nextLimits?: StateLimits };
 }
 
-/** The settings of one controller, as the file has them once it is parsed. */
+/** Returns the settings of one controller, in the form of the parsed settings file. */
 export function controllerSettings(source: SettingsSource, node: string): unknown {
   const { nodes, deployment } = source;
   return {
--- a/packages/testkit/src/simulation/deployment.ts
+++ b/packages/testkit/src/simulation/deployment.ts
@@ -1,24 +1,24 @@
-// What a simulated deployment is made of: its zones, machine types and clocks. A further deployment is further data.
+// Describes simulated deployments as data: their zones, machine types and clocks.
 import type { MachineType } from '@gingerlock/wire';
 
-/** A kind of deployment. */
+/** The zones, machine types and clocks of a deployment. */
 export interface Deployment {
   readonly zones: readonly string[];
-  /** The zones of the controllers, one after the other; zones may have none. */
+  /** The zones to which controllers are assigned in turn; a zone may have no controller. */
   readonly controllerZones: readonly string[];
   readonly types: readonly MachineType[];
-  /** How far off a controller's time of day may be, in milliseconds. */
+  /** The largest offset of a controller's wall clock, in milliseconds. */
   readonly maxClockSkewMs: number;
-  /** This share of the machines that are rented never comes up. */
+  /** The share of rented machines that never come up. */
   readonly neverUp: number;
-  /** How long a fetch of an image takes by the rate of the machine's type; null: two seconds on any. */
+  /** `'by type'`: image fetches run at the rate of the machine's type; null: every fetch takes two seconds. */
   readonly fetch: 'by type' | null;
 }
 
-/** The usual zones. */
+/** The zones of most simulated deployments. */
 export const ZONES: readonly string[] = ['north', 'south', 'east'];
 
-/** One machine type, a controller in each zone. */
+/** A deployment with one machine type and a controller in each zone. */
 export const ONE_TYPE: Deployment = {
   zones: ZONES,
   controllerZones: ZONES,
@@ -44,8 +44,9 @@
 const FOUR_ZONES = [...ZONES, 'west'];
 
 /**
- * Two machine types, of which the one that is cheaper for each machine is dearer for each GPU and slower; a zone
- * without a controller; clocks that are off by a second; a few machines that never come up.
+ * A deployment with two machine types, a zone without a controller, wall clocks that are off by up to a second, and a
+ * few machines that never come up. The type with the lower price per machine costs more per GPU, and boots and fetches
+ * images more slowly.
  */
 export const TWO_TYPES: Deployment = {
   zones: FOUR_ZONES,
--- a/packages/testkit/src/simulation/group-bounds.ts
+++ b/packages/testkit/src/simulation/group-bounds.ts
@@ -1,25 +1,25 @@
-// How long a replica group may take between two states, for audits that ask whether it makes progress.
+// Computes how long a replica group may take between two states, for audits that check whether it makes progress.
 import { featuresOf, settingsOf } from '@gingerlock/daemon';
 import { holdBoundMs, longestBackoffMs, type ReplicaGroupSettings, startBoundMs } from '@gingerlock/replica-groups';
 import type { JobSpec, MachineType } from '@gingerlock/wire';
 
-/** The settings of replica groups in a parsed features file; null: replica groups are off. */
+/** Returns the settings of replica groups in a parsed features file; null: replica groups are off. */
 export function groupSettingsOf(features: unknown): ReplicaGroupSettings | null {
   return featuresOf(features ?? {}).replicaGroups;
 }
 
-/** What a group's times depend on. */
+/** The values that the time bound of a replica group depends on. */
 export interface GroupBoundInput {
   readonly settings: ReplicaGroupSettings;
   /** The parsed settings file of any controller. */
   readonly controllerSettings: unknown;
-  /** All jobs that there have been, at least one. */
+  /** All jobs submitted so far; must contain at least one. */
   readonly jobs: readonly JobSpec[];
   readonly types: readonly MachineType[];
   readonly longestSaveMs: number;
 }
 
-/** How long a group may be on its way from one state to the next, with its longest pause, in milliseconds. */
+/** Returns how long a group may take from one state to the next, including its longest backoff, in milliseconds. */
 export function groupBoundMs({ settings, controllerSettings, jobs, types, longestSaveMs }: GroupBoundInput): number {
   const { clusterConfig } = settingsOf(controllerSettings, {});
   const withLargestImage = jobs.reduce((a, b) => (a.imageGb > b.imageGb ? a : b));
--- a/packages/testkit/src/simulation/http-exchange.ts
+++ b/packages/testkit/src/simulation/http-exchange.ts
@@ -1,9 +1,9 @@
-// One request between simulated hosts and what becomes of it: an answer, a refusal, or a time-out.
+// One HTTP request between simulated hosts and its result: an answer, a refusal, or a time-out.
 import { type HttpResponse, NoResponseError } from '@gingerlock/clients';
 import type { Network } from './network';
 import type { TrafficEvent } from './traffic';
 
-/** What is asked, and of whom. */
+/** The content of a request, its sender and its receiver. */
 export interface HttpRequest {
   readonly from: string;
   readonly to: string;
@@ -12,17 +12,17 @@
   readonly body: Buffer | null;
 }
 
-/** The process that asks. */
+/** The process that sent the request. */
 export interface HttpCaller {
-  /** A process that is no longer alive gets no answer. */
+  /** Whether the process still runs; a process that has ended gets no answer. */
   isAlive(): boolean;
   resolve(answer: HttpResponse): void;
   reject(error: NoResponseError): void;
 }
 
-/** A request on its way; it ends once at the most, whatever still arrives. */
+/** A request in flight. It settles at most once; later arrivals are ignored. */
 export class HttpExchange {
-  #isOver = false;
+  #isSettled = false;
   #cancelTimeout: () => void = () => undefined;
   readonly #route: Pick<TrafficEvent, 'from' | 'to' | 'request'>;
 
@@ -35,7 +35,7 @@
     this.#route = { from, to, request: `${method} ${path}` };
   }
 
-  /** Sends the request, and maybe a copy of it later. */
+  /** Sends the request; for the share that `Network.copies` sets, a duplicate arrives later. */
   begin(timeoutMs: number): void {
     const { network, request } = this;
     const { from, to, path, body } = request;
@@ -46,7 +46,7 @@
       return;
     }
     network.onSent(from, to, path, body ?? Buffer.alloc(0));
-    if (!network.mute.has(from)) network.pass(from, to, () => this.#arrive('original'));
+    if (!network.mute.has(from)) network.transmit(from, to, () => this.#arrive('original'));
     const { copies } = network;
     if (copies !== null && copies.only(path) && network.sim.random() < copies.share) {
       network.sim.after(network.sim.random() * copies.withinMs, () => this.#arrive('copy'));
@@ -54,14 +54,14 @@
   }
 
   #timeOut(): void {
-    if (this.#isOver) return;
-    this.#isOver = true;
+    if (this.#isSettled) return;
+    this.#isSettled = true;
     this.#fail('no answer in time');
   }
 
   #refuse(): void {
-    if (this.#isOver) return;
-    this.#isOver = true;
+    if (this.#isSettled) return;
+    this.#isSettled = true;
     this.#cancelTimeout();
     this.#fail('refused');
   }
@@ -72,13 +72,13 @@
     this.caller.reject(new NoResponseError(why));
   }
 
-  /** The request has come to its host, which handles it; a copy is handled too, but not answered. */
+  /** Passes the request to the handler of its host. A duplicate is handled too, but its answer is dropped. */
   #arrive(what: 'original' | 'copy'): void {
     const { network, request } = this;
     const { from, to, method, path, body } = request;
     const handler = network.hosts.get(to);
     if (handler === undefined) {
-      if (what === 'original') this.#findNobody();
+      if (what === 'original') this.#refuseUnknownHost();
       return;
     }
     network.on(to, () => {
@@ -90,12 +90,12 @@
     });
   }
 
-  /** Nobody listens at the address: the sender learns it a moment later. */
-  #findNobody(): void {
-    if (this.#isOver) return;
+  /** Refuses the request after the route's latency, because no host listens at the address. */
+  #refuseUnknownHost(): void {
+    if (this.#isSettled) return;
     const { network, request } = this;
     this.#cancelTimeout();
-    this.#isOver = true;
+    this.#isSettled = true;
     network.sim.after(network.latencyMs(request.to, request.from), () => this.#fail('refused'));
   }
 
@@ -108,10 +108,10 @@
 
   #sendBack(answer: HttpResponse): void {
     const { network, request, caller } = this;
-    network.pass(request.to, request.from, () =>
+    network.transmit(request.to, request.from, () =>
       network.on(request.from, () => {
-        if (this.#isOver || !caller.isAlive()) return;
-        this.#isOver = true;
+        if (this.#isSettled || !caller.isAlive()) return;
+        this.#isSettled = true;
         this.#cancelTimeout();
         network.observe({ what: 'answer received', ...this.#route, ...answer });
         caller.resolve(answer);
--- a/packages/testkit/src/simulation/random-jobs.ts
+++ b/packages/testkit/src/simulation/random-jobs.ts
@@ -1,4 +1,4 @@
-// Jobs as users of a simulated deployment submit them, drawn at random.
+// Draws the random jobs that users of a simulated deployment submit.
 import type { JobSpec } from '@gingerlock/wire';
 import type { Deployment } from './deployment';
 import type { Sim } from './sim';
@@ -8,7 +8,7 @@
 export class RandomJobs {
   #count = 0;
 
-  /** `common` is what all jobs have in common. */
+  /** `common` has the fields that are the same in all jobs. */
   constructor(
     readonly sim: Sim,
     readonly deployment: Deployment,
@@ -19,7 +19,7 @@
     return values[Math.floor(this.sim.random() * values.length)]!;
   }
 
-  /** A machine type, or any, and a zone that has it, or any. */
+  /** Draws a machine type and a zone that has it; null stands for any. */
   #place(spread: boolean): Pick<JobSpec, 'types' | 'zone'> {
     const type = this.#pick([null, ...this.deployment.types]);
     const zones = type?.zones ?? this.deployment.zones;
@@ -29,7 +29,7 @@
     };
   }
 
-  /** The next job. Reordering the fields would draw other jobs for the same seed. */
+  /** Draws the next job. Reordering the fields would change the jobs drawn for a seed. */
   next(): JobSpec {
     const kind = this.#pick(['array', 'array', 'service'] as const);
     const spread = this.sim.random() < 0.4;
--- a/packages/testkit/src/simulation/sim-controllers.ts
+++ b/packages/testkit/src/simulation/sim-controllers.ts
@@ -1,4 +1,4 @@
-// The controllers of a simulated deployment: real ones, on simulated clocks, network and links.
+// Runs the production controllers of a simulated deployment on simulated clocks, network and links.
 import {
   Controller,
   type ControllerLimits,
@@ -13,23 +13,23 @@
 import { type LinkedWorld, SimLink } from './sim-link';
 import type { Sim } from './sim';
 
-/** One controller's place in the deployment, whether its process runs or not. */
+/** A controller of the deployment; its process may or may not run. */
 export interface SimNode {
   readonly name: string;
   readonly zone: string;
-  /** Null: its process does not run. */
+  /** Null: the controller's process does not run. */
   controller: Controller | null;
   link: SimLink | null;
-  /** How much faster than simulated time its clock runs, as a share. */
+  /** Rate error of the controller's clock: 0.001 means 0.1 % faster than simulated time. */
   readonly drift: number;
-  /** How far its time of day is off, in milliseconds. */
-  wallOffMs: number;
+  /** The offset of the controller's wall clock, in milliseconds. */
+  wallClockOffsetMs: number;
 }
 
-/** At the most so much do clocks of controllers drift apart. */
+/** The largest difference between the rates of two controllers' clocks, as a share. */
 const MAX_DRIFT = 0.001;
 
-/** The controllers of a deployment, none of which runs yet. */
+/** Creates the controllers of a deployment without starting their processes. */
 export function createNodes(sim: Sim, count: number, zones: readonly string[]): SimNode[] {
   return Array.from({ length: count }, (_, i) => ({
     name: `node-${i}`,
@@ -37,28 +37,28 @@
     controller: null,
     link: null,
     drift: (sim.random() - 0.5) * MAX_DRIFT,
-    wallOffMs: 0,
+    wallClockOffsetMs: 0,
   }));
 }
 
-/** What controllers need of the deployment that they are in. */
+/** The parts of the deployment that controllers use. */
 export interface ControllersWorld extends LinkedWorld {
   readonly nodes: readonly SimNode[];
   readonly deployment: { readonly maxClockSkewMs: number };
-  /** The features file as it is for controllers that start now. */
+  /** The parsed features file for controllers that start from now on. */
   readonly features: unknown;
   readonly options: LinkedWorld['options'] & {
     readonly operators?: unknown;
     readonly log?: Log;
     readonly limits?: Partial<ControllerLimits>;
   };
-  /** The parsed settings file of a controller. */
+  /** Returns the parsed settings file of a controller. */
   settings(node: string): unknown;
-  /** A worker's heartbeat is being answered with 200 by the owner of its partition. */
+  /** Called when the owner of a worker's partition answers its heartbeat with 200. */
   onAnsweredByOwner(node: string, owner: PartitionOwner): void;
 }
 
-/** Starts and ends controllers. */
+/** Starts and kills controllers. */
 export class SimControllers {
   constructor(readonly world: ControllersWorld) {}
 
@@ -66,18 +66,18 @@
     return this.world.nodes.find((node) => node.name === name)!;
   }
 
-  /** Starts a controller's process; one that runs is left alone. */
+  /** Starts a controller's process, unless it already runs. */
   start(name: string): void {
     const { world } = this;
     const node = this.#node(name);
     if (node.controller !== null) return;
     const link = new SimLink(world, name);
     node.link = link;
-    world.network.thaw(name);
-    node.wallOffMs = (world.sim.random() * 2 - 1) * world.deployment.maxClockSkewMs;
+    world.network.resume(name);
+    node.wallClockOffsetMs = (world.sim.random() * 2 - 1) * world.deployment.maxClockSkewMs;
     const controller = new Controller(this.#portsOf(node, link));
     node.controller = controller;
-    // Workers know a controller by its name.
+    // Workers address a controller by its name.
     world.network.hosts.set(name, async (_method, path, body) => {
       const reply = path === '/checkin' ? await this.#checkin(controller, name, body) : { status: 404, body: null };
       return { status: reply.status, body: reply.body ?? Buffer.alloc(0) };
@@ -94,7 +94,7 @@
       settings: settingsOf(world.settings(name), operators ?? {}, world.features),
       clock: world.sim.clock(
         node.drift,
-        () => node.wallOffMs,
+        () => node.wallClockOffsetMs,
         isAlive,
         (run) => world.network.on(name, run, 'timer'),
       ),
@@ -105,7 +105,7 @@
     };
   }
 
-  /** A worker's heartbeat to a controller; what the owner of the worker's partition answers is checked. */
+  /** Passes a worker's heartbeat to a controller, and reports a 200 answer from the partition's owner to the audit. */
   async #checkin(controller: Controller, node: string, body: Buffer): Promise<Reply> {
     const reply = await controller.checkin(body);
     const { machine, zone } = decodeHeartbeat(body);
@@ -115,7 +115,7 @@
     return reply;
   }
 
-  /** Kills a controller with no notice. */
+  /** Kills a controller without notice. */
   crash(name: string): void {
     const node = this.#node(name);
     node.controller?.stop();
@@ -124,10 +124,10 @@
     this.world.network.hosts.delete(name);
   }
 
-  /** The time of day of each controller jumps from one end of what is allowed to the other. */
+  /** Makes the wall clock of each controller jump from one end of the allowed skew to the other. */
   jumpClocks(): void {
     const { nodes, deployment } = this.world;
     const { maxClockSkewMs } = deployment;
-    for (const node of nodes) node.wallOffMs = node.wallOffMs > 0 ? -maxClockSkewMs : maxClockSkewMs;
+    for (const node of nodes) node.wallClockOffsetMs = node.wallClockOffsetMs > 0 ? -maxClockSkewMs : maxClockSkewMs;
   }
 }
--- a/packages/testkit/src/simulation/sim-link.ts
+++ b/packages/testkit/src/simulation/sim-link.ts
@@ -1,10 +1,10 @@
-// The links between simulated controllers.
+// Peer links between simulated controllers.
 import { decodePeer, encodePeer, MAX_FRAME_BYTES, type PeerLink, type PeerMessage } from '@gingerlock/peer';
 import type { Network } from './network';
 import type { Invariant } from '../audits/invariants';
 import type { Sim } from './sim';
 
-/** What a link needs of the world that it is in. */
+/** The parts of the deployment that a link uses. */
 export interface LinkedWorld {
   readonly sim: Sim;
   readonly network: Network;
@@ -14,14 +14,14 @@
     readonly frameBytes?: number;
     readonly falsify?: (message: PeerMessage) => PeerMessage | null;
   };
-  /** Bytes and messages that all links together have sent. */
+  /** Total bytes and messages sent by all links. */
   peerBytes: number;
   peerMessages: number;
   reportViolation(rule: Invariant, detail: string): void;
   recordOccurrence(what: string): void;
 }
 
-/** The link of one controller: messages take the simulated network, and end with the process of either side. */
+/** The link of one controller over the simulated network. Messages in flight are lost when the receiver ends. */
 export class SimLink implements PeerLink {
   readonly nodes: readonly string[];
   onMessage: (from: string, message: PeerMessage) => void = () => undefined;
@@ -39,7 +39,7 @@
 
   isAlive(node: string): boolean {
     const lastContact = this.#lastContacts.get(node);
-    // The end of a process ends its connections.
+    // A contact with an earlier process of the node does not count.
     if (lastContact === undefined || this.world.nodes.find(({ name }) => name === node)!.link !== lastContact.link)
       return false;
     return this.world.sim.now - lastContact.at < this.world.heartbeatIntervalMs * 2;
@@ -58,7 +58,7 @@
     const { network } = this.world;
     const route = { from: this.node, to: node, request: '', body: bytes };
     network.observe({ what: 'frame sent', ...route });
-    // A connection ends with its process: nothing goes over from one process to the next.
+    // A connection ends with its process: a message for one process is not delivered to the next.
     if (link === null) return false;
     this.world.peerBytes += bytes.length;
     this.world.peerMessages++;
--- a/packages/testkit/src/simulation/sim.ts
+++ b/packages/testkit/src/simulation/sim.ts
@@ -1,7 +1,7 @@
-// Simulated time and chance.
+// Simulated time and seeded random numbers.
 import type { Clock } from '@gingerlock/clients';
 
-/** A small seeded generator (mulberry32) of numbers from 0 to 1: the same seed gives the same scenario. */
+/** Returns a generator (mulberry32) of numbers from 0 to below 1; the same seed gives the same scenario. */
 export function seeded(seed: number): () => number {
   let a = seed >>> 0;
   return () => {
@@ -19,16 +19,16 @@
   cancelled: boolean;
 }
 
-/** Time and chance as stand-ins see them, simulated or real. */
+/** Time and random numbers for stand-ins, simulated or real. */
 export interface Scheduler {
-  /** In milliseconds. */
+  /** The current time, in milliseconds. */
   readonly now: number;
   readonly random: () => number;
-  /** Runs once after so many milliseconds; returns a function that cancels that. */
+  /** Runs a function once after `ms` milliseconds; returns a function that cancels it. */
   after(ms: number, run: () => void): () => void;
 }
 
-/** Simulated time: events run in order of their times, and promises settle in between. */
+/** Simulated time. Events run in order of their times; pending promises settle between two events. */
 export class Sim implements Scheduler {
   now = 0;
   readonly random: () => number;
@@ -44,10 +44,10 @@
     const heap = this.#heap;
     let i = heap.push(event) - 1;
     while (i > 0) {
-      const up = (i - 1) >> 1;
-      if (!before(event, heap[up]!)) break;
-      heap[i] = heap[up]!;
-      i = up;
+      const parent = (i - 1) >> 1;
+      if (!before(event, heap[parent]!)) break;
+      heap[i] = heap[parent]!;
+      i = parent;
     }
     heap[i] = event;
     return () => {
@@ -73,7 +73,7 @@
     return top;
   }
 
-  /** Runs all events until then. */
+  /** Runs all events up to the time `until`, and advances the time to it. */
   async run(until: number): Promise<void> {
     while (this.#heap.length > 0 && this.#heap[0]!.at <= until) {
       const event = this.#pop()!;
@@ -85,17 +85,17 @@
     this.now = until;
   }
 
-  /** A machine's own clock: drifting, and off by some time of day. */
+  /** Creates the clock of a process, with a rate error and a wall clock offset; its timers end with the process. */
   clock(
     drift: number,
-    wallOffMs: () => number,
+    wallClockOffsetMs: () => number,
     isAlive: () => boolean,
     on: (run: () => void) => void = (run) => run(),
   ): Clock {
     const start = this.now;
     return {
       now: () => (this.now - start) * (1 + drift),
-      wallNow: () => 1_700_000_000_000 + this.now + wallOffMs(),
+      wallNow: () => 1_700_000_000_000 + this.now + wallClockOffsetMs(),
       after: (ms, callback) => {
         let isCancelled = false;
         const cancel = this.after(ms / (1 + drift), () =>
--- a/packages/testkit/src/simulation/task-tracker.ts
+++ b/packages/testkit/src/simulation/task-tracker.ts
@@ -1,41 +1,41 @@
-// What really becomes of the tasks of a simulated deployment: where they run, and what is completed, saved and lost.
+// Tracks the actual state of a simulated deployment's tasks: where they run, and what is completed, saved and lost.
 import { type JobSpec, parseTaskName } from '@gingerlock/wire';
 
-/** Follows tasks by what workers do with them, whatever controllers believe. */
+/** Tracks tasks from the actions of workers, independently of the state of controllers. */
 export class TaskTracker {
-  /** By task: the machine that it is on. */
+  /** By task: the machine that runs it. */
   readonly #machineByTask = new Map<string, string>();
-  /** The tasks that are on machines, by job. */
+  /** By job: its running tasks. */
   readonly #tasksByJob = new Map<string, Set<string>>();
   readonly #gpusByTeam = new Map<string, number>();
   readonly #gpusByMachine = new Map<string, number>();
   readonly #completedByJob = new Map<string, Set<string>>();
-  /** By task: for how long it had run when it was last saved, in milliseconds. */
+  /** By task: its saved run time, in milliseconds. */
   readonly savedMs = new Map<string, number>();
-  /** GPU seconds of work that was not saved when its task was stopped. */
+  /** GPU seconds of work lost because a task was stopped without saving. */
   lostGpuSeconds = 0;
 
-  /** All tasks that are on machines, with their machines. */
+  /** All running tasks with their machines. */
   get machineByTask(): ReadonlyMap<string, string> {
     return this.#machineByTask;
   }
 
-  /** The tasks of the job that are on machines. */
+  /** Returns the running tasks of the job. */
   runningOf(job: string): ReadonlySet<string> {
     return this.#tasksByJob.get(job) ?? new Set();
   }
 
-  /** GPUs that the team's tasks use. */
+  /** Returns the number of GPUs that the team's tasks use. */
   gpusOfTeam(team: string): number {
     return this.#gpusByTeam.get(team) ?? 0;
   }
 
-  /** GPUs that are in use on the machine. */
+  /** Returns the number of GPUs in use on the machine. */
   gpusOnMachine(machine: string): number {
     return this.#gpusByMachine.get(machine) ?? 0;
   }
 
-  /** A task runs on the machine from now on, and nowhere else as far as this is followed. */
+  /** Records that a task runs on the machine; an earlier place of the task is removed. */
   place(taskName: string, machine: string, spec: JobSpec): void {
     const other = this.#machineByTask.get(taskName);
     if (other !== undefined) this.#remove(taskName, other, spec);
@@ -45,7 +45,7 @@
     this.#addGpus(machine, spec, spec.gpus);
   }
 
-  /** A task no longer runs on the machine; one that was placed on another one since then stays there. */
+  /** Records that a task no longer runs on the machine; a task placed on another machine meanwhile stays there. */
   leave(taskName: string, machine: string, spec: JobSpec): void {
     if (this.#machineByTask.get(taskName) === machine) this.#remove(taskName, machine, spec);
   }
@@ -61,7 +61,7 @@
     this.#gpusByMachine.set(machine, this.gpusOnMachine(machine) + gpus);
   }
 
-  /** A task is done for good. */
+  /** Records that a task has completed. */
   complete(taskName: string): void {
     const { job } = parseTaskName(taskName)!;
     const completed = this.#completedByJob.get(job) ?? new Set();
@@ -72,12 +72,12 @@
     return this.#completedByJob.get(parseTaskName(taskName)!.job)?.has(taskName) ?? false;
   }
 
-  /** How many tasks of the job are done. */
+  /** Returns the number of completed tasks of the job. */
   completedOf(job: string): number {
     return this.#completedByJob.get(job)?.size ?? 0;
   }
 
-  /** A task that had run for so long was stopped, and its work saved or lost. */
+  /** Records that a task was stopped after running for `runMs`, and whether its work was saved. */
   stop(taskName: string, runMs: number, isSaved: boolean, { gpus }: JobSpec): void {
     if (isSaved) this.savedMs.set(taskName, (this.savedMs.get(taskName) ?? 0) + runMs);
     else this.lostGpuSeconds += (runMs / 1000) * gpus;
--- a/packages/testkit/src/simulation/traffic.ts
+++ b/packages/testkit/src/simulation/traffic.ts
@@ -1,7 +1,6 @@
-// What an observer gets of the messages of a simulated deployment, as bytes at the moment they leave or reach a
-// process.
+// Reports the messages of a simulated deployment to an observer, as bytes at the moment they leave or reach a process.
 
-/** A message as it crosses the edge of a process, or the end of the wait for one that did not come. */
+/** A message that leaves or reaches a process, or the failure of a request that got no answer. */
 export interface TrafficEvent {
   readonly what:
     | 'request sent'
@@ -11,21 +10,21 @@
     | 'no answer'
     | 'frame sent'
     | 'frame received';
-  /** The sender of the request or of the frame; an answer to it goes the other way. */
+  /** The sender of the request or frame. An answer keeps the `from` and `to` of its request. */
   readonly from: string;
   readonly to: string;
-  /** Method and path of the request; empty: it is a frame. */
+  /** Method and path of the request; empty for a frame. */
   readonly request: string;
-  /** Of an answer: its status, and after how many seconds to ask again if it says so. */
+  /** The status of an answer and, if it has one, the delay in seconds before a retry. */
   readonly status?: number;
   readonly retryAfterS?: number;
   readonly body?: Uint8Array | null;
 }
 
-/** Is called with each event as it happens; it must change nothing. */
+/** Called with each event when it happens; it must not change the deployment. */
 export type TrafficObserver = (event: TrafficEvent) => void;
 
-/** A request that is put to a controller in its own process, as users and late copies do, not over the network. */
+/** A request that users and late duplicates pass to a controller directly, bypassing the simulated network. */
 export interface DirectRequest {
   readonly from: string;
   readonly to: string;
@@ -33,7 +32,7 @@
   readonly body: Uint8Array | null;
 }
 
-/** Runs a direct request; the observer gets it and its answer. */
+/** Runs a direct request, and reports it and its answer to the observer. */
 export function observeDirect<
   A extends Pick<TrafficEvent, 'retryAfterS'> & Required<Pick<TrafficEvent, 'status' | 'body'>>,
 >(observe: TrafficObserver, request: DirectRequest, run: () => Promise<A>): Promise<A> {
--- a/packages/testkit/src/simulation/world-options.ts
+++ b/packages/testkit/src/simulation/world-options.ts
@@ -1,53 +1,53 @@
-// What a simulated deployment can be given at its construction, and what it has otherwise.
+// The options of a simulated deployment and their defaults.
 import type { ControllerLimits, Log } from '@gingerlock/daemon';
 import type { PeerMessage } from '@gingerlock/peer';
 import type { JobSpec } from '@gingerlock/wire';
 import type { StateLimits } from '../standins/state-service';
 import type { Deployment } from './deployment';
 
-/** Options of a `World`; all but the seed have defaults. */
+/** Options of a `World`; all except the seed are optional. */
 export interface WorldOptions {
   readonly seed: number;
-  /** The log of all controllers; silent if not given. */
+  /** The log of all controllers; default: no log. */
   readonly log?: Log;
-  /** Zones, machine types and clocks; one type if not given. */
+  /** Zones, machine types and clocks; default: `ONE_TYPE`. */
   readonly deployment?: Deployment;
-  /** How many controllers there are. */
+  /** The number of controllers. */
   readonly controllers?: number;
-  /** Machines that are up at the start. */
+  /** The number of machines that are up at the start. */
   readonly machines?: number;
-  /** Machines of either kind that each zone has. */
+  /** The number of machines of each type that each zone offers, as spot machines and as ordinary ones. */
   readonly capacity?: number;
-  /** How many times the usual number of jobs arrive. */
+  /** Multiplies the rate at which jobs arrive. */
   readonly load?: number;
   /** `report_s`, `lease_s` and `cancel_s` of the platform's settings, in seconds. */
   readonly heartbeatIntervalS?: number;
   readonly workerLeaseS?: number;
   readonly cancellationBoundS?: number;
-  /** GPUs that each team may use at the most. */
+  /** The GPU limit of each team. */
   readonly gpusMax?: number;
-  /** GPUs that each team but the guests is guaranteed. */
+  /** The guaranteed GPUs of each team except the guest team. */
   readonly guaranteedGpus?: number;
   /** The operators' settings file, parsed. */
   readonly operators?: unknown;
-  /** The features file, parsed; undefined: there is none. */
+  /** The features file, parsed; undefined: there is no features file. */
   readonly features?: unknown;
-  /** Limits that the state service may get during the scenario: `facts.state.next` of the settings. */
+  /** Limits that the state service may enforce later in the scenario: `facts.state.next` of the settings. */
   readonly nextLimits?: StateLimits;
   /** Fields that are the same in all random jobs. */
   readonly jobs?: Partial<JobSpec>;
   /**
-   * The largest message between controllers; a small one makes controllers publish even a small fleet's status in
-   * several fragments.
+   * The largest message between controllers, in bytes. A small value makes controllers publish even a small fleet's
+   * status in several fragments.
    */
   readonly frameBytes?: number;
-  /** Bounds of the controllers that only long or large scenarios would reach. */
+  /** Overrides of controller limits that otherwise only long or large scenarios would reach. */
   readonly limits?: Partial<ControllerLimits>;
-  /** Falsifies messages between controllers; null: the message is lost. */
+  /** Alters messages between controllers; a null result drops the message. */
   readonly falsify?: (message: PeerMessage) => PeerMessage | null;
 }
 
-/** What the options are where they are not given. */
+/** Defaults of the options. */
 export const WORLD_DEFAULTS = {
   controllers: 3,
   machines: 6,
@@ -59,8 +59,8 @@
   guaranteedGpus: 4,
 } as const;
 
-/** The teams that submit the usual jobs. */
+/** The teams that submit random jobs. */
 export const TEAMS: readonly string[] = ['red', 'blue'];
 
-/** A team without a guarantee. */
+/** The guest team, which has no guaranteed GPUs. */
 export const GUEST_TEAM = 'green';
--- a/packages/testkit/src/simulation/world.ts
+++ b/packages/testkit/src/simulation/world.ts
@@ -1,5 +1,5 @@
-// A whole deployment in simulated time: controllers as they run for real, stand-ins for all the rest, and the
-// invariants checked against what really runs where.
+// A whole deployment in simulated time: production controllers, stand-ins for everything else, and audits that check
+// the invariants against the tasks that actually run on machines.
 import { NO_RESOURCES, type Resources } from '@gingerlock/core';
 import type { PartitionOwner } from '@gingerlock/daemon';
 import { isGroupSpec, type ReplicaGroupSettings } from '@gingerlock/replica-groups';
@@ -26,13 +26,13 @@
 import { TaskTracker } from './task-tracker';
 import { GUEST_TEAM, WORLD_DEFAULTS, type WorldOptions } from './world-options';
 
-/** How long the fetch of an image takes where the deployment does not say. */
-const USUAL_FETCH_MS = 2000;
+/** The duration of an image fetch if the deployment does not define it by machine type. */
+const DEFAULT_FETCH_MS = 2000;
 
-/** How many milliseconds the saving of a job that says one second may take, with the slack that it gets. */
+/** The longest a save may take per second of the job's `saveS`, including the allowed slack. */
 const SAVE_MS_PER_S = 1250;
 
-/** A simulated deployment. It runs as its `sim` does. */
+/** A simulated deployment. Running its `sim` runs the deployment. */
 export class World implements WorkerWorld, ControllersWorld {
   readonly sim: Sim;
   readonly network: Network;
@@ -47,25 +47,25 @@
   readonly cancellationBoundMs: number;
   readonly guestTeam = GUEST_TEAM;
 
-  /** What controllers have sent each other. */
+  /** Bytes and messages that controllers have sent to each other. */
   peerBytes = 0;
   peerMessages = 0;
-  /** How many tasks have begun to run, each attempt counted. */
+  /** The number of attempts that have begun to run. */
   startsSeen = 0;
-  /** Share of the jobs that are cancelled at the moment at which their last task completes. */
+  /** The share of jobs that are cancelled when their last task completes. */
   cancelAtEnd = 0;
-  /** Controllers that answer nobody, and whom nobody reaches. */
+  /** Controllers that are unreachable and answer no requests. */
   readonly silent = new Set<string>();
-  /** Jobs that were submitted with a mistake, and how often tasks of them were started. */
+  /** Jobs submitted with a mistake, whose tasks always fail, with the number of task starts and the first start. */
   readonly brokenJobs = new Map<string, { starts: number; firstStartAt: number | null }>();
-  /** Machines that were at fault at any time. */
+  /** Machines that have been faulty at any time. */
   readonly everUnhealthy = new Set<string>();
-  /** When the last fault of the scenario is over. */
+  /** The time at which the last fault of the scenario ends. */
   quietAt = Infinity;
 
   /** Violations of invariants, in the order in which they were found. */
   readonly violations: Violation[] = [];
-  /** How often each thing happened that tests ask for. */
+  /** The number of times each recorded occurrence happened. */
   readonly happened = new Map<string, number>();
   readonly tasks = new TaskTracker();
   readonly users = new SimUsers(this);
@@ -78,12 +78,12 @@
 
   /** Null: replica groups are off. */
   replicaGroups: ReplicaGroupSettings | null;
-  /** The features file, parsed, for controllers that start from now on. */
+  /** The parsed features file for controllers that start from now on. */
   features: unknown;
   readonly #controllers = new SimControllers(this);
   readonly #randomJobs: RandomJobs;
 
-  /** All controllers and the machines of the start are up at once. */
+  /** Boots the initial machines without a boot delay and starts all controllers. */
   constructor(readonly options: WorldOptions) {
     this.features = options.features;
     this.replicaGroups = groupSettingsOf(options.features);
@@ -131,19 +131,19 @@
     for (let i = 0; i < count; i++) this.cloud.boot(types[0]!, zones[i % zones.length]!, false, 0);
   }
 
-  // --- what the deployment is like -----------------------------------------------------------------------------------
+  // --- properties of the deployment --------------------------------------------------------------------------------
 
-  /** GPUs that each team but the guests is guaranteed. */
+  /** The guaranteed GPUs of each team except the guest team. */
   get guaranteedGpus(): number {
     return this.options.guaranteedGpus ?? WORLD_DEFAULTS.guaranteedGpus;
   }
 
-  /** GPUs that each team may use at the most. */
+  /** The GPU limit of each team. */
   get gpusMax(): number {
     return this.options.gpusMax ?? WORLD_DEFAULTS.gpusMax;
   }
 
-  /** The longest that any job's task may take to save, with the slack that it gets. */
+  /** The longest save time of any submitted job's task, including the allowed slack. */
   get longestSaveMs(): number {
     const saveS = Math.max(0, ...[...this.users.observedByJob.values()].map(({ spec }) => spec.saveS));
     return saveS * SAVE_MS_PER_S;
@@ -153,22 +153,22 @@
     return this.deployment.types.find((type) => type.name === name);
   }
 
-  /** What a machine of the type has; nothing if there is no such type. */
+  /** Returns the resources of a machine of the type; no resources if the type does not exist. */
   capacityOfType(type: string): Resources {
     return this.machineType(type) ?? NO_RESOURCES;
   }
 
   fetchMs({ imageGb }: JobSpec, type: string): number {
-    if (this.deployment.fetch === null) return USUAL_FETCH_MS;
+    if (this.deployment.fetch === null) return DEFAULT_FETCH_MS;
     return (imageGb / this.machineType(type)!.fetchGbPerS) * 1000;
   }
 
-  /** The names of all controllers, whether they run or not. */
+  /** The names of all controllers, including those that do not run. */
   get controllers(): string[] {
     return this.nodes.map(({ name }) => name);
   }
 
-  /** The zone of a host on the network; null: it is regional. */
+  /** Returns the zone of a host on the network; null: the host is regional. */
   zoneOf(host: string): string | null {
     const name = host.replace(/^peer:/, '').replace(/:\d+$/, '');
     return this.workers.get(name)?.zone ?? this.nodes.find((node) => node.name === name)?.zone ?? null;
@@ -176,28 +176,28 @@
 
   // --- controllers -------------------------------------------------------------------------------------------------
 
-  /** The controller that leads, as the state service says; null: none does. */
+  /** Returns the leader according to the state service; null: there is no leader. */
   leader(): string | null {
     const hold = this.state.data.get(KEYS.hold(LEADERSHIP));
     return hold === undefined ? null : holdRecord.read(hold.value).node;
   }
 
-  /** The parsed settings file of a controller. */
+  /** Returns the parsed settings file of a controller. */
   settings(node: string): unknown {
     return controllerSettings(this, node);
   }
 
-  /** Starts a controller's process; one that runs is left alone. */
+  /** Starts a controller's process, unless it already runs. */
   startNode(name: string): void {
     this.#controllers.start(name);
   }
 
-  /** Kills a controller with no notice. */
+  /** Kills a controller without notice. */
   crash(name: string): void {
     this.#controllers.crash(name);
   }
 
-  /** The time of day of each controller jumps from one end of what is allowed to the other. */
+  /** Makes the wall clock of each controller jump from one end of the allowed skew to the other. */
   jumpClocks(): void {
     this.#controllers.jumpClocks();
   }
@@ -206,7 +206,7 @@
     this.ownership.answered(node, owner);
   }
 
-  /** Controllers that start from now on have other features. */
+  /** Changes the features of controllers that start from now on. */
   switchFeatures(features: unknown): void {
     this.features = features;
     this.replicaGroups = groupSettingsOf(features);
@@ -234,7 +234,7 @@
     this.kill(name, 'gone');
   }
 
-  /** The machine is gone with all that is on it. */
+  /** Ends a machine with all its tasks, and lists it as failed or no longer lists it. */
   kill(name: string, listedAs: 'failed' | 'gone'): void {
     this.workers.get(name)?.die();
     this.workers.delete(name);
@@ -274,17 +274,17 @@
     return this.tasks.savedMs;
   }
 
-  /** GPU seconds of work that was not saved when its task was stopped. */
+  /** GPU seconds of work lost because a task was stopped without saving. */
   get lostGpuSeconds(): number {
     return this.tasks.lostGpuSeconds;
   }
 
-  /** The longest that a task was on a machine after its user got the answer that it is cancelled. */
+  /** The longest time that a task kept running after its user was told that the job is cancelled. */
   get longestCancelledMs(): number {
     return this.placement.longestCancelledMs;
   }
 
-  /** The most GPUs that a team has ever used. */
+  /** The highest number of GPUs that any team has used at a time. */
   get peakGpus(): number {
     return this.placement.peakGpus;
   }
@@ -293,7 +293,7 @@
     return this.tasks.machineByTask;
   }
 
-  /** How many tasks of the job are on machines. */
+  /** Returns the number of running tasks of the job. */
   tasksOn(job: string): number {
     return this.tasks.runningOf(job).size;
   }
@@ -312,7 +312,7 @@
     return this.users.observedByJob.get(id)?.spec;
   }
 
-  /** Draws the next job of the usual kind; nobody has submitted it yet. */
+  /** Draws the next random job without submitting it. */
   randomJob(): JobSpec {
     return this.#randomJobs.next();
   }
@@ -327,7 +327,7 @@
     return spec !== undefined && isGroupSpec(this.replicaGroups, spec);
   }
 
-  /** How long a group may be on its way from one state to the next, with its longest pause; 0 if groups are off. */
+  /** How long a group may take from one state to the next, including its longest backoff; 0 if groups are off. */
   get groupBoundMs(): number {
     if (this.replicaGroups === null) return 0;
     return groupBoundMs({
@@ -349,7 +349,7 @@
     this.violations.push({ rule, at: this.sim.now, detail });
   }
 
-  /** Checks what only time can show: to be called again and again. */
+  /** Checks the invariants that depend on elapsed time; must be called periodically. */
   audit(): void {
     this.placement.audit();
     this.ownership.audit();
