--- a/packages/testkit/src/standins/cloud-records.ts
+++ b/packages/testkit/src/standins/cloud-records.ts
@@ -1,16 +1,16 @@
-// What the cloud stand-in has rented, now and at earlier times: its list may describe the past.
+// The current and past rentals of the cloud stand-in, whose machine list may be out of date.
 import type { CloudMachine } from '@gingerlock/wire';
 
-/** A machine as the cloud has it; `bornAt` is when it was rented, in the scheduler's time. */
+/** A rented machine; `bornAt` is the scheduler's time at which it was rented. */
 export type RentedMachine = CloudMachine & { readonly bornAt: number };
 
-/** For how long earlier states are kept. */
-const KEPT_MS = 120_000;
+/** How long past states are kept. */
+const HISTORY_MS = 120_000;
 
-/** All machines that the cloud has rented out, and how they stood earlier. */
+/** All rented machines, with a history of their states. */
 export class CloudRecords {
   readonly #machines = new Map<string, RentedMachine>();
-  /** When something changed that the history does not have yet. */
+  /** The time of the changes that are not in the history yet; null: there are no such changes. */
   #changedAt: number | null = null;
   #history: { readonly at: number; readonly machines: readonly RentedMachine[] }[] = [];
 
@@ -19,39 +19,39 @@
   }
 
   set(machine: RentedMachine, now: number): void {
-    this.#changeAt(now);
+    this.#markChange(now);
     this.#machines.set(machine.name, machine);
   }
 
   delete(name: string, now: number): void {
-    this.#changeAt(now);
+    this.#markChange(now);
     this.#machines.delete(name);
   }
 
-  /** In the order of their names. */
+  /** The current machines, sorted by name. */
   get machines(): readonly RentedMachine[] {
-    this.#keep();
+    this.#recordSnapshot();
     return this.#history.at(-1)?.machines ?? [];
   }
 
-  /** The machines as they stood at a moment; none if that is not kept. */
+  /** Returns the machines as of time `at`; no machines if the history does not reach back that far. */
   machinesAt(at: number): readonly RentedMachine[] {
-    this.#keep();
+    this.#recordSnapshot();
     return this.#history.findLast((entry) => entry.at <= at)?.machines ?? [];
   }
 
-  /** What changes at one moment is kept once: a fleet of thousands comes up together. */
-  #changeAt(now: number): void {
-    if (this.#changedAt !== now) this.#keep();
+  /** Marks a change. Changes at the same time share one history entry, since thousands of machines come up together. */
+  #markChange(now: number): void {
+    if (this.#changedAt !== now) this.#recordSnapshot();
     this.#changedAt = now;
   }
 
-  #keep(): void {
+  #recordSnapshot(): void {
     const now = this.#changedAt;
     if (now === null) return;
     this.#changedAt = null;
     const machines = [...this.#machines.values()].sort((a, b) => (a.name < b.name ? -1 : 1));
-    this.#history = this.#history.filter((_, i) => (this.#history[i + 1]?.at ?? now) > now - KEPT_MS);
+    this.#history = this.#history.filter((_, i) => (this.#history[i + 1]?.at ?? now) > now - HISTORY_MS);
     this.#history.push({ at: now, machines });
   }
 }
--- a/packages/testkit/src/standins/cloud.ts
+++ b/packages/testkit/src/standins/cloud.ts
@@ -1,4 +1,4 @@
-// A stand-in of the cloud: it rents machines, lists them, maybe as they were a while ago, and takes them back.
+// A stand-in for the cloud: rents machines, lists them, possibly in a past state, and takes returned machines back.
 import type { HttpResponse } from '@gingerlock/clients';
 import {
   type CloudMachine,
@@ -16,89 +16,89 @@
 import { CloudRecords, type RentedMachine } from './cloud-records';
 import type { Scheduler } from '../simulation/sim';
 
-/** What the cloud is made with. */
+/** Options of the cloud stand-in. */
 export interface CloudOptions {
   readonly sim: Scheduler;
   readonly types: readonly MachineType[];
-  /** This share of the machines that are rented never comes up. */
+  /** The share of rented machines that never come up. */
   readonly neverUp: number;
-  /** Machines of each type and either kind that each zone has. */
+  /** The number of machines of each type that each zone offers, as spot machines and as ordinary ones. */
   readonly capacity: number;
-  /** A machine has come up. */
+  /** Called when a machine has come up. */
   readonly onUp: (machine: RentedMachine) => void;
-  /** A machine was returned: it and all that is on it are gone. */
+  /** Called when a machine is returned; it must be ended with all its tasks. */
   readonly onReturned: (name: string) => void;
 }
 
-/** How boots go wrong: so many times as slow, and this share of them never ends. */
+/** A fault of boots: their duration is multiplied by `factor`, and the share `never` does not end. */
 export interface BootFault {
   readonly never: number;
   readonly factor: number;
 }
 
-/** Fast boots take at least and at most so long. */
+/** The shortest and longest duration of a fast boot. */
 const FAST_BOOT_MS = { least: 100, most: 2000 };
 
 function answer(status: number, map: unknown): HttpResponse {
   return { status, body: encode(map) };
 }
 
-/** The cloud. Its fields set faults. */
+/** The cloud stand-in. Its public fields set faults. */
 export class SimCloud {
-  /** Nobody is served. */
+  /** Every request is refused with 503. */
   outage = false;
-  /** Machines that are rented now are up within two seconds. */
+  /** Machines rented while this is set are up within two seconds. */
   fastBoots = false;
-  /** How boots of machines that are rented now go wrong; null: they don't. */
+  /** The fault of boots of machines rented while this is set; null: boots have no fault. */
   bootFault: BootFault | null = null;
-  /** What is listed in place of the machine types; null: they are. */
+  /** Replaces the list of machine types; null: the actual types are listed. */
   listedTypes: unknown = null;
-  /** The list describes how machines stood so long ago. */
+  /** The age of the states in the machine list, in milliseconds. */
   listAgeMs = 0;
   readonly #records = new CloudRecords();
-  /** By the name of the request: the machines that it got. */
-  readonly #requests = new Map<string, string[]>();
+  /** By id of a rent request: the machines granted to it. */
+  readonly #namesByRequest = new Map<string, string[]>();
   #rentedCount = 0;
 
   #capacity: number;
-  /** Names of machines that are on their way and never come up. */
+  /** Names of booting machines that will never come up because their zone has no capacity for them any more. */
   readonly #neverUp = new Set<string>();
 
   constructor(readonly options: CloudOptions) {
     this.#capacity = options.capacity;
   }
 
-  /** Machines of each type and either kind that each zone has now. */
+  /** The current number of machines of each type that each zone offers, as spot machines and as ordinary ones. */
   get capacity(): number {
     return this.#capacity;
   }
 
-  /** Sets it; machines on their way for which their zones have no place any more never come up. */
+  /** Sets the capacity; booting machines that exceed it never come up. */
   set capacity(count: number) {
     this.#capacity = count;
     const booting = this.rented.filter(({ state }) => state === 'booting');
-    for (const machine of booting) if (this.#countAlike(machine) > count) this.#neverUp.add(machine.name);
+    for (const machine of booting) if (this.#countOfKind(machine) > count) this.#neverUp.add(machine.name);
   }
 
-  /** How many machines of the type and kind are up or on their way in the zone. */
-  #countAlike({ type, zone, spot }: Pick<CloudMachine, 'type' | 'zone' | 'spot'>): number {
+  /** Counts the machines of the same type and kind that are up or booting in the zone. */
+  #countOfKind({ type, zone, spot }: Pick<CloudMachine, 'type' | 'zone' | 'spot'>): number {
     const isCounted = (machine: RentedMachine): boolean =>
       machine.state !== 'failed' && !this.#neverUp.has(machine.name);
     const counted = this.rented.filter(isCounted);
     return counted.filter((machine) => machine.type === type && machine.zone === zone && machine.spot === spot).length;
   }
 
-  /** How many machines there have ever been. */
+  /** The total number of machines ever rented. */
   get machinesRented(): number {
     return this.#rentedCount;
   }
 
-  /** What is rented now, as it is. */
+  /** The machines rented now, in their current states. */
   get rented(): readonly RentedMachine[] {
     return this.#records.machines;
   }
 
-  /** Rents a machine that comes up after so long; null: it never does. */
+  /** Rents a machine that comes up after `afterMs`; null: the machine never comes up. */
   boot(type: MachineType, zone: string, spot: boolean, afterMs: number | null): string {
     const { sim, onUp } = this.options;
     const name = `m-${String(++this.#rentedCount).padStart(6, '0')}`;
@@ -114,16 +114,16 @@
     return name;
   }
 
-  /** Lists a machine of a type or in a zone that the deployment does not have. */
+  /** Adds a running machine whose type or zone does not exist in the deployment. */
   addOdd(name: string, odd: 'type' | 'zone'): void {
     const { sim, types } = this.options;
     const type = types[0]!;
     const machine = { name, addr: `${name}:9000`, type: type.name, zone: type.zones[0]!, spot: false, ageS: 0 };
-    const strange = odd === 'type' ? { ...machine, type: 'no such type' } : { ...machine, zone: 'no such zone' };
-    this.#records.set({ ...strange, state: 'running', bornAt: sim.now }, sim.now);
+    const invalid = odd === 'type' ? { ...machine, type: 'no such type' } : { ...machine, zone: 'no such zone' };
+    this.#records.set({ ...invalid, state: 'running', bornAt: sim.now }, sim.now);
   }
 
-  /** The machine has stopped by itself and is listed as failed, or was taken back. */
+  /** Ends a machine: one that failed is listed as failed, one that was taken back is no longer listed. */
   end(name: string, listedAs: 'failed' | 'gone'): void {
     const { now } = this.options.sim;
     const machine = this.#records.get(name);
@@ -144,28 +144,28 @@
       case 'rent':
         return this.#rent(rentRequestOf(decode(body)));
       case 'return':
-        for (const name of returnedNamesOf(decode(body))) this.#takeBack(name);
+        for (const name of returnedNamesOf(decode(body))) this.#returnMachine(name);
         return answer(200, {});
       case 'list':
         return this.#list(request.after, request.limit);
     }
   }
 
-  /** A machine that was returned is not listed any more, and its place is free. */
-  #takeBack(name: string): void {
+  /** Ends a returned machine: it is no longer listed, and its capacity is free. */
+  #returnMachine(name: string): void {
     this.options.onReturned(name);
     this.end(name, 'gone');
   }
 
   #rent({ request, type: name, zone, spot, count }: RentRequest): HttpResponse {
-    const known = this.#requests.get(request);
+    const known = this.#namesByRequest.get(request);
     if (known !== undefined) return answer(200, rentedMap(known));
     const type = this.options.types.find((known) => known.name === name);
     if (type === undefined || !type.zones.includes(zone)) return answer(400, {});
-    const granted = Math.min(count, this.#capacity - this.#countAlike({ type: name, zone, spot }));
+    const granted = Math.min(count, this.#capacity - this.#countOfKind({ type: name, zone, spot }));
     if (granted <= 0) return answer(503, { error: 'no capacity' });
     const names = Array.from({ length: granted }, () => this.boot(type, zone, spot, this.#nextBootMs(type)));
-    this.#requests.set(request, names);
+    this.#namesByRequest.set(request, names);
     return answer(200, rentedMap(names));
   }
 
--- a/packages/testkit/src/standins/pipelines.ts
+++ b/packages/testkit/src/standins/pipelines.ts
@@ -1,26 +1,26 @@
-// Stand-ins of users who submit pipelines: jobs that await each other, and some that were accepted long before.
+// Stand-ins for users who submit pipelines: jobs that await each other and sometimes a job accepted earlier.
 import type { JobSpec } from '@gingerlock/wire';
 import type { Sim } from '../simulation/sim';
 import { seeded } from '../simulation/sim';
 import type { SimUsers } from './users';
 
-/** What users of pipelines need of the deployment. */
+/** The parts of the deployment that pipeline users use. */
 export interface PipelineWorld {
   readonly sim: Sim;
   readonly users: SimUsers;
   randomJob(): JobSpec;
 }
 
-/** How often a user looks whether the jobs that the next one needs have been accepted. */
-const LOOK_MS = 200;
+/** How often a user checks whether the jobs that the next job awaits allow its submission. */
+const POLL_INTERVAL_MS = 200;
 
-/** Jobs of a pipeline at the least and at the most. */
-const STAGES = { least: 2, most: 5 };
+/** The smallest and largest number of jobs in a pipeline. */
+const JOB_COUNT = { least: 2, most: 5 };
 
-/** What the users of pipelines decide, each as a probability. */
-const CHANCE = { edge: 0.6, earlier: 0.3, last: 0.15, cancelled: 0.3 };
+/** The probabilities of the random decisions of pipeline users. */
+const PROBABILITY = { edge: 0.6, earlier: 0.3, last: 0.15, cancelled: 0.3 };
 
-/** A user of one pipeline, with random numbers of its own, so that other arrivals stay as they are. */
+/** A user of one pipeline. It has its own random numbers, so that it does not change other arrivals. */
 export class PipelineUser {
   readonly #random: () => number;
 
@@ -31,19 +31,19 @@
     this.#random = seeded(seed);
   }
 
-  /** Submits a pipeline, each job as soon as those that it needs are accepted. */
+  /** Submits a pipeline, each job once those that it awaits are accepted; some last jobs wait until those are over. */
   start(): void {
-    const { least, most } = STAGES;
+    const { least, most } = JOB_COUNT;
     const count = least + Math.floor(this.#random() * (most - least + 1));
-    const cancelled = this.#chance(CHANCE.cancelled) ? Math.floor(this.#random() * count) : -1;
+    const cancelled = this.#chance(PROBABILITY.cancelled) ? Math.floor(this.#random() * count) : -1;
     const stages: JobSpec[] = [];
     for (let i = 0; i < count; i++) {
       const isLast = i === count - 1;
       const spec = this.#stage(stages, isLast);
       stages.push(spec);
       const cancelAfterMs = i === cancelled ? this.#random() * 15_000 : null;
-      const whenOver = isLast && this.#chance(CHANCE.last);
-      void this.#submit(spec, whenOver, cancelAfterMs);
+      const afterCompletion = isLast && this.#chance(PROBABILITY.last);
+      void this.#submit(spec, afterCompletion, cancelAfterMs);
     }
   }
 
@@ -52,15 +52,15 @@
   }
 
   #stage(before: readonly JobSpec[], isLast: boolean): JobSpec {
-    const awaits = before.filter(() => this.#chance(CHANCE.edge)).map((spec) => spec.id);
-    // A pipeline hangs together: each job but the first needs another.
+    const awaits = before.filter(() => this.#chance(PROBABILITY.edge)).map((spec) => spec.id);
+    // Each job except the first awaits another, so that the pipeline is connected.
     if (awaits.length === 0 && before.length > 0) awaits.push(before.at(-1)!.id);
-    if (this.#chance(CHANCE.earlier)) {
+    if (this.#chance(PROBABILITY.earlier)) {
       const earlier = [...this.world.users.observedByJob.values()].filter(
         ({ accepted, spec }) => accepted && spec.kind === 'array',
       );
-      const one = earlier[Math.floor(this.#random() * earlier.length)];
-      if (one !== undefined && !awaits.includes(one.spec.id)) awaits.push(one.spec.id);
+      const chosen = earlier[Math.floor(this.#random() * earlier.length)];
+      if (chosen !== undefined && !awaits.includes(chosen.spec.id)) awaits.push(chosen.spec.id);
     }
     return {
       ...this.world.randomJob(),
@@ -77,15 +77,15 @@
     };
   }
 
-  async #submit(spec: JobSpec, whenOver: boolean, cancelAfterMs: number | null): Promise<void> {
+  async #submit(spec: JobSpec, afterCompletion: boolean, cancelAfterMs: number | null): Promise<void> {
     const { users, sim } = this.world;
-    const mayCome = (id: string): boolean => {
+    const allowsSubmission = (id: string): boolean => {
       const observed = users.observedByJob.get(id);
-      return observed?.accepted === true && (!whenOver || observed.final !== null);
+      return observed?.accepted === true && (!afterCompletion || observed.final !== null);
     };
-    while (!spec.awaits.every(mayCome)) {
+    while (!spec.awaits.every(allowsSubmission)) {
       await new Promise<void>((resolve) => {
-        sim.after(LOOK_MS, resolve);
+        sim.after(POLL_INTERVAL_MS, resolve);
       });
     }
     await users.live(spec, cancelAfterMs);
--- a/packages/testkit/src/standins/state-service.ts
+++ b/packages/testkit/src/standins/state-service.ts
@@ -1,4 +1,4 @@
-// A stand-in of the state service: the consensus-backed key-value store that controllers share, with its leases and its
+// A stand-in for the state service, the consensus-backed key-value store that controllers share, with leases and
 // faults.
 import type { HttpResponse } from '@gingerlock/clients';
 import {
@@ -22,41 +22,41 @@
   return { status, body: encode(map) };
 }
 
-/** What stands under a key. */
+/** The stored value of a key. */
 interface Entry {
   readonly value: unknown;
   readonly version: number;
   readonly lease: number | null;
 }
 
-/** So many changes are kept for those who follow. */
-const KEPT_EVENTS = 10_000;
+/** The number of change events kept for watch (`follow`) requests. */
+const MAX_EVENTS = 10_000;
 
-/** What the service accepts: kilobytes of a value, changes of a transaction, and changes a second. */
+/** The limits of the service: kilobytes of a value, changes of a transaction, and changes per second. */
 export interface StateLimits {
   readonly valueKb: number;
   readonly txnOps: number;
   readonly writesPerS: number;
 }
 
-/** How little the protocol guarantees to those who follow changes or list keys. */
+/** Restrictions of watch and list answers that the protocol permits. */
 export interface StaleReads {
-  /** So many changes are kept; who asks for older ones has to read all again. */
+  /** The number of changes kept; a client that needs older changes must read all keys again. */
   readonly keptEvents: number;
-  /** So many items come in one page of a list. */
+  /** The number of items in one page of a list. */
   readonly pageItems: number;
 }
 
-/** Transactions that are carried out late are so after at least and at most so long. */
+/** The shortest and longest delay of transactions that are executed late. */
 const LATE_WRITE_MS = { least: 2000, most: 12_000 };
 
-/** How often expired leases are ended. */
-const SWEEP_MS = 50;
+/** How often the service ends expired leases. */
+const LEASE_CHECK_MS = 50;
 
-/** Conditions of one transaction, as a multiple of the changes that it may have. */
+/** The largest number of conditions of a transaction, as a multiple of its largest number of changes. */
 const CONDITIONS_PER_CHANGE = 4;
 
-/** Shuffles in place (Fisher and Yates). */
+/** Shuffles the items in place (Fisher-Yates) and returns them. */
 function shuffled<T>(items: T[], random: () => number): T[] {
   for (let i = items.length - 1; i > 0; i--) {
     const j = Math.floor(random() * (i + 1));
@@ -65,78 +65,78 @@
   return items;
 }
 
-/** The state service. Its fields set faults, and count what was asked of it. */
+/** The state service stand-in. Its public fields set faults and count requests. */
 export class SimStateService {
-  /** What is stored, by key. */
+  /** The stored entries, by key. */
   readonly data = new Map<string, Entry>();
-  /** Grows by one with each transaction that changes something. */
+  /** Increases by one with each transaction or lease end that changes keys. */
   revision = 0;
-  /** Nobody is served. */
+  /** Every request is refused with 503. */
   outage = false;
-  /** Those that alone are refused with 503, while the others are served. */
+  /** Controllers whose requests are all refused with 503. */
   readonly refused = new Set<string>();
-  /** Share of transactions that get no answer, and whether they are carried out at once or later. */
+  /** The share of transactions that get no answer, and whether they are executed at once or later. */
   unanswered: { readonly share: number; readonly atOnce: boolean } | null = null;
-  /** Controllers whose transactions get no answer and are never carried out, while all else of theirs is served. */
+  /** Controllers whose transactions are never executed and get no answer; their other requests are served. */
   readonly unansweredFrom = new Set<string>();
-  /** Controllers that are refused the renewal of their leases alone. */
+  /** Controllers whose lease renewals are refused; their other requests are served. */
   readonly unrenewed = new Set<string>();
-  /** By controller: how long the answers to its reads take, which are of the moment at which they were asked for. */
+  /** By controller: the delay of its watch answers, which have the state at the time of the request. */
   readonly slowReadsOf = new Map<string, number>();
-  /** Set while reads are as the protocol allows at the worst: changes in any order, of each key the last one only. */
+  /** While set, reads are as weak as the protocol allows: changes in any order, and only the last one of each key. */
   staleReads: StaleReads | null = null;
-  /** Enforced from the moment when they are set; until then what breaks a limit is only counted. */
+  /** The enforced limits; null: no limits are enforced, and only the largest transaction and value are recorded. */
   limits: StateLimits | null = null;
-  /** Called with each key that a transaction has set, once all of it is carried out. */
+  /** Called with each key that a transaction has put, after the whole transaction is executed. */
   onStored: (key: string) => void = () => undefined;
-  /** Called for each request that is refused for good. */
+  /** Called with the reason for each transaction refused with 400 because it exceeds a size limit. */
   onInvalid: (why: string) => void = () => undefined;
-  /** Requests refused for their rate. */
-  tooMany = 0;
+  /** The number of transactions refused because of the write rate limit. */
+  rateLimited = 0;
   #writeTokens = 0;
-  #filledAt = 0;
-  /** The most changes of a transaction. */
+  #tokensFilledAt = 0;
+  /** The largest number of changes in a transaction. */
   largestTxn = 0;
-  /** The longest value, in characters of JSON. */
+  /** The length of the longest value, in characters of JSON. */
   largestValue = 0;
-  /** Requests of anybody, and changes that transactions asked for. */
+  /** The number of all requests, and of all changes in transactions. */
   requests = 0;
   changes = 0;
-  /** Transactions that were carried out long after they had timed out. */
+  /** The number of unanswered transactions that were executed successfully after a delay. */
   carriedOutLate = 0;
   #events: StateEvent[] = [];
-  #dropped = 0;
+  #droppedRevision = 0;
   #leases = new Map<number, { ttlMs: number; until: number }>();
   #nextLease = 1;
 
   constructor(readonly sim: Scheduler) {
     const sweep = (): void => {
-      for (const [id, lease] of this.#leases) if (this.sim.now > lease.until) this.#end(id);
-      this.sim.after(SWEEP_MS, sweep);
+      for (const [id, lease] of this.#leases) if (this.sim.now > lease.until) this.#endLease(id);
+      this.sim.after(LEASE_CHECK_MS, sweep);
     };
-    this.sim.after(SWEEP_MS, sweep);
+    this.sim.after(LEASE_CHECK_MS, sweep);
   }
 
   /** Begins or ends an outage. */
   setOutage(isOut: boolean): void {
     this.outage = isOut;
-    // An outage gives all leases their full time again.
+    // Leases do not expire during an outage, and get their full time to live at its end.
     for (const lease of this.#leases.values()) lease.until = isOut ? Infinity : this.sim.now + lease.ttlMs;
   }
 
-  /** Whether a request to renew a lease names one that has not ended. */
-  #isLive(path: string): boolean {
+  /** Whether the path is a renewal of a lease that has not ended. */
+  #renewsLiveLease(path: string): boolean {
     const request = parseStateRequest('POST', path);
     return request?.kind === 'renew' && this.#leases.has(request.lease);
   }
 
-  /** Stores a value as if it had always been there. */
+  /** Stores a value without a change event. */
   put(key: string, value: unknown): void {
     this.data.set(key, { value, version: ++this.revision, lease: null });
   }
 
-  /** Ends a lease, and removes what was stored under it. */
-  #end(id: number): void {
+  /** Ends a lease and removes the keys attached to it. */
+  #endLease(id: number): void {
     this.#leases.delete(id);
     const keys = [...this.data].filter(([, entry]) => entry.lease === id).map(([key]) => key);
     if (keys.length === 0) return;
@@ -149,12 +149,12 @@
 
   #recordEvent(event: StateEvent): void {
     this.#events.push(event);
-    if (this.#events.length > KEPT_EVENTS) this.#dropped = this.#events.shift()!.version;
+    if (this.#events.length > MAX_EVENTS) this.#droppedRevision = this.#events.shift()!.version;
   }
 
-  /** Changes after a revision; null: they are not kept any more. */
+  /** Returns the changes after a revision; null: some of them are no longer kept. */
   #eventsAfter(revision: number, prefix: string): StateEvent[] | null {
-    if (revision < this.#dropped) return null;
+    if (revision < this.#droppedRevision) return null;
     const later = this.#events.filter((event) => event.version > revision);
     const { staleReads } = this;
     if (staleReads !== null && later.length > staleReads.keptEvents) return null;
@@ -164,42 +164,43 @@
     return shuffled([...lastByKey.values()], this.sim.random);
   }
 
-  /** Forgets changes, as if many had been made since. */
+  /** Drops all change events, as after many further changes. */
   forgetEvents(): void {
-    this.#dropped = this.revision;
+    this.#droppedRevision = this.revision;
     this.#events = [];
   }
 
-  /** Answers a request of the host `from`; the promise of one that gets no answer stays open. */
+  /** Answers a request of the host `from`; the promise of a request that gets no answer never settles. */
   handle(method: string, path: string, body: Buffer, from: string): HttpResponse | Promise<HttpResponse> {
     this.requests++;
     if (this.outage || this.refused.has(from)) return answer(503, { error: 'trouble' });
     const kind = parseStateRequest(method, path)?.kind;
     if (kind === 'txn' && this.unansweredFrom.has(from)) return new Promise(() => undefined);
-    if (kind === 'renew' && this.unrenewed.has(from) && this.#isLive(path)) return answer(503, { error: 'trouble' });
+    if (kind === 'renew' && this.unrenewed.has(from) && this.#renewsLiveLease(path))
+      return answer(503, { error: 'trouble' });
     const readMs = this.slowReadsOf.get(from);
     if (kind === 'follow' && readMs !== undefined) {
-      const late = this.#carryOut(method, path, body);
+      const late = this.#execute(method, path, body);
       return new Promise((resolve) => this.sim.after(readMs, () => resolve(late)));
     }
     const { unanswered } = this;
     if (unanswered !== null && method === 'POST' && path === STATE_PATHS.txn && this.sim.random() < unanswered.share) {
-      if (unanswered.atOnce) this.#carryOut(method, path, body);
-      else this.#carryOutLate(method, path, body);
+      if (unanswered.atOnce) this.#execute(method, path, body);
+      else this.#executeLate(method, path, body);
       return new Promise(() => undefined);
     }
-    return this.#carryOut(method, path, body);
+    return this.#execute(method, path, body);
   }
 
-  /** Carries a transaction out seconds later, maybe after newer ones of the same controller. */
-  #carryOutLate(method: string, path: string, body: Buffer): void {
+  /** Executes a transaction seconds later, possibly after newer ones of the same controller. */
+  #executeLate(method: string, path: string, body: Buffer): void {
     const { least, most } = LATE_WRITE_MS;
     this.sim.after(least + (most - least) * this.sim.random(), () => {
-      if (this.#carryOut(method, path, body).status === 200) this.carriedOutLate++;
+      if (this.#execute(method, path, body).status === 200) this.carriedOutLate++;
     });
   }
 
-  /** The answer to a transaction that the limits do not allow; null: they allow it. */
+  /** Returns the refusal of a transaction that exceeds the limits; null: the transaction is within the limits. */
   #refusalByLimits(conditions: readonly Condition[], changes: readonly Change[]): HttpResponse | null {
     const { limits } = this;
     if (limits === null) return null;
@@ -212,23 +213,23 @@
       this.onInvalid(why);
       return answer(400, { error: 'too large' });
     }
-    if (this.#mayWrite(changes.length, limits.writesPerS)) return null;
-    this.tooMany++;
+    if (this.#takeWriteTokens(changes.length, limits.writesPerS)) return null;
+    this.rateLimited++;
     return answer(429, { error: 'too many changes' });
   }
 
-  /** Takes so many changes out of what the rate allows now; false: it does not allow them. */
-  #mayWrite(changes: number, writesPerS: number): boolean {
+  /** Takes the changes from the write token bucket; false: the rate limit does not allow them now. */
+  #takeWriteTokens(changes: number, writesPerS: number): boolean {
     const { now } = this.sim;
-    const filled = this.#writeTokens + ((now - this.#filledAt) / 1000) * writesPerS;
+    const filled = this.#writeTokens + ((now - this.#tokensFilledAt) / 1000) * writesPerS;
     this.#writeTokens = Math.min(writesPerS, filled);
-    this.#filledAt = now;
+    this.#tokensFilledAt = now;
     if (this.#writeTokens < changes) return false;
     this.#writeTokens -= changes;
     return true;
   }
 
-  #carryOut(method: string, path: string, body: Buffer): HttpResponse {
+  #execute(method: string, path: string, body: Buffer): HttpResponse {
     const request = parseStateRequest(method, path);
     switch (request?.kind) {
       case undefined:
@@ -240,7 +241,7 @@
       case 'renew':
         return this.#renew(request.lease);
       case 'release':
-        this.#end(request.lease);
+        this.#endLease(request.lease);
         return answer(200, {});
       case 'list':
         return this.#list(request.prefix, request.after, request.limit);
--- a/packages/testkit/src/standins/users.ts
+++ b/packages/testkit/src/standins/users.ts
@@ -1,5 +1,5 @@
-// Stand-ins of users, and the invariants of what they see: nothing accepted is forgotten, no job goes back from a final
-// state, and no answer is older than one that any user got before it was asked for.
+// Stand-ins for users, who check the invariants of answers: an accepted job is not forgotten, a job does not leave a
+// final state, and an answer is not older than one received before its request was sent.
 import type { Controller } from '@gingerlock/daemon';
 import {
   decodeJobState,
@@ -13,38 +13,38 @@
 import type { Sim } from '../simulation/sim';
 import { observeDirect, type TrafficObserver } from '../simulation/traffic';
 
-/** What users need of the deployment that they use. */
+/** The parts of the deployment that users use. */
 export interface UsersWorld {
   readonly sim: Sim;
   readonly network: { readonly observe: TrafficObserver };
   readonly cancellationBoundMs: number;
-  /** Controllers that answer nobody, users included. */
+  /** Controllers that answer no requests, including those of users. */
   readonly silent: ReadonlySet<string>;
   readonly nodes: readonly { readonly controller: Controller | null }[];
   reportViolation(rule: Invariant, detail: string): void;
-  /** Completed tasks of a job. */
+  /** Returns the number of completed tasks of a job. */
   doneOf(id: string): number;
 }
 
-/** What the user of one job has seen of it so far. */
+/** The status of a job as its user has observed it so far. */
 export interface ObservedStatus {
   readonly spec: JobSpec;
-  /** When its user began to submit it. */
+  /** When the user began to submit the job. */
   readonly since: number;
   accepted: boolean;
-  /** Done or cancelled, once an answer said so. */
+  /** `done` or `cancelled` once an answer has reported it; null before. */
   final: JobStatus | null;
-  /** When its user got the answer that it is cancelled. */
+  /** When the user was told that the job is cancelled; null before. */
   cancelledAt: number | null;
-  /** When its user wants it cancelled. */
+  /** When the user wants the job cancelled; `Infinity`: never. */
   cancelAt: number;
-  /** Whether a cancellation was ever sent. */
+  /** Whether the user has sent a cancellation. */
   cancelAsked: boolean;
-  /** When a question about it was last answered. */
+  /** When a request about the job was last answered. */
   answeredAt: number;
 }
 
-/** What is known of a job that its user is about to submit now. */
+/** Returns the status of a job that its user begins to submit now. */
 export function newObservedStatus(spec: JobSpec, now: number): ObservedStatus {
   return {
     spec,
@@ -60,16 +60,16 @@
 
 type Answer = { readonly status: number; readonly body: Buffer | null; readonly retryAfterS?: number };
 
-/** How long a user waits for an answer, by the protocol. */
-const PATIENCE_MS = 5000;
+/** How long a user waits for an answer, according to the protocol. */
+const ANSWER_TIMEOUT_MS = 5000;
 
-/** All users, who put their requests to controllers directly, and check every answer. */
+/** All users. They send their requests to controllers directly, bypassing the network, and check every answer. */
 export class SimUsers {
-  /** By id of the job. */
+  /** By job id: its status as observed by its user. */
   readonly observedByJob = new Map<string, ObservedStatus>();
-  /** Until when all nodes are asked within milliseconds after each answer with something new. */
+  /** Until this time, all nodes are queried within milliseconds of each answer with a new status. */
   closeLooksUntil = 0;
-  #oddRequests = 0;
+  #oddRequestCount = 0;
 
   constructor(readonly world: UsersWorld) {}
 
@@ -84,9 +84,9 @@
     });
   }
 
-  /** A controller that was killed never answers. */
-  #inTime(answer: Promise<Answer> | undefined): Promise<Answer | undefined> {
-    return Promise.race([Promise.resolve(answer), this.#pause(PATIENCE_MS).then(() => undefined)]);
+  /** Resolves to undefined after the answer time-out, because a killed controller never answers. */
+  #withTimeout(answer: Promise<Answer> | undefined): Promise<Answer | undefined> {
+    return Promise.race([Promise.resolve(answer), this.#pause(ANSWER_TIMEOUT_MS).then(() => undefined)]);
   }
 
   #newObservedStatus(spec: JobSpec): ObservedStatus {
@@ -95,43 +95,43 @@
     return observed;
   }
 
-  /** Takes over the user of a job that was accepted before the world began. */
+  /** Adds the user of a job that was accepted before the simulation began. */
   adopt(spec: JobSpec): void {
     this.#newObservedStatus(spec).accepted = true;
   }
 
-  /** Polls a job that was accepted until it is over. */
+  /** Polls an accepted job until it is done or cancelled. */
   async follow(id: string): Promise<void> {
     const observed = this.observedByJob.get(id)!;
     while (observed.final === null) {
-      await this.#ask(observed, 'poll', this.#anyController());
+      await this.#sendAndCheck(observed, 'poll', this.#anyController());
       await this.#pause(1000);
     }
   }
 
-  /** A user's whole life with one job: submits until accepted, polls, and cancels when it wants to. */
+  /** Runs the user of one job: submits it until it is accepted, then polls it, and cancels it after `cancelAfterMs`. */
   async live(spec: JobSpec, cancelAfterMs: number | null): Promise<void> {
     const { sim } = this.world;
     const observed = this.#newObservedStatus(spec);
     while (!observed.accepted) {
-      if (!(await this.#ask(observed, 'submit', this.#anyController()))) await this.#pause(1000);
+      if (!(await this.#sendAndCheck(observed, 'submit', this.#anyController()))) await this.#pause(1000);
     }
     if (cancelAfterMs !== null) observed.cancelAt = Math.min(observed.cancelAt, sim.now + cancelAfterMs);
     for (;;) {
       await this.#pause(500 + sim.random() * 1500);
       if (sim.now >= observed.cancelAt && observed.final === null)
-        await this.#ask(observed, 'cancel', this.#anyController());
-      else await this.#ask(observed, sim.random() < 0.1 ? 'submit' : 'poll', this.#anyController());
+        await this.#sendAndCheck(observed, 'cancel', this.#anyController());
+      else await this.#sendAndCheck(observed, sim.random() < 0.1 ? 'submit' : 'poll', this.#anyController());
     }
   }
 
-  /** Cancels a job: asks from now on until an answer says what became of it. */
+  /** Sends cancellations of an accepted job until an answer reports a final state. */
   async cancel(id: string): Promise<void> {
     const observed = this.observedByJob.get(id);
     if (observed === undefined || !observed.accepted || observed.cancelAsked) return;
     observed.cancelAt = this.world.sim.now;
     while (observed.final === null) {
-      if (!(await this.#ask(observed, 'cancel', this.#anyController()))) await this.#pause(1000);
+      if (!(await this.#sendAndCheck(observed, 'cancel', this.#anyController()))) await this.#pause(1000);
     }
   }
 
@@ -152,8 +152,8 @@
     return observeDirect(observe, { from: 'users', to: controller.settings.node, request, body }, run);
   }
 
-  /** Asks one controller; false: there was no answer that says anything. */
-  async #ask(
+  /** Sends a request to one controller and checks the answer; returns false if there was no answer with a status. */
+  async #sendAndCheck(
     observed: ObservedStatus,
     what: 'submit' | 'poll' | 'cancel',
     controller: Controller | null,
@@ -162,13 +162,13 @@
     const { world } = this;
     const { id } = observed.spec;
     if (world.silent.has(controller.settings.node)) {
-      await this.#pause(PATIENCE_MS);
+      await this.#pause(ANSWER_TIMEOUT_MS);
       return false;
     }
     if (what === 'cancel') observed.cancelAsked = true;
-    // An answer may be as old as its question, and no older.
+    // The answer must not be older than the state known when the request is sent.
     const known = { accepted: observed.accepted, final: observed.final };
-    const reply = await this.#inTime(
+    const reply = await this.#withTimeout(
       what === 'submit'
         ? this.#submit(controller, encodeSubmission(observed.spec))
         : what === 'poll'
@@ -185,7 +185,7 @@
     return true;
   }
 
-  /** The jobs that this one needs, directly and through others, as far as their users are known here. */
+  /** Returns the submitted jobs that this job awaits directly or indirectly. */
   #dependenciesOf(id: string): ObservedStatus[] {
     const found = new Map<string, ObservedStatus>();
     const pending = [...(this.observedByJob.get(id)?.spec.awaits ?? [])];
@@ -198,21 +198,21 @@
     return [...found.values()];
   }
 
-  /** Whether the job, or one that it needs, is wanted cancelled. */
+  /** Whether a user wants the job, or a job that it awaits, cancelled. */
   isUnwanted({ spec, cancelAt }: ObservedStatus): boolean {
     const { now } = this.world.sim;
     return now >= cancelAt || this.#dependenciesOf(spec.id).some((before) => now >= before.cancelAt);
   }
 
   /**
-   * Whether the job's user has been told that it is cancelled. What no controller has been able to take yet, none can
-   * know.
+   * Whether the user was told that the job is cancelled. A cancellation that no controller has accepted yet does not
+   * count.
    */
   isCancelled({ final }: ObservedStatus): boolean {
     return final === 'cancelled';
   }
 
-  /** Whether all that the job needs has completed. */
+  /** Whether all jobs that the job awaits have completed. */
   isReady({ spec }: ObservedStatus): boolean {
     return spec.awaits.every((id) => this.world.doneOf(id) >= (this.observedByJob.get(id)?.spec.tasks ?? Infinity));
   }
@@ -243,49 +243,54 @@
     }
     if (status === 'done' && world.doneOf(id) < tasks) world.reportViolation('not_done', id);
     this.#checkOrphaned(observed, status);
-    const isNews = !observed.accepted || (isFinal && observed.final === null);
+    const isNewStatus = !observed.accepted || (isFinal && observed.final === null);
     observed.accepted = true;
     if (isFinal) observed.final = status;
-    if (isNews && world.sim.now < this.closeLooksUntil) this.#lookClosely(observed);
+    if (isNewStatus && world.sim.now < this.closeLooksUntil) this.#queryAllNodes(observed);
   }
 
-  /** All nodes are asked, and the submission repeated, within milliseconds; some users cancel at once. */
-  #lookClosely(observed: ObservedStatus): void {
+  /** Polls all nodes and repeats the submission within milliseconds; some users also cancel at once. */
+  #queryAllNodes(observed: ObservedStatus): void {
     const { sim, nodes } = this.world;
     for (const { controller } of nodes) {
       for (const what of ['poll', 'submit', 'poll'] as const) {
-        sim.after(sim.random() * 30, () => void this.#ask(observed, what, controller));
+        sim.after(sim.random() * 30, () => void this.#sendAndCheck(observed, what, controller));
       }
     }
     if (observed.final === null && sim.random() < 0.2) void this.cancel(observed.spec.id);
   }
 
-  /** One odd request: a repetition, a cancellation that comes too late, or a job that can't be. */
+  /** Sends one unusual request: a repeated submission, a cancellation of a completed job, or an invalid submission. */
   async sendOddRequest(like: JobSpec): Promise<void> {
     const { world } = this;
     const { sim } = world;
     const pick = (matches: (observed: ObservedStatus) => boolean): ObservedStatus | undefined => {
-      const fitting = [...this.observedByJob.values()].filter(matches);
-      return fitting[Math.floor(sim.random() * fitting.length)];
+      const matching = [...this.observedByJob.values()].filter(matches);
+      return matching[Math.floor(sim.random() * matching.length)];
     };
     const controller = this.#anyController();
     const unfinished = pick(({ accepted, final }) => accepted && final === null);
     const done = pick(({ final }) => final === 'done');
-    const turn = this.#oddRequests++ % 4;
-    if (turn === 0 && unfinished !== undefined) await this.#ask(unfinished, 'submit', controller);
-    if (turn === 1 && done !== undefined) await this.#ask(done, 'cancel', controller);
+    const turn = this.#oddRequestCount++ % 4;
+    if (turn === 0 && unfinished !== undefined) await this.#sendAndCheck(unfinished, 'submit', controller);
+    if (turn === 1 && done !== undefined) await this.#sendAndCheck(done, 'cancel', controller);
     if (turn < 2 || controller === null) return;
-    const map = submissionMap({ ...like, id: `j-${String(700_000 + this.#oddRequests).padStart(6, '0')}` });
-    const impossible = [{ cores: 1e6 }, { breeds: ['none such'] }, { awaits: ['j-899999'] }, { awaits: [map.name_id] }];
-    if (turn === 2) Object.assign(map, impossible[Math.floor(sim.random() * impossible.length)]);
-    else Reflect.deleteProperty(map, ['crew', 'shape', 'parcels', 'cores', 'same_place'][this.#oddRequests % 5]!);
-    const reply = await this.#inTime(this.#submit(controller, encode(map)));
+    const map = submissionMap({ ...like, id: `j-${String(700_000 + this.#oddRequestCount).padStart(6, '0')}` });
+    const invalidFields = [
+      { cores: 1e6 },
+      { breeds: ['none such'] },
+      { awaits: ['j-899999'] },
+      { awaits: [map.name_id] },
+    ];
+    if (turn === 2) Object.assign(map, invalidFields[Math.floor(sim.random() * invalidFields.length)]);
+    else Reflect.deleteProperty(map, ['crew', 'shape', 'parcels', 'cores', 'same_place'][this.#oddRequestCount % 5]!);
+    const reply = await this.#withTimeout(this.#submit(controller, encode(map)));
     const expectedStatus = turn === 2 ? 422 : 400;
     if (reply === undefined || reply.status === 503 || reply.status === 429 || reply.status === expectedStatus) return;
     world.reportViolation('accepted_bad', `${JSON.stringify(map)} got ${reply.status}`);
   }
 
-  /** Asks about a job that nobody has submitted. */
+  /** Polls a job that no user has submitted. */
   async stranger(): Promise<void> {
     const controller = this.#anyController();
     if (controller === null) return;
@@ -293,12 +298,12 @@
     if (reply?.status === 200) this.world.reportViolation('invented', 'a job that nobody submitted');
   }
 
-  /** Jobs that were accepted and are neither done nor cancelled. */
+  /** Returns the accepted jobs that are neither done nor cancelled. */
   open(): ObservedStatus[] {
     return [...this.observedByJob.values()].filter(({ accepted, final }) => accepted && final === null);
   }
 
-  /** How many jobs are done, as their users know. */
+  /** Returns the number of jobs that their users know to be done. */
   finished(): number {
     return [...this.observedByJob.values()].filter(({ final }) => final === 'done').length;
   }
--- a/packages/testkit/src/standins/worker.ts
+++ b/packages/testkit/src/standins/worker.ts
@@ -1,4 +1,4 @@
-// A stand-in of a worker, the agent on a machine: it sends heartbeats, executes commands, and runs tasks in simulated
+// A stand-in for a worker, the agent on a machine: it sends heartbeats, executes commands, and runs tasks in simulated
 // or real time.
 import type { Http, HttpResponse } from '@gingerlock/clients';
 import {
@@ -14,46 +14,47 @@
 import type { Handler, HostEventKind } from '../simulation/network';
 import type { Scheduler } from '../simulation/sim';
 
-/** One attempt at a task, as the worker has it until it is asked to forget it. */
+/** One attempt at a task; the worker keeps it until a `forget` command. */
 interface RunningTask {
   readonly task: string;
   readonly attempt: number;
   state: TaskState;
   cause: ExitCause | null;
   saved: boolean;
-  /** When it began to run; null: it has not. */
+  /** When the attempt began to run; null: it has not begun. */
   runsSince: number | null;
   cancelTimer: () => void;
 }
 
-/** How long a worker waits for an answer, and how long after it was asked for it still counts. */
+/** How long a worker waits for an answer to a heartbeat; an answer handled later than that is ignored. */
 const ANSWER_TIMEOUT_MS = 4000;
 
 /** How soon after a change the next heartbeat is sent. */
-const CHANGE_REPORT_MS = 500;
+const CHANGE_REPORT_DELAY_MS = 500;
 
-/** How long a worker waits before it tries another controller, and the most where it is redirected to one. */
+/** How long a worker waits before it tries another controller. */
 const RETRY_MS = 1000;
-const REDIRECT_WITHIN_MS = 500;
+/** The longest wait before a worker follows a redirect. */
+const MAX_REDIRECT_DELAY_MS = 500;
 
-/** How often a worker looks whether its lease has expired. */
+/** How often a worker checks whether its lease has expired. */
 const LEASE_CHECK_MS = 20;
 
-/** How long the fetch of an image takes that the machine has. */
+/** The duration of a fetch of an image that the machine has cached. */
 const CACHED_FETCH_MS = 10;
 
-/** How soon a task ends with an error that fails wherever it runs, or any task on a machine at fault. */
-const FAILS_AFTER_MS = 300;
+/** How long a task of a broken job, or any task on a faulty machine, runs before it ends with an error. */
+const FAILURE_DELAY_MS = 300;
 
-/** What a worker needs of the network that it is on. */
+/** The parts of the network that a worker uses. */
 export interface WorkerNetwork {
   readonly hosts: { set(address: string, handler: Handler): unknown; delete(address: string): unknown };
   http(from: string, alive: () => boolean): Http;
-  /** Runs what happens on a host: at once, or when it no longer hangs. */
+  /** Runs an event on a host: at once, or when the host no longer hangs. */
   on(host: string, run: () => void, eventKind?: HostEventKind): void;
 }
 
-/** What a worker needs of the deployment that it is in. */
+/** The parts of the deployment that a worker uses. */
 export interface WorkerWorld {
   readonly sim: Scheduler;
   readonly network: WorkerNetwork;
@@ -61,52 +62,50 @@
   readonly controllers: readonly string[];
   readonly heartbeatIntervalMs: number;
   readonly workerLeaseMs: number;
-  /** The job of this id, if any user has submitted it. */
+  /** Returns the job with this id; undefined: no user has submitted it. */
   job(id: string): JobSpec | undefined;
-  /** Where the worker of a machine listens for commands, if not at its name. */
+  /** Returns the address at which a machine's worker listens for commands; default: port 9000 of its name. */
   addressOf?(machine: string): string;
-  /** How long a machine of the type takes to fetch the image of a job. */
+  /** Returns the time that a machine of the type takes to fetch the image of a job, in milliseconds. */
   fetchMs(job: JobSpec, type: string): number;
-  /** Whether the job was submitted with a mistake: its tasks end with an error wherever they run. */
+  /** Whether the job was submitted with a mistake, so that its tasks end with an error on every machine. */
   isBroken(id: string): boolean;
-  /** A task now is on this machine, or no longer is. */
+  /** Called when a task begins or stops running on the machine. */
   onTask(taskName: string, machine: string, attempt: number): void;
   offTask(taskName: string, machine: string): void;
-  /** By task: for how long it had run when it was last saved. */
+  /** By task: its saved run time, in milliseconds. */
   readonly savedMs: ReadonlyMap<string, number>;
-  /** A task that had run for so long was stopped, with what it did saved or lost. */
+  /** Called when a task is stopped after running for `runMs`; `isSaved` tells whether its work was saved. */
   stoppedTask(taskName: string, runMs: number, isSaved: boolean): void;
-  /** A start command that was not known yet has come. */
+  /** Called for each start command of an attempt that the worker does not have yet. */
   onCommanded(taskName: string, attempt: number, machine: string): void;
 }
 
-/**
- * A worker as the protocol describes it. Its public fields are what its heartbeats contain, and its faults.
- */
+/** A worker that follows the protocol. Its public fields are the contents of its heartbeats, and its faults. */
 export class SimWorker {
   agentEpoch = 1;
   sequenceNumber = 0;
   fencingToken = 0;
   noticeS: number | null = null;
   alive = true;
-  /** Where it listens for commands. */
+  /** The address at which the worker listens for commands. */
   readonly addr: string;
-  /** The machine is at fault: tasks end with an error shortly after their start. */
+  /** The machine is faulty: its tasks end with an error shortly after their start. */
   isQuarantined = false;
-  /** Tasks take so many times as long. */
+  /** Multiplies the run time of tasks. */
   slowness = 1;
-  /** By task and attempt, with a space between. */
+  /** The attempts, by task name and attempt number separated by a space. */
   readonly tasks = new Map<string, RunningTask>();
   readonly #images = new Set<string>();
-  /** When the last heartbeat that was answered was sent, or the agent epoch began. */
+  /** When the worker lease was last renewed: the send time of the last answered heartbeat, or the epoch's start. */
   #leaseFrom: number;
   /** The index of the controller that gets the next heartbeat. */
-  #target = 0;
+  #targetIndex = 0;
   /** Cancels the timer of the next heartbeat. */
-  #cancelNext: () => void = () => undefined;
-  /** One heartbeat is in flight at a time. */
+  #cancelNextHeartbeat: () => void = () => undefined;
+  /** Whether a heartbeat is in flight; there is at most one at a time. */
   #inFlight = false;
-  /** Something has changed since the heartbeat that is in flight. */
+  /** Whether something has changed since the last heartbeat was sent. */
   #isChangePending = false;
 
   constructor(
@@ -118,20 +117,20 @@
   ) {
     this.#leaseFrom = world.sim.now;
     this.addr = world.addressOf?.(name) ?? `${name}:9000`;
-    this.#target = Math.floor(world.sim.random() * world.controllers.length);
+    this.#targetIndex = Math.floor(world.sim.random() * world.controllers.length);
     this.#after(world.sim.random() * world.heartbeatIntervalMs, () => void this.#sendHeartbeat());
     this.#watchLease();
     world.network.hosts.set(
       this.addr,
       (_method, path, body) =>
         new Promise((resolve) => {
-          // A machine that no longer hangs executes what has come meanwhile.
+          // Requests that arrive while the machine hangs are handled when it no longer hangs.
           world.network.on(name, () => resolve(path === '/inspect' ? this.inspect() : this.command(body)));
         }),
     );
   }
 
-  /** A timer of this machine: while it hangs nothing happens on it. */
+  /** Starts a timer of this machine; it fires late if the machine hangs when it is due. */
   #after(ms: number, run: () => void): () => void {
     let isCancelled = false;
     const cancel = this.world.sim.after(ms, () =>
@@ -145,31 +144,31 @@
     };
   }
 
-  /** Once the lease has expired, the worker stops all tasks and begins a new agent epoch. */
+  /** Stops all tasks and begins a new agent epoch when the worker lease has expired. */
   #watchLease(): void {
     const { sim, workerLeaseMs } = this.world;
     if (!this.alive) return;
     if (sim.now - this.#leaseFrom > workerLeaseMs) {
-      for (const task of [...this.tasks.values()]) this.#leave(task);
+      for (const task of [...this.tasks.values()]) this.#endRun(task);
       this.tasks.clear();
       this.agentEpoch++;
       this.#leaseFrom = sim.now;
     }
-    // The lease expires on a machine that hangs, too: tasks may run within the lease and not after it.
+    // This timer fires even if the machine hangs, because tasks must not run after the lease has expired.
     sim.after(LEASE_CHECK_MS, () => this.#watchLease());
   }
 
-  /** How long ago the last heartbeat that was answered was sent, or the agent epoch began. */
+  /** Milliseconds since the last answered heartbeat was sent, or since the agent epoch began if that is later. */
   get unansweredMs(): number {
     return this.world.sim.now - this.#leaseFrom;
   }
 
-  /** A `/inspect` request. */
+  /** Answers an `/inspect` request. */
   inspect(): HttpResponse {
-    return { status: 200, body: this.#body() };
+    return { status: 200, body: this.#encodeHeartbeat() };
   }
 
-  /** A direct `/commands` request, however late it comes. */
+  /** Handles a direct `/commands` request, which may be a late duplicate. */
   command(body: Buffer): HttpResponse {
     const { fencingToken, agentEpoch, commands } = decodeCommands(body);
     const isStale = fencingToken < this.fencingToken || agentEpoch !== this.agentEpoch;
@@ -177,28 +176,28 @@
       const isNewToken = fencingToken > this.fencingToken;
       this.fencingToken = fencingToken;
       for (const command of commands) this.#execute(command);
-      if (isNewToken) this.#changed();
+      if (isNewToken) this.#reportChangeSoon();
     }
-    return { status: isStale ? 409 : 200, body: this.#body() };
+    return { status: isStale ? 409 : 200, body: this.#encodeHeartbeat() };
   }
 
-  /** The machine is gone with all that is on it. */
+  /** Ends the machine with all its tasks. */
   die(): void {
     if (!this.alive) return;
     this.world.network.hosts.delete(this.addr);
     this.alive = false;
-    for (const task of this.tasks.values()) this.#leave(task);
+    for (const task of this.tasks.values()) this.#endRun(task);
     this.tasks.clear();
   }
 
-  /** The cloud will take the machine back after so many seconds. */
+  /** Gives an eviction notice: the cloud takes the machine back after `seconds`. */
   notice(seconds: number): void {
     this.noticeS = seconds;
-    this.#changed();
+    this.#reportChangeSoon();
   }
 
-  /** The next heartbeat; each has a sequence number of its own. */
-  #body(): Buffer {
+  /** Encodes the next heartbeat, with a new sequence number. */
+  #encodeHeartbeat(): Buffer {
     return encodeHeartbeat({
       machine: this.name,
       addr: this.addr,
@@ -219,13 +218,13 @@
     });
   }
 
-  /** The task no longer runs, whatever it did. */
-  #leave({ cancelTimer, state, task }: RunningTask): void {
+  /** Cancels the attempt's timer, and reports that the task no longer runs if it was running or saving. */
+  #endRun({ cancelTimer, state, task }: RunningTask): void {
     cancelTimer();
     if (state === 'running' || state === 'saving') this.world.offTask(task, this.name);
   }
 
-  /** Sends one heartbeat to the controller whose turn it is, and schedules the next. */
+  /** Sends one heartbeat to the current target controller, and schedules the next. */
   async #sendHeartbeat(): Promise<void> {
     const { heartbeatIntervalMs, sim } = this.world;
     if (!this.alive) return;
@@ -235,8 +234,8 @@
     let waitMs = await this.#exchangeHeartbeat(usualMs);
     this.#inFlight = false;
     if (!this.alive) return;
-    if (this.#isChangePending) waitMs = Math.min(waitMs, CHANGE_REPORT_MS);
-    this.#cancelNext = this.#after(waitMs, () => void this.#sendHeartbeat());
+    if (this.#isChangePending) waitMs = Math.min(waitMs, CHANGE_REPORT_DELAY_MS);
+    this.#cancelNextHeartbeat = this.#after(waitMs, () => void this.#sendHeartbeat());
   }
 
   /** Sends a heartbeat and handles the answer; returns how long to wait for the next. */
@@ -244,44 +243,43 @@
     const { sim, network, controllers } = this.world;
     const sentAt = sim.now;
     const { agentEpoch } = this;
-    const body = this.#body();
-    const target = controllers[this.#target]!;
+    const body = this.#encodeHeartbeat();
+    const target = controllers[this.#targetIndex]!;
     const http = network.http(this.name, () => this.alive);
     try {
       const answer = await http(target, 'POST', '/checkin', body, ANSWER_TIMEOUT_MS);
-      if (answer.status === 200) return this.#handleAnswer(answer, agentEpoch, sentAt) ? CHANGE_REPORT_MS : usualMs;
+      if (answer.status === 200)
+        return this.#handleAnswer(answer, agentEpoch, sentAt) ? CHANGE_REPORT_DELAY_MS : usualMs;
       if (answer.status === 421) return this.#followRedirect(answer);
     } catch {
-      // No answer, or one that can't be read: another controller is tried, as after any other status.
+      // No answer or an unreadable one: try another controller, as after any other status.
     }
     this.#tryNextController();
     return RETRY_MS;
   }
 
-  /**
-   * The controller names another one that owns the machine's partition; returns how long to wait before that is tried.
-   */
+  /** Targets the owner named in a redirect, or else the next controller; returns the wait before the next heartbeat. */
   #followRedirect({ body }: HttpResponse): number {
     const { controllers, sim } = this.world;
     const owner = decodeRedirect(body);
     const index = owner === null ? -1 : controllers.indexOf(owner);
-    if (index >= 0 && index !== this.#target) {
-      this.#target = index;
-      return sim.random() * REDIRECT_WITHIN_MS;
+    if (index >= 0 && index !== this.#targetIndex) {
+      this.#targetIndex = index;
+      return sim.random() * MAX_REDIRECT_DELAY_MS;
     }
     this.#tryNextController();
     return RETRY_MS;
   }
 
   #tryNextController(): void {
-    this.#target = (this.#target + 1) % this.world.controllers.length;
+    this.#targetIndex = (this.#targetIndex + 1) % this.world.controllers.length;
   }
 
-  /** Handles the answer of an owner; true if something changed. */
+  /** Handles an owner's answer; true: it contained commands or a higher fencing token. */
   #handleAnswer(answer: HttpResponse, agentEpoch: number, sentAt: number): boolean {
     const { fencingToken, commands } = decodeCommands(answer.body);
     if (!this.alive || agentEpoch !== this.agentEpoch || fencingToken < this.fencingToken) return false;
-    // Too late: the machine hung meanwhile.
+    // The answer is too late, because the machine hung meanwhile.
     if (this.world.sim.now - sentAt > ANSWER_TIMEOUT_MS) return false;
     const isNewToken = fencingToken > this.fencingToken;
     this.fencingToken = fencingToken;
@@ -309,8 +307,8 @@
   }
 
   /**
-   * A running task saves if it has checkpoints and the time for one; any other ends at once, and so does a saving one
-   * without grace.
+   * Stops an attempt. A running task saves first if its job has checkpoints and the grace covers a save; a task that
+   * already saves goes on if there is any grace. All others end at once.
    */
   #stop(running: RunningTask, graceS: number): void {
     const job = this.world.job(parseTaskName(running.task)!.job)!;
@@ -323,7 +321,7 @@
     }
     running.cancelTimer();
     running.state = 'saving';
-    this.#changed();
+    this.#reportChangeSoon();
     running.cancelTimer = this.#after(job.saveS * 1000, () => {
       this.world.stoppedTask(running.task, runMs, true);
       running.saved = true;
@@ -331,7 +329,7 @@
     });
   }
 
-  /** The task fetches its image and then runs, unless it is unknown or another attempt at it is still here. */
+  /** Starts an attempt: fetches the image, then runs it. Exits if the job is unknown or another attempt is active. */
   #start(taskName: string, attempt: number): void {
     const { world } = this;
     const parsed = parseTaskName(taskName);
@@ -362,9 +360,9 @@
     running.state = 'running';
     running.runsSince = world.sim.now;
     world.onTask(running.task, this.name, running.attempt);
-    this.#changed();
+    this.#reportChangeSoon();
     if (this.isQuarantined || world.isBroken(job.id)) {
-      running.cancelTimer = this.#after(FAILS_AFTER_MS, () => this.#exit(running, 'error'));
+      running.cancelTimer = this.#after(FAILURE_DELAY_MS, () => this.#exit(running, 'error'));
     } else if (job.kind === 'array') {
       const savedMs = world.savedMs.get(running.task) ?? 0;
       const leftMs = job.estimateS * 1000 * (0.5 + world.sim.random()) - savedMs;
@@ -373,14 +371,14 @@
   }
 
   #exit(running: RunningTask, cause: ExitCause): void {
-    this.#leave(running);
+    this.#endRun(running);
     running.state = 'exited';
     running.cause = cause;
     if (cause === 'done') this.done(running.task);
-    this.#changed();
+    this.#reportChangeSoon();
   }
 
-  /** A task has ended by itself, with an error. */
+  /** Ends a running attempt with an error. */
   fail(taskName: string, attempt: number): void {
     const running = this.tasks.get(`${taskName} ${attempt}`);
     if (running?.state === 'running') this.#exit(running, 'error');
@@ -389,11 +387,11 @@
   /** Called with every completed task. */
   done: (taskName: string) => void = () => undefined;
 
-  /** The next heartbeat, with the change, is brought forward. */
-  #changed(): void {
+  /** Brings the next heartbeat forward to report a change soon. */
+  #reportChangeSoon(): void {
     this.#isChangePending = true;
     if (this.#inFlight) return;
-    this.#cancelNext();
-    this.#cancelNext = this.#after(CHANGE_REPORT_MS, () => void this.#sendHeartbeat());
+    this.#cancelNextHeartbeat();
+    this.#cancelNextHeartbeat = this.#after(CHANGE_REPORT_DELAY_MS, () => void this.#sendHeartbeat());
   }
 }
