--- a/packages/testkit/src/index.ts
+++ b/packages/testkit/src/index.ts
@@ -1,4 +1,4 @@
-// Whole deployments for tests: in simulated time with faults and audits of invariants, and small ones in real time on
+// Whole deployments for tests: in simulated time, with faults and audits of invariants, or small ones in real time on
 // loopback.
 export * from './simulation/sim';
 export * from './simulation/network';
--- a/packages/testkit/src/loopback/loopback-controllers.ts
+++ b/packages/testkit/src/loopback/loopback-controllers.ts
@@ -1,4 +1,4 @@
-// The controllers of a deployment on loopback: in this process, each with its own server and peer link.
+// Runs the controllers of a loopback deployment in this process, each with its own server and peer link.
 import type { AddressInfo } from 'node:net';
 import { Controller, type Log, openServer, settingsOf, SILENT } from '@gingerlock/daemon';
 import { TcpLink } from '@gingerlock/peer';
@@ -6,16 +6,16 @@
 import { loopbackSettings } from './loopback-settings';
 import { realClock } from './real-time';
 
-/** What all controllers are started with. */
+/** Options shared by all controllers. */
 export interface LoopbackControllerOptions {
-  /** How many there are. */
+  /** The number of controllers. */
   readonly controllers: number;
-  /** GPUs that each team is guaranteed, and may use at the most. */
+  /** The guaranteed GPUs and the GPU limit of each team. */
   readonly guaranteedGpus: number;
   readonly gpusMax: number;
   /** The features file, parsed. */
   readonly features: unknown;
-  /** The log of all controllers; silent if not given. */
+  /** The log of all controllers; default: no log. */
   readonly log?: Log;
 }
 
@@ -25,12 +25,12 @@
   readonly server: ReturnType<typeof openServer>;
 }
 
-/** Starts and ends controllers; one that is started again is at the address that it had. */
+/** Starts and ends controllers. A restarted controller listens at its previous address. */
 export class LoopbackControllers {
-  /** The names of all controllers, whether they run or not. */
+  /** The names of all controllers, including those that do not run. */
   readonly names: readonly string[];
   readonly #running = new Map<string, RunningController>();
-  /** Controllers that have run before. */
+  /** The controllers that have been started at least once. */
   readonly #started = new Set<string>();
 
   constructor(
@@ -40,7 +40,7 @@
     this.names = Array.from({ length: options.controllers }, (_, i) => `node-${i}`);
   }
 
-  /** Finds an address for each peer link, and starts all controllers. */
+  /** Reserves an address for each peer link, and starts all controllers. */
   async startAll(): Promise<void> {
     for (const name of this.names) this.network.register(`peer:${name}`, `127.0.0.1:${await freePort()}`);
     for (const name of this.names) await this.start(name);
@@ -60,7 +60,7 @@
     const server = openServer(controller, log, settings.sockets);
     await link.start();
     controller.start();
-    // Back at the address that it had: members know no other.
+    // A restarted controller keeps its port, because members know only the address that they were started with.
     const port = Number(this.network.addressOf(name).split(':')[1]);
     await server.listen({ host: '127.0.0.1', port: this.#started.has(name) ? port : 0 });
     this.#started.add(name);
@@ -74,7 +74,7 @@
     return loopbackSettings({ controllers: this.names, guaranteedGpus, gpusMax, peerAddressOf }, name);
   }
 
-  /** Ends a controller: its connections break, and nothing of it goes on. */
+  /** Ends a controller, and breaks its connections. */
   async end(name: string): Promise<void> {
     const running = this.#running.get(name);
     this.#running.delete(name);
--- a/packages/testkit/src/loopback/loopback-groups.ts
+++ b/packages/testkit/src/loopback/loopback-groups.ts
@@ -1,5 +1,5 @@
-// A deployment on loopback whose members of replica groups are real processes, with a client that keeps asking the
-// head and checks every answer.
+// A loopback deployment that runs the members of replica groups as processes, with a client that queries the head
+// repeatedly and checks every answer.
 import { type ChildProcess, spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { nodeHttp } from '@gingerlock/clients';
@@ -7,26 +7,26 @@
 import { LoopbackDeployment, type LoopbackOptions } from './loopback';
 import { ASK_PATH, type GroupAnswer, type MemberOptions } from './member-process';
 
-/** What it is given beside the options of any deployment on loopback. */
+/** Options of a loopback deployment with replica groups. */
 export interface GroupDeploymentOptions extends LoopbackOptions {
-  /** The script that runs a member if its first argument is `--member`, with the member's options as JSON behind it. */
+  /** The script that runs a member; its arguments are `--member` and the member's options as JSON. */
   readonly script: string;
-  /** Which of the two guards against answers of a mixed group members have; both if not given. */
+  /** The members' guards against answers from members of different generations; default: both. */
   readonly guards?: Partial<Pick<MemberOptions, 'keepsLease' | 'checksGeneration'>>;
 }
 
 /**
- * At which all members listen, each on its machine's address: below the ports that systems give out, and different
- * for each process.
+ * The port at which all members listen, each at its machine's address. It lies below the ephemeral ports of the
+ * operating system, and depends on the process id, so that parallel test processes use different ports.
  */
 const MEMBER_PORT = 12_000 + (process.pid % 16_000);
 /** How long a member loads before it serves. */
-const LOAD_MS = 150;
+const MEMBER_LOAD_MS = 150;
 
-/** How often the client asks each machine for the head. */
-const ASK_EVERY_MS = 60;
+/** How often the client queries each machine. */
+const QUERY_INTERVAL_MS = 60;
 /** How long the client waits for an answer. */
-const CLIENT_MS = 5000;
+const CLIENT_TIMEOUT_MS = 5000;
 
 interface RunningMember {
   readonly task: string;
@@ -35,16 +35,16 @@
   readonly process: ChildProcess;
 }
 
-/** A deployment on loopback with members and a client. */
+/** A loopback deployment with member processes and a client. */
 export class GroupDeployment extends LoopbackDeployment {
-  /** By task and machine. */
+  /** The member processes, by task and machine. */
   readonly #members = new Map<string, RunningMember>();
-  /** Whole answers, in the order in which they came. */
+  /** Correct answers, in the order in which they arrived. */
   readonly answers: GroupAnswer[] = [];
-  /** What was wrong with answers. */
+  /** Wrong answers, as JSON with the latest generation seen before. */
   readonly wrongAnswers: string[] = [];
   readonly #clientHttp = nodeHttp();
-  #isAsking = false;
+  #isClientRunning = false;
 
   constructor(readonly groupOptions: GroupDeploymentOptions) {
     super(groupOptions);
@@ -60,7 +60,7 @@
       host: this.hostOf(machine),
       port: MEMBER_PORT,
       controllers: this.controllers.map((name) => this.network.addressOf(name)),
-      loadMs: LOAD_MS,
+      loadMs: MEMBER_LOAD_MS,
       keepsLease: true,
       checksGeneration: true,
       ...this.groupOptions.guards,
@@ -81,47 +81,47 @@
   override offTask(taskName: string, machine: string): void {
     super.offTask(taskName, machine);
     const key = `${taskName} ${machine}`;
-    // A machine that hangs can't stop anything.
+    // A machine that hangs cannot stop processes.
     if (this.network.hangs(machine)) return;
     this.#members.get(key)?.process.kill('SIGKILL');
     this.#members.delete(key);
   }
 
-  /** The processes of members that are there now. */
+  /** The running member processes. */
   get members(): readonly RunningMember[] {
     return [...this.#members.values()];
   }
 
-  /** The process of the member that is this task, wherever it runs. */
+  /** Returns the member process of the task, on any machine. */
   memberOf(taskName: string): RunningMember | undefined {
     return this.members.find((member) => member.task === taskName);
   }
 
-  /** The process of the member dies; its machine sees it end with an error. */
+  /** Kills the task's member process; the worker reports that the task ended with an error. */
   killMember(taskName: string): void {
     this.memberOf(taskName)?.process.kill('SIGKILL');
   }
 
-  /** The machine hangs with all that is on it. Returns a function that resumes it. */
+  /** Makes a machine hang with all its member processes; returns a function that resumes it. */
   hang(machine: string): () => void {
     const processes = this.members.filter((member) => member.machine === machine).map((member) => member.process);
     this.network.hang(machine);
     for (const process of processes) process.kill('SIGSTOP');
     return () => {
-      // The worker resumes with them, and soon stops what its lease no longer covers.
+      // The worker also resumes, and soon stops the tasks if its lease has expired.
       for (const process of processes) process.kill('SIGCONT');
       this.network.resume(machine);
     };
   }
 
-  /** The machine is gone with all that is on it, and the cloud says so. */
+  /** Ends a machine with all its tasks; the cloud lists it as failed. */
   killMachine(machine: string): void {
     this.workers.get(machine)?.die();
     this.workers.delete(machine);
     this.cloud.end(machine, 'failed');
   }
 
-  /** The group's stored record; null: there is none. */
+  /** Returns the group's stored record; null: no record is stored. */
   recordOf(job: string): GroupRecord | null {
     const stored = this.state.data.get(KEYS.group(job));
     return stored === undefined ? null : groupRecord.read(stored.value);
@@ -129,55 +129,62 @@
 
   // --- the client --------------------------------------------------------------------------------------------------
 
-  /** Asks every machine for the head, again and again. */
+  /** Starts a client that queries every machine periodically. */
   startClient(): void {
-    this.#isAsking = true;
+    this.#isClientRunning = true;
     const ask = (): void => {
-      if (!this.#isAsking) return;
+      if (!this.#isClientRunning) return;
       for (const machine of this.workers.keys()) void this.askAt(this.hostOf(machine));
-      this.sim.after(ASK_EVERY_MS, ask);
+      this.sim.after(QUERY_INTERVAL_MS, ask);
     };
     ask();
   }
 
-  /** Asks the member at the address; whatever it answers is checked. */
+  /** Queries the member at the address and checks its answer; null: no head answered there. */
   async askAt(host: string): Promise<GroupAnswer | null> {
     try {
-      const { status, body } = await this.#clientHttp(`${host}:${MEMBER_PORT}`, 'GET', ASK_PATH, null, CLIENT_MS);
+      const { status, body } = await this.#clientHttp(
+        `${host}:${MEMBER_PORT}`,
+        'GET',
+        ASK_PATH,
+        null,
+        CLIENT_TIMEOUT_MS,
+      );
       if (status !== 200) return null;
       const answer = JSON.parse(body.toString()) as GroupAnswer;
-      this.#check(answer);
+      this.#checkAnswer(answer);
       return answer;
     } catch {
-      // No head there.
+      // No head answers at this address.
       return null;
     }
   }
 
-  /** All members have contributed, each once and under one generation, and no later generation has answered before. */
-  #check(answer: GroupAnswer): void {
+  /** Checks that each member contributed once, all in one generation, and that no later generation answered before. */
+  #checkAnswer(answer: GroupAnswer): void {
     const { generation, worldSize, partials } = answer;
     const ranks = new Set(partials.map(({ rank }) => rank));
-    const isWhole = ranks.size === worldSize && partials.length === worldSize;
-    const isOfOne = partials.every((partial) => partial.generation === generation);
+    const isComplete = ranks.size === worldSize && partials.length === worldSize;
+    const hasOneGeneration = partials.every((partial) => partial.generation === generation);
     const latest = this.answers.at(-1)?.generation ?? 0;
-    if (!isWhole || !isOfOne || generation < latest) this.wrongAnswers.push(JSON.stringify({ ...answer, latest }));
+    if (!isComplete || !hasOneGeneration || generation < latest)
+      this.wrongAnswers.push(JSON.stringify({ ...answer, latest }));
     else this.answers.push(answer);
   }
 
-  /** The generation of the last whole answer. */
+  /** The generation of the last correct answer; 0 before the first. */
   get answeredGeneration(): number {
     return this.answers.at(-1)?.generation ?? 0;
   }
 
   override async stop(): Promise<void> {
-    this.#isAsking = false;
-    const ends = this.members.map(({ process: child }) => {
-      const hasEnded = once(child, 'exit');
+    this.#isClientRunning = false;
+    const exits = this.members.map(({ process: child }) => {
+      const exited = once(child, 'exit');
       child.kill('SIGKILL');
-      return hasEnded;
+      return exited;
     });
     await super.stop();
-    await Promise.all(ends);
+    await Promise.all(exits);
   }
 }
--- a/packages/testkit/src/loopback/loopback-network.ts
+++ b/packages/testkit/src/loopback/loopback-network.ts
@@ -1,4 +1,4 @@
-// The network of a deployment on loopback: names of hosts stand for addresses on 127.0.0.1.
+// The network of a loopback deployment, which maps host names to loopback addresses.
 import { once } from 'node:events';
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -6,7 +6,7 @@
 import type { Handler } from '../simulation/network';
 import type { WorkerNetwork } from '../standins/worker';
 
-/** HTTP between named hosts, each of which has a server of its own; hosts can be let hang. */
+/** HTTP between named hosts, each with its own server. Hosts can be made to hang. */
 export class LoopbackNetwork implements WorkerNetwork {
   readonly hosts = {
     set: (name: string, handler: Handler): void => void this.listen(name, handler),
@@ -15,10 +15,10 @@
   readonly #servers = new Map<string, Server>();
   readonly #addresses = new Map<string, string>();
   readonly #http = nodeHttp();
-  /** Hosts that hang, and what waits there until they resume. */
+  /** Hosts that hang, with the events that wait until they resume. */
   readonly #hung = new Map<string, (() => void)[]>();
 
-  /** Serves the host at a free port. */
+  /** Starts a server for the host at a free port. */
   async listen(name: string, handler: Handler): Promise<void> {
     const server = createServer((request, response) => {
       const chunks: Buffer[] = [];
@@ -34,7 +34,7 @@
     this.#addresses.set(name, `127.0.0.1:${(server.address() as AddressInfo).port}`);
   }
 
-  /** Notes where a host listens that has a server of its own. */
+  /** Registers the address of a host whose server is started elsewhere. */
   register(name: string, address: string): void {
     this.#addresses.set(name, address);
   }
@@ -46,25 +46,25 @@
     this.#servers.delete(name);
   }
 
-  /** Where a host listens, as address and port. */
+  /** Returns the address and port at which a host listens. */
   addressOf(name: string): string {
-    // A port on which nothing listens: a host that is not there refuses.
+    // Nothing listens on port 1, so that requests to an unknown host are refused.
     return this.#addresses.get(name) ?? '127.0.0.1:1';
   }
 
-  /** A client that takes names of hosts for addresses. */
+  /** Returns an HTTP client that resolves host names to their addresses. */
   http(): Http {
     return (name, method, path, body, timeoutMs) => this.#http(this.addressOf(name), method, path, body, timeoutMs);
   }
 
-  /** Runs what happens on a host: at once, or once it resumes. */
+  /** Runs an event on a host: at once, or when the host resumes. */
   on(host: string, run: () => void): void {
     const held = this.#hung.get(host);
     if (held === undefined) run();
     else held.push(run);
   }
 
-  /** What happens on the host from now on waits. */
+  /** Makes a host hang: its events wait until it resumes. */
   hang(host: string): void {
     this.#hung.set(host, []);
   }
@@ -73,7 +73,7 @@
     return this.#hung.has(host);
   }
 
-  /** Runs what has waited on the host, and from now on all at once. */
+  /** Ends the hang of a host, and runs its waiting events. */
   resume(host: string): void {
     const held = this.#hung.get(host) ?? [];
     this.#hung.delete(host);
@@ -86,7 +86,7 @@
   }
 }
 
-/** A port of 127.0.0.1 on which nothing listens at the moment. */
+/** Returns a port of 127.0.0.1 that is free now. */
 export async function freePort(): Promise<number> {
   const server = createServer().listen(0, '127.0.0.1');
   await once(server, 'listening');
--- a/packages/testkit/src/loopback/loopback-settings.ts
+++ b/packages/testkit/src/loopback/loopback-settings.ts
@@ -1,20 +1,19 @@
-// What a deployment on loopback is made of: its zones, teams, machine type and times, and the settings files of its
-// controllers.
+// Describes loopback deployments: zones, teams, machine type, times and the settings files of controllers.
 import type { MachineType } from '@gingerlock/wire';
 
-/** Its zones. Controllers and machines are spread over them one after the other. */
+/** The zones, to which controllers and machines are assigned in turn. */
 export const ZONES: readonly string[] = ['north', 'south', 'east'];
 
 const TEAMS: readonly string[] = ['red', 'blue'];
 
-/** `report_s` of the settings: short, as real time passes in the tests. */
+/** `report_s` of the settings; short, because the tests run in real time. */
 export const HEARTBEAT_INTERVAL_S = 0.4;
 /** `lease_s` of the settings. */
 export const WORKER_LEASE_S = 3;
 /** `cancel_s` of the settings. */
 export const CANCELLATION_BOUND_S = 8;
 
-/** The type of all machines. */
+/** The machine type of all machines. */
 export const MACHINE_TYPE: MachineType = {
   name: 'box',
   cpus: 16,
@@ -28,17 +27,17 @@
   zones: [...ZONES],
 };
 
-/** What a settings file is made from. */
+/** The values that a settings file is built from. */
 export interface LoopbackSettingsSource {
   /** The names of all controllers. */
   readonly controllers: readonly string[];
   readonly guaranteedGpus: number;
   readonly gpusMax: number;
-  /** Where a controller listens for its peers, as address and port. */
+  /** Returns the address and port at which a controller listens for its peers. */
   peerAddressOf(node: string): string;
 }
 
-/** The settings of one controller, as the file has them once it is parsed. */
+/** Returns the settings of one controller, in the form of the parsed settings file. */
 export function loopbackSettings(source: LoopbackSettingsSource, node: string): unknown {
   const { controllers, guaranteedGpus, gpusMax } = source;
   const zoneOf = (name: string): string => ZONES[controllers.indexOf(name) % ZONES.length]!;
--- a/packages/testkit/src/loopback/loopback.ts
+++ b/packages/testkit/src/loopback/loopback.ts
@@ -1,5 +1,5 @@
-// A small deployment on loopback in real time: controllers with their own servers and peer links, stand-in servers of
-// state service, cloud and workers, and users who submit and cancel.
+// A small deployment on loopback in real time: controllers with their own servers and peer links, stand-in servers for
+// the state service, cloud and workers, and users who submit and cancel jobs.
 import { encodeSubmission, holdRecord, type JobSpec, KEYS, LEADERSHIP, parseTaskName } from '@gingerlock/wire';
 import { BorrowingAudit, type BorrowingAuditedWorld } from '../audits/borrowing-audit';
 import type { Invariant } from '../audits/invariants';
@@ -13,27 +13,27 @@
 import { CANCELLATION_BOUND_S, HEARTBEAT_INTERVAL_S, MACHINE_TYPE, WORKER_LEASE_S, ZONES } from './loopback-settings';
 import { RealTime } from './real-time';
 
-/** How often the audit looks. */
-const AUDIT_MS = 50;
+/** How often the audit runs, and how often conditions are polled. */
+const AUDIT_INTERVAL_MS = 50;
 
-/** How long a user waits before it asks the next controller. */
+/** How long a user waits before it tries the next controller. */
 const RETRY_MS = 300;
 
 /** How long a user waits for an answer. */
-const REQUEST_MS = 5000;
+const REQUEST_TIMEOUT_MS = 5000;
 
-/** How long the fetch of any image takes. */
+/** The duration of every image fetch. */
 const FETCH_MS = 2000;
 
-/** What a deployment on loopback is given. */
+/** Options of a loopback deployment. */
 export interface LoopbackOptions extends LoopbackControllerOptions {
-  /** Of the chance of the stand-ins; controllers and real time have their own. */
+  /** The seed of the stand-ins' random numbers; controllers draw unseeded ones. */
   readonly seed: number;
-  /** Machines that are up at the start; the fleet can't grow. */
+  /** The number of machines up at the start, which also sets the cloud's capacity. */
   readonly machines: number;
 }
 
-/** The deployment: nothing runs before `start`, and all ends with `stop`. */
+/** A loopback deployment. `start` starts all its parts, and `stop` ends them. */
 export class LoopbackDeployment implements WorkerWorld, BorrowingAuditedWorld {
   readonly sim: RealTime;
   readonly network = new LoopbackNetwork();
@@ -48,7 +48,7 @@
     isCancelled: (observed: ObservedStatus): boolean => observed.final === 'cancelled',
   };
   readonly savedMs = new Map<string, number>();
-  /** By task: the machine that it is on. */
+  /** By task: the machine that runs it. */
   readonly running = new Map<string, string>();
   readonly guestTeam = 'none';
   readonly heartbeatIntervalMs = HEARTBEAT_INTERVAL_S * 1000;
@@ -56,7 +56,7 @@
   readonly cancellationBoundMs = CANCELLATION_BOUND_S * 1000;
   readonly longestSaveMs = 0;
   readonly borrowing = new BorrowingAudit(this);
-  /** How often each thing happened that tests ask for. */
+  /** The number of times each recorded occurrence happened. */
   readonly happened = new Map<string, number>();
   readonly #controllers: LoopbackControllers;
   #isStopped = false;
@@ -70,7 +70,7 @@
       sim: this.sim,
       types: [MACHINE_TYPE],
       neverUp: 0,
-      // The fleet can not grow.
+      // Enough ordinary machines per zone for the start, with none to spare if they divide evenly over the zones.
       capacity: Math.ceil(options.machines / ZONES.length),
       onUp: (machine) => this.#addWorker(machine),
       onReturned: (name) => {
@@ -81,14 +81,14 @@
   }
 
   #addWorker({ name, type, zone, spot }: RentedMachine): void {
-    // Whoever stops the machines would miss one that comes up after that.
+    // `stop` would not end a machine that comes up after it.
     if (this.#isStopped) return;
     const worker = new SimWorker(this, name, type, zone, spot);
     worker.done = (taskName) => this.running.delete(taskName);
     this.workers.set(name, worker);
   }
 
-  /** Each machine has an address of its own on loopback. */
+  /** Returns the machine's own loopback address. */
   hostOf(machine: string): string {
     return `127.0.1.${Number(machine.replace(/\D/g, '')) % 250}`;
   }
@@ -101,7 +101,7 @@
     return FETCH_MS;
   }
 
-  /** The names of all controllers, whether they run or not. */
+  /** The names of all controllers, including those that do not run. */
   get controllers(): readonly string[] {
     return this.#controllers.names;
   }
@@ -122,20 +122,20 @@
   #auditRepeatedly(): void {
     if (this.#isStopped) return;
     this.borrowing.audit(Infinity);
-    this.sim.after(AUDIT_MS, () => this.#auditRepeatedly());
+    this.sim.after(AUDIT_INTERVAL_MS, () => this.#auditRepeatedly());
   }
 
-  /** Starts a controller, at the address that it had if it ran before. */
+  /** Starts a controller; a restarted controller listens at its previous address. */
   startController(name: string): Promise<void> {
     return this.#controllers.start(name);
   }
 
-  /** Ends a controller: its connections break, and nothing of it goes on. */
+  /** Ends a controller, and breaks its connections. */
   endController(name: string): Promise<void> {
     return this.#controllers.end(name);
   }
 
-  /** The controller that leads; null: none does. */
+  /** Returns the leader; null: there is no leader. */
   leader(): string | null {
     const hold = this.state.data.get(KEYS.hold(LEADERSHIP));
     return hold === undefined ? null : holdRecord.read(hold.value).node;
@@ -143,28 +143,28 @@
 
   // --- users -------------------------------------------------------------------------------------------------------
 
-  /** Submits a job to one controller after the other until it is accepted. */
+  /** Submits a job to the controllers in turn until one accepts it. */
   async submit(spec: JobSpec): Promise<void> {
     const observed = newObservedStatus(spec, this.sim.now);
     this.users.observedByJob.set(spec.id, observed);
-    await this.#ask('/submissions', encodeSubmission(spec));
+    await this.#postUntilAccepted('/submissions', encodeSubmission(spec));
     observed.accepted = true;
   }
 
-  /** Asks one controller after the other to cancel the job until one has confirmed it. */
+  /** Sends a cancellation to the controllers in turn until one confirms it. */
   async cancel(id: string): Promise<void> {
-    await this.#ask(`/submissions/${id}/cancel`, null);
+    await this.#postUntilAccepted(`/submissions/${id}/cancel`, null);
     this.users.observedByJob.get(id)!.final = 'cancelled';
   }
 
-  async #ask(path: string, body: Buffer | null): Promise<void> {
+  async #postUntilAccepted(path: string, body: Buffer | null): Promise<void> {
     for (let i = 0; !this.#isStopped; i++) {
       const name = this.controllers[i % this.controllers.length]!;
       try {
-        const answer = await this.network.http()(name, 'POST', path, body, REQUEST_MS);
+        const answer = await this.network.http()(name, 'POST', path, body, REQUEST_TIMEOUT_MS);
         if (answer.status === 200 || answer.status === 201) return;
       } catch {
-        // The next one is asked.
+        // Try the next controller.
       }
       await this.pause(RETRY_MS);
     }
@@ -176,23 +176,23 @@
     });
   }
 
-  /** Waits until it holds; false: it did not within that time. */
+  /** Waits until the condition holds; returns false if it does not hold within `withinMs`. */
   async until(holds: () => boolean, withinMs: number): Promise<boolean> {
-    const end = this.sim.now + withinMs;
-    while (!holds() && this.sim.now < end) await this.pause(AUDIT_MS);
+    const deadline = this.sim.now + withinMs;
+    while (!holds() && this.sim.now < deadline) await this.pause(AUDIT_INTERVAL_MS);
     return holds();
   }
 
-  /** How many tasks of the team's jobs of that kind run. */
+  /** Returns the number of running tasks of the team's jobs of that kind. */
   runningOf(team: string, kind: JobSpec['kind']): number {
-    const isIt = (taskName: string): boolean => {
+    const isCounted = (taskName: string): boolean => {
       const spec = this.job(parseTaskName(taskName)!.job);
       return spec?.team === team && spec.kind === kind;
     };
-    return [...this.running.keys()].filter(isIt).length;
+    return [...this.running.keys()].filter(isCounted).length;
   }
 
-  // --- what workers do ---------------------------------------------------------------------------------------------
+  // --- callbacks of workers ----------------------------------------------------------------------------------------
 
   job(id: string): JobSpec | undefined {
     return this.users.observedByJob.get(id)?.spec;
@@ -215,11 +215,11 @@
   }
 
   onCommanded(): void {
-    // Every start counts as it runs.
+    // Starts are checked in `onTask`, when the task begins to run.
   }
 
   stoppedTask(): void {
-    // What was lost is not measured here.
+    // Lost work is not measured here.
   }
 
   recordOccurrence(what: string): void {
@@ -230,7 +230,7 @@
     this.violations.push({ rule, detail });
   }
 
-  /** Ends all that runs. */
+  /** Ends all parts of the deployment. */
   async stop(): Promise<void> {
     this.#isStopped = true;
     for (const worker of this.workers.values()) worker.die();
--- a/packages/testkit/src/loopback/member-process.ts
+++ b/packages/testkit/src/loopback/member-process.ts
@@ -1,5 +1,5 @@
-// A stand-in of a member of a replica group, as a process of its own: it loads, meets the others at the controllers,
-// answers, and dies. Rank 0, the head, answers clients; the others answer the head.
+// A stand-in for a member of a replica group, as a separate process. It loads, learns its group from a controller, and
+// answers requests until it is killed. The head (rank 0) answers clients; the other members answer the head.
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import { nodeHttp } from '@gingerlock/clients';
 import {
@@ -9,23 +9,23 @@
   type RendezvousAnswer,
 } from '@gingerlock/wire';
 
-/** What a member is started with; its process gets it as JSON. */
+/** Options of a member, passed to its process as JSON. */
 export interface MemberOptions {
   readonly task: string;
   readonly attempt: number;
-  /** Where it listens. All members of a group listen at the same port, each on its own machine's address. */
+  /** The member's address. All members of a group listen at the same port, each at its machine's address. */
   readonly host: string;
   readonly port: number;
-  /** Addresses of the controllers. */
+  /** The addresses of the controllers. */
   readonly controllers: readonly string[];
   readonly loadMs: number;
-  /** Whether it stops serving when its lease has expired. */
+  /** Whether the member stops serving when its lease has expired. */
   readonly keepsLease: boolean;
-  /** Whether it answers the head only under its own generation, and as the head uses only answers of its own. */
+  /** Whether a member answers only requests for its own generation, and the head uses only answers of its own. */
   readonly checksGeneration: boolean;
 }
 
-/** What one member adds to an answer. */
+/** The contribution of one member to an answer. */
 export interface PartialAnswer {
   readonly rank: number;
   readonly generation: number;
@@ -39,22 +39,22 @@
   readonly partials: readonly PartialAnswer[];
 }
 
-/** The path at the head for clients. */
+/** The path at which the head answers clients. */
 export const ASK_PATH = '/ask';
 
-/** The path at any other member for the head. */
+/** The path at which the other members answer the head. */
 export const PARTIAL_PATH = '/part';
 
-/** A member asks again after this share of the time that it may serve. */
-const RENEW_SHARE = 0.3;
+/** A member renews its lease after this share of the lease. */
+const RENEWAL_SHARE = 0.3;
 
-/** While it may not serve, it asks so often. */
+/** How often a member that may not serve asks for a lease. */
 const RETRY_MS = 100;
 
 /** How long a member waits for an answer of a controller or of another member. */
-const REQUEST_MS = 1000;
+const REQUEST_TIMEOUT_MS = 1000;
 
-/** Why a request is not answered, as a status. */
+/** HTTP statuses of refused requests. */
 const NOT_SERVING = 503;
 const OTHER_GENERATION = 409;
 const NOT_THE_HEAD = 421;
@@ -62,7 +62,7 @@
 class Member {
   #group: RendezvousAnswer | null = null;
   #servesUntil = -Infinity;
-  #asked = 0;
+  #renewalCount = 0;
   readonly #http = nodeHttp();
 
   constructor(readonly options: MemberOptions) {}
@@ -73,19 +73,19 @@
       this.#handle(request, response).catch(() => answer(response, NOT_SERVING, null));
     }).listen(this.options.port, this.options.host);
     for (;;) {
-      await this.#meet();
-      await pause(this.#serves() ? this.#group!.serveMs * RENEW_SHARE : RETRY_MS);
+      await this.#renewLease();
+      await pause(this.#mayServe() ? this.#group!.serveMs * RENEWAL_SHARE : RETRY_MS);
     }
   }
 
-  /** The lease counts from the sending of the question: the later the answer comes, the less is left of it. */
-  async #meet(): Promise<void> {
+  /** Asks a controller for the group and a lease. The lease begins when the request is sent, not at the answer. */
+  async #renewLease(): Promise<void> {
     const { task: taskName, attempt, controllers } = this.options;
     const sentAt = performance.now();
-    const controller = controllers[this.#asked++ % controllers.length]!;
+    const controller = controllers[this.#renewalCount++ % controllers.length]!;
     try {
       const question = encodeRendezvousQuestion({ task: taskName, attempt });
-      const { status, body } = await this.#http(controller, 'POST', RENDEZVOUS_PATH, question, REQUEST_MS);
+      const { status, body } = await this.#http(controller, 'POST', RENDEZVOUS_PATH, question, REQUEST_TIMEOUT_MS);
       if (status === 200) {
         this.#group = decodeRendezvousAnswer(body);
         this.#servesUntil = Math.max(this.#servesUntil, sentAt + this.#group.serveMs);
@@ -93,17 +93,17 @@
         this.#servesUntil = -Infinity;
       }
     } catch {
-      // Another controller is asked; until one answers, the lease runs.
+      // The next attempt asks another controller; meanwhile the current lease stays valid.
     }
   }
 
-  #serves(): boolean {
+  #mayServe(): boolean {
     return this.#group !== null && (performance.now() < this.#servesUntil || !this.options.keepsLease);
   }
 
   async #handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const url = new URL(request.url ?? '/', 'http://member');
-    if (!this.#serves()) return answer(response, NOT_SERVING, null);
+    if (!this.#mayServe()) return answer(response, NOT_SERVING, null);
     if (url.pathname === PARTIAL_PATH)
       return this.#answerPartially(Number(url.searchParams.get('generation')), response);
     if (this.#group!.rank !== 0) return answer(response, NOT_THE_HEAD, null);
@@ -117,7 +117,7 @@
     answer(response, 200, { rank: group.rank, generation: group.generation, attempt: this.options.attempt });
   }
 
-  /** Answers only once every member has contributed, and while it may serve itself. */
+  /** Answers a client after all members have contributed, if the head still may serve then. */
   async #answerClient(
     { generation, worldSize, members, rank }: RendezvousAnswer,
     response: ServerResponse,
@@ -125,16 +125,16 @@
     const own: PartialAnswer = { rank, generation, attempt: this.options.attempt };
     const others = members.filter((_, other) => other !== rank);
     const partials = [own, ...(await Promise.all(others.map((host) => this.#partialOf(host, generation))))];
-    const isOfOne = partials.every((partial) => partial.generation === generation);
-    if (this.options.checksGeneration && !isOfOne) return answer(response, OTHER_GENERATION, null);
-    if (!this.#serves()) return answer(response, NOT_SERVING, null);
+    const hasOneGeneration = partials.every((partial) => partial.generation === generation);
+    if (this.options.checksGeneration && !hasOneGeneration) return answer(response, OTHER_GENERATION, null);
+    if (!this.#mayServe()) return answer(response, NOT_SERVING, null);
     answer(response, 200, { generation, worldSize, partials } satisfies GroupAnswer);
   }
 
   async #partialOf(host: string, generation: number): Promise<PartialAnswer> {
     const path = `${PARTIAL_PATH}?generation=${generation}`;
-    const { status, body } = await this.#http(`${host}:${this.options.port}`, 'GET', path, null, REQUEST_MS);
-    if (status !== 200) throw new Error(`member refuses: ${status}`);
+    const { status, body } = await this.#http(`${host}:${this.options.port}`, 'GET', path, null, REQUEST_TIMEOUT_MS);
+    if (status !== 200) throw new Error(`member refused the request with status ${status}`);
     return JSON.parse(body.toString()) as PartialAnswer;
   }
 }
@@ -149,7 +149,7 @@
   });
 }
 
-/** Runs a member until it is killed, or until the process that started it is gone. */
+/** Runs a member until it is killed or the process that started it ends. */
 export function runMember(options: MemberOptions): void {
   process.stdin.on('end', () => process.exit()).resume();
   void new Member(options).run();
--- a/packages/testkit/src/loopback/real-time.ts
+++ b/packages/testkit/src/loopback/real-time.ts
@@ -1,8 +1,8 @@
-// Real time, for stand-ins and for controllers.
+// Real time for stand-ins and controllers.
 import type { Clock } from '@gingerlock/clients';
 import { type Scheduler, seeded } from '../simulation/sim';
 
-/** The time of the machine and seeded chance, for stand-ins. */
+/** Real time and seeded random numbers for stand-ins. */
 export class RealTime implements Scheduler {
   readonly random: () => number;
   readonly #startedAt = performance.now();
@@ -13,12 +13,12 @@
     this.random = seeded(seed);
   }
 
-  /** Milliseconds since the construction. */
+  /** Milliseconds since construction. */
   get now(): number {
     return performance.now() - this.#startedAt;
   }
 
-  /** Runs it later; returns what cancels it. After `stop` nothing runs any more. */
+  /** Runs a function once after `ms` milliseconds unless `stop` is called first; returns a function that cancels it. */
   after(ms: number, run: () => void): () => void {
     if (this.#isStopped) return () => undefined;
     const timer = setTimeout(() => {
@@ -32,14 +32,14 @@
     };
   }
 
-  /** Gives up all that is still to run, and all that is scheduled from now on. */
+  /** Cancels all pending timers; functions scheduled later do not run either. */
   stop(): void {
     this.#isStopped = true;
     for (const timer of this.#timers) clearTimeout(timer);
   }
 }
 
-/** The clock of a controller, as the daemon has it. */
+/** The real clock of a controller, equivalent to the daemon's. */
 export const realClock: Clock = {
   now: () => performance.now(),
   wallNow: () => Date.now(),
--- a/packages/testkit/src/simulation/http-exchange.ts
+++ b/packages/testkit/src/simulation/http-exchange.ts
@@ -85,7 +85,7 @@
       network.observe({ what: 'request received', ...this.#route, body });
       void Promise.resolve(handler(method, path, body ?? Buffer.alloc(0), from)).then((answer) => {
         network.observe({ what: 'answer sent', ...this.#route, ...answer });
-        if (what === 'original' && !this.#isAnswerLost()) this.#sendBack(answer);
+        if (what === 'original' && !this.#isAnswerLost()) this.#sendAnswer(answer);
       });
     });
   }
@@ -106,7 +106,7 @@
     return share !== undefined && sim.random() < share;
   }
 
-  #sendBack(answer: HttpResponse): void {
+  #sendAnswer(answer: HttpResponse): void {
     const { network, request, caller } = this;
     network.transmit(request.to, request.from, () =>
       network.on(request.from, () => {
--- a/packages/testkit/src/standins/pipelines.ts
+++ b/packages/testkit/src/standins/pipelines.ts
@@ -51,15 +51,15 @@
     return this.#random() < share;
   }
 
-  #stage(before: readonly JobSpec[], isLast: boolean): JobSpec {
-    const awaits = before.filter(() => this.#chance(PROBABILITY.edge)).map((spec) => spec.id);
+  #stage(earlierStages: readonly JobSpec[], isLast: boolean): JobSpec {
+    const awaits = earlierStages.filter(() => this.#chance(PROBABILITY.edge)).map((spec) => spec.id);
     // Each job except the first awaits another, so that the pipeline is connected.
-    if (awaits.length === 0 && before.length > 0) awaits.push(before.at(-1)!.id);
+    if (awaits.length === 0 && earlierStages.length > 0) awaits.push(earlierStages.at(-1)!.id);
     if (this.#chance(PROBABILITY.earlier)) {
-      const earlier = [...this.world.users.observedByJob.values()].filter(
+      const acceptedJobs = [...this.world.users.observedByJob.values()].filter(
         ({ accepted, spec }) => accepted && spec.kind === 'array',
       );
-      const chosen = earlier[Math.floor(this.#random() * earlier.length)];
+      const chosen = acceptedJobs[Math.floor(this.#random() * acceptedJobs.length)];
       if (chosen !== undefined && !awaits.includes(chosen.spec.id)) awaits.push(chosen.spec.id);
     }
     return {
--- a/packages/testkit/src/standins/state-service.ts
+++ b/packages/testkit/src/standins/state-service.ts
@@ -180,8 +180,8 @@
       return answer(503, { error: 'trouble' });
     const readMs = this.slowReadsOf.get(from);
     if (kind === 'follow' && readMs !== undefined) {
-      const late = this.#execute(method, path, body);
-      return new Promise((resolve) => this.sim.after(readMs, () => resolve(late)));
+      const response = this.#execute(method, path, body);
+      return new Promise((resolve) => this.sim.after(readMs, () => resolve(response)));
     }
     const { unanswered } = this;
     if (unanswered !== null && method === 'POST' && path === STATE_PATHS.txn && this.sim.random() < unanswered.share) {
@@ -204,13 +204,14 @@
   #refusalByLimits(conditions: readonly Condition[], changes: readonly Change[]): HttpResponse | null {
     const { limits } = this;
     if (limits === null) return null;
-    const large = changes.find(
+    const largeValue = changes.find(
       (change) => 'put' in change && JSON.stringify(change.value).length > limits.valueKb * 1024,
     );
-    const isTooLong = changes.length > limits.txnOps || conditions.length > limits.txnOps * CONDITIONS_PER_CHANGE;
-    if (large !== undefined || isTooLong) {
-      const why = large === undefined ? `${changes.length} changes` : `value of ${JSON.stringify(large).slice(0, 40)}`;
-      this.onInvalid(why);
+    const hasTooManyItems = changes.length > limits.txnOps || conditions.length > limits.txnOps * CONDITIONS_PER_CHANGE;
+    if (largeValue !== undefined || hasTooManyItems) {
+      const reason =
+        largeValue === undefined ? `${changes.length} changes` : `value of ${JSON.stringify(largeValue).slice(0, 40)}`;
+      this.onInvalid(reason);
       return answer(400, { error: 'too large' });
     }
     if (this.#takeWriteTokens(changes.length, limits.writesPerS)) return null;
--- a/packages/testkit/src/standins/users.ts
+++ b/packages/testkit/src/standins/users.ts
@@ -201,7 +201,7 @@
   /** Whether a user wants the job, or a job that it awaits, cancelled. */
   isUnwanted({ spec, cancelAt }: ObservedStatus): boolean {
     const { now } = this.world.sim;
-    return now >= cancelAt || this.#dependenciesOf(spec.id).some((before) => now >= before.cancelAt);
+    return now >= cancelAt || this.#dependenciesOf(spec.id).some((dependency) => now >= dependency.cancelAt);
   }
 
   /**
@@ -220,11 +220,14 @@
   #checkOrphaned(observed: ObservedStatus, status: JobStatus): void {
     const { sim, cancellationBoundMs } = this.world;
     if (status === 'done' || status === 'cancelled') return;
-    const late = this.#dependenciesOf(observed.spec.id).find(
+    const cancelledJob = this.#dependenciesOf(observed.spec.id).find(
       ({ cancelledAt }) => cancelledAt !== null && sim.now - cancelledAt > cancellationBoundMs,
     );
-    if (late !== undefined)
-      this.world.reportViolation('orphaned', `${observed.spec.id} is ${status} after ${late.spec.id}`);
+    if (cancelledJob !== undefined)
+      this.world.reportViolation(
+        'orphaned',
+        `${observed.spec.id} is ${status} although ${cancelledJob.spec.id} is cancelled`,
+      );
   }
 
   #recordAnswer(observed: ObservedStatus, known: { final: JobStatus | null }, reply: Answer): void {
@@ -235,10 +238,10 @@
     if (known.final !== null && status !== known.final)
       world.reportViolation('went_back', `${id}: ${known.final}, then ${status}`);
     if (isFinal && observed.final !== null && status !== observed.final)
-      world.reportViolation('went_back', `${id}: ${observed.final} and ${status}`);
+      world.reportViolation('went_back', `${id}: reported both ${observed.final} and ${status}`);
     if (status === 'cancelled') {
-      if (!observed.cancelAsked && !this.#dependenciesOf(id).some((before) => before.cancelAsked))
-        world.reportViolation('went_back', `${id} called cancelled unasked`);
+      if (!observed.cancelAsked && !this.#dependenciesOf(id).some((dependency) => dependency.cancelAsked))
+        world.reportViolation('went_back', `${id} reported cancelled without a cancellation`);
       observed.cancelledAt ??= world.sim.now;
     }
     if (status === 'done' && world.doneOf(id) < tasks) world.reportViolation('not_done', id);
@@ -261,7 +264,7 @@
   }
 
   /** Sends one unusual request: a repeated submission, a cancellation of a completed job, or an invalid submission. */
-  async sendOddRequest(like: JobSpec): Promise<void> {
+  async sendOddRequest(template: JobSpec): Promise<void> {
     const { world } = this;
     const { sim } = world;
     const pick = (matches: (observed: ObservedStatus) => boolean): ObservedStatus | undefined => {
@@ -275,7 +278,7 @@
     if (turn === 0 && unfinished !== undefined) await this.#sendAndCheck(unfinished, 'submit', controller);
     if (turn === 1 && done !== undefined) await this.#sendAndCheck(done, 'cancel', controller);
     if (turn < 2 || controller === null) return;
-    const map = submissionMap({ ...like, id: `j-${String(700_000 + this.#oddRequestCount).padStart(6, '0')}` });
+    const map = submissionMap({ ...template, id: `j-${String(700_000 + this.#oddRequestCount).padStart(6, '0')}` });
     const invalidFields = [
       { cores: 1e6 },
       { breeds: ['none such'] },
@@ -295,7 +298,7 @@
     const controller = this.#anyController();
     if (controller === null) return;
     const reply = await this.#poll(controller, `j-${900_000 + Math.floor(this.world.sim.random() * 1000)}`);
-    if (reply?.status === 200) this.world.reportViolation('invented', 'a job that nobody submitted');
+    if (reply?.status === 200) this.world.reportViolation('invented', 'got the status of a job that no user submitted');
   }
 
   /** Returns the accepted jobs that are neither done nor cancelled. */
--- a/packages/testkit/src/standins/worker.ts
+++ b/packages/testkit/src/standins/worker.ts
@@ -290,18 +290,18 @@
 
   #execute(command: WorkerCommand): void {
     const key = `${command.task} ${command.attempt}`;
-    const known = this.tasks.get(key);
+    const existing = this.tasks.get(key);
     switch (command.op) {
       case 'start':
-        if (known !== undefined) return;
+        if (existing !== undefined) return;
         this.world.onCommanded(command.task, command.attempt, this.name);
         this.#start(command.task, command.attempt);
         return;
       case 'stop':
-        if (known !== undefined && known.state !== 'exited') this.#stop(known, command.graceS);
+        if (existing !== undefined && existing.state !== 'exited') this.#stop(existing, command.graceS);
         return;
       case 'forget':
-        if (known?.state === 'exited') this.tasks.delete(key);
+        if (existing?.state === 'exited') this.tasks.delete(key);
         return;
     }
   }
@@ -343,9 +343,11 @@
       runsSince: null,
       cancelTimer: () => undefined,
     };
-    const isBusy = [...this.tasks.values()].some(({ task, state }) => task === taskName && state !== 'exited');
+    const hasActiveAttempt = [...this.tasks.values()].some(
+      ({ task, state }) => task === taskName && state !== 'exited',
+    );
     this.tasks.set(`${taskName} ${attempt}`, running);
-    if (job === undefined || isBusy) {
+    if (job === undefined || hasActiveAttempt) {
       running.state = 'exited';
       running.cause = job === undefined ? 'unknown' : 'busy';
       return;
@@ -365,8 +367,8 @@
       running.cancelTimer = this.#after(FAILURE_DELAY_MS, () => this.#exit(running, 'error'));
     } else if (job.kind === 'array') {
       const savedMs = world.savedMs.get(running.task) ?? 0;
-      const leftMs = job.estimateS * 1000 * (0.5 + world.sim.random()) - savedMs;
-      running.cancelTimer = this.#after(Math.max(0, leftMs) * this.slowness, () => this.#exit(running, 'done'));
+      const remainingMs = job.estimateS * 1000 * (0.5 + world.sim.random()) - savedMs;
+      running.cancelTimer = this.#after(Math.max(0, remainingMs) * this.slowness, () => this.#exit(running, 'done'));
     }
   }
 
