--- a/packages/testkit/src/audits/borrowing-audit.ts
+++ b/packages/testkit/src/audits/borrowing-audit.ts
@@ -37,7 +37,7 @@
   /** The reclaims that are stored now, and since when, by key. */
   readonly stored = new Map<string, { readonly record: ReclaimRecord; readonly since: number }>();
   /** How often each task was chosen as a victim, by task name. */
-  readonly stops = new Map<string, number>();
+  readonly victimCounts = new Map<string, number>();
   /** The number of reclaims so far. */
   decided = 0;
   #samples: Sample[] = [];
@@ -86,7 +86,8 @@
     this.decided++;
     this.world.recordOccurrence('reclaim');
     this.world.recordOccurrence(`reclaim by ${record.reason}`);
-    for (const { task: taskName } of record.victims) this.stops.set(taskName, (this.stops.get(taskName) ?? 0) + 1);
+    for (const { task: taskName } of record.victims)
+      this.victimCounts.set(taskName, (this.victimCounts.get(taskName) ?? 0) + 1);
     this.#checkConflicts(key, record);
     this.#checkPriorities(key, record);
     this.#checkGuarantees(key, record);
--- a/packages/testkit/src/audits/group-audit.ts
+++ b/packages/testkit/src/audits/group-audit.ts
@@ -41,7 +41,7 @@
 /** Audits replica groups. */
 export class GroupAudit {
   /** The newest stored record of each group, and when it was stored, by job. */
-  readonly seen = new Map<string, StoredRecord>();
+  readonly storedRecords = new Map<string, StoredRecord>();
   /** The last generation in which each task was started, by task name. */
   readonly #lastGenerationByTask = new Map<string, number>();
   /** The generation in which each attempt was started, by task name and attempt. */
@@ -49,7 +49,7 @@
   /** By job. */
   readonly uptime = new Map<string, GroupUptime>();
   /** How often groups entered each state. */
-  readonly moves = new Map<string, number>();
+  readonly transitionCounts = new Map<string, number>();
   #auditedAt = 0;
   readonly #reported = new Set<string>();
 
@@ -61,9 +61,9 @@
     if (parsed.kind !== 'group') return;
     const { value, version } = this.world.state.data.get(key)!;
     const record = groupRecord.read(value);
-    const before = this.seen.get(parsed.job)?.record;
-    this.seen.set(parsed.job, { record, version, at: this.world.sim.now });
-    this.moves.set(record.state, (this.moves.get(record.state) ?? 0) + 1);
+    const before = this.storedRecords.get(parsed.job)?.record;
+    this.storedRecords.set(parsed.job, { record, version, at: this.world.sim.now });
+    this.transitionCounts.set(record.state, (this.transitionCounts.get(record.state) ?? 0) + 1);
     this.#checkTransition(parsed.job, before, record);
     if (record.state === 'admitted') this.#checkAdmitted(parsed.job, record);
   }
@@ -103,11 +103,11 @@
   }
 
   /** Checks a new start command that has reached a worker. */
-  started(taskName: string, attempt: number, machine: string): void {
+  onStartCommand(taskName: string, attempt: number, machine: string): void {
     const { job, index } = parseTaskName(taskName)!;
     const { world } = this;
     if (!world.isGroup(job)) return;
-    const record = this.seen.get(job)?.record;
+    const record = this.storedRecords.get(job)?.record;
     const isAdmitted = record !== undefined && record.state !== 'waiting' && record.state !== 'reserved';
     if (!isAdmitted || record.members[index]?.machine !== machine) {
       world.reportViolation(
@@ -147,7 +147,7 @@
     }
     for (const [job, found] of generations) {
       if (found.size > 1) this.world.reportViolation('two_generations', `${job}: ${[...found].join()}`);
-      const state = this.seen.get(job)?.record.state;
+      const state = this.storedRecords.get(job)?.record.state;
       if (state === 'waiting' || state === 'reserved')
         this.world.reportViolation('withdrawn_runs', `${job} is ${state}`);
     }
@@ -177,7 +177,7 @@
     if (groups === null || !isFresh) return;
     for (const [taskName, machine] of groups.members.machineByReservedTask) {
       const { job, index } = parseTaskName(taskName)!;
-      const stored = this.seen.get(job);
+      const stored = this.storedRecords.get(job);
       const isReservedInRecord = stored?.record.state === 'reserved' || stored?.record.state === 'admitted';
       if (isReservedInRecord && stored.record.members[index]?.machine === machine) continue;
       if (now - (stored?.at ?? 0) < this.world.heartbeatIntervalMs * OWNER_REACTION_INTERVALS) continue;
@@ -190,9 +190,9 @@
   #checkProgress(quietAt: number): void {
     const { world } = this;
     const boundMs = world.groupBoundMs + world.cancellationBoundMs * TRANSITION_CANCELS;
-    for (const [job, { record, at, version }] of this.seen) {
+    for (const [job, { record, at, version }] of this.storedRecords) {
       if (!world.state.data.has(KEYS.group(job))) {
-        this.seen.delete(job);
+        this.storedRecords.delete(job);
         continue;
       }
       if (record.state === 'waiting' || record.state === 'serving') continue;
@@ -205,7 +205,7 @@
 
   /** Whether the group's record says that it serves and all its members run. */
   serves(job: string): boolean {
-    const record = this.seen.get(job)?.record;
+    const record = this.storedRecords.get(job)?.record;
     if (record?.state !== 'serving') return false;
     return record.members.every((_, rank) => this.world.runningTasks().has(taskName(job, rank)));
   }
--- a/packages/testkit/src/audits/operations-audit.ts
+++ b/packages/testkit/src/audits/operations-audit.ts
@@ -72,9 +72,9 @@
   #checkRented(quietAt: number): void {
     const { world } = this;
     const { now } = world.sim;
-    for (const { name, type, state, bornAt } of world.cloud.rented) {
+    for (const { name, type, state, rentedAt } of world.cloud.rented) {
       const bootMs = (world.machineType(type)?.bootS ?? 0) * 1000;
-      if (state !== 'booting' || now - Math.max(bornAt, quietAt) < bootMs * MAX_BOOT_FACTOR) continue;
+      if (state !== 'booting' || now - Math.max(rentedAt, quietAt) < bootMs * MAX_BOOT_FACTOR) continue;
       if (this.#reportedNeverUp.has(name)) continue;
       this.#reportedNeverUp.add(name);
       world.reportViolation('forgotten_machine', `${name} is still rented and never came up`);
--- a/packages/testkit/src/audits/ownership-audit.ts
+++ b/packages/testkit/src/audits/ownership-audit.ts
@@ -30,7 +30,7 @@
   }
 
   /** Checks a controller that answers a worker with status 200 as the owner of the worker's partition. */
-  answered(node: string, owner: PartitionOwner): void {
+  checkAnswer(node: string, owner: PartitionOwner): void {
     const { ownershipTerm, context } = owner;
     const copy = context.clusterState.owners.get(ownershipTerm.resource);
     if (copy?.version === ownershipTerm.version) return;
--- a/packages/testkit/src/audits/placement-audit.ts
+++ b/packages/testkit/src/audits/placement-audit.ts
@@ -15,7 +15,7 @@
     /** Whether all jobs that the job awaits have completed. */
     isReady(observed: ObservedStatus): boolean;
   };
-  readonly network: { standsStill(host: string): boolean };
+  readonly network: { isFrozen(host: string): boolean };
   /** The GPU limit of each team. */
   readonly gpusMax: number;
   capacityOfType(type: string): Resources;
@@ -105,7 +105,7 @@
     const sinceMs = world.sim.now - cancelledAt;
     this.longestCancelledMs = Math.max(this.longestCancelledMs, sinceMs);
     if (sinceMs <= world.cancellationBoundMs) return;
-    const suffix = world.network.standsStill(machine) ? ', which hangs' : '';
+    const suffix = world.network.isFrozen(machine) ? ', which hangs' : '';
     world.reportViolation('ran_cancelled', `${taskName} on ${machine}${suffix}`);
   }
 
--- a/packages/testkit/src/faults/borrowing-faults.ts
+++ b/packages/testkit/src/faults/borrowing-faults.ts
@@ -83,7 +83,7 @@
       estimateS: 0,
     };
     const startsAt = i * everyMs;
-    world.sim.after(startsAt, () => void world.users.live(spec, Math.max(0, forMs - startsAt)));
+    world.sim.after(startsAt, () => void world.users.submitAndFollow(spec, Math.max(0, forMs - startsAt)));
   }
 }
 
@@ -98,7 +98,7 @@
     spot: true,
     estimateS,
   };
-  void world.users.live(spec, null);
+  void world.users.submitAndFollow(spec, null);
 }
 
 /** Calls `onReclaim` for each reclaim that is stored within `forMs` from now. */
--- a/packages/testkit/src/faults/controller-faults.ts
+++ b/packages/testkit/src/faults/controller-faults.ts
@@ -109,7 +109,7 @@
     state.slowReadsOf.set(other, world.heartbeatIntervalMs * SLOW_READ_SHARE);
     sim.after(lapseMs, () => state.slowReadsOf.delete(other));
   }
-  const heal = network.wall(isBetweenZoneAndOthers(world, world.zoneOf(name)!), 'lose');
+  const heal = network.cutRoutes(isBetweenZoneAndOthers(world, world.zoneOf(name)!), 'lose');
   sim.after(lapseMs + forMs, heal);
 }
 
--- a/packages/testkit/src/faults/group-faults.ts
+++ b/packages/testkit/src/faults/group-faults.ts
@@ -93,7 +93,7 @@
       estimateS: 0,
       ...PLACEMENTS[place],
     };
-    world.sim.after(i * everyMs, () => void world.users.live(spec, null));
+    world.sim.after(i * everyMs, () => void world.users.submitAndFollow(spec, null));
   }
 }
 
@@ -105,7 +105,7 @@
 ): void {
   const knownVersions = new Map<string, number>();
   pollFor(world, forMs, () => {
-    for (const [job, { record, version }] of world.groups.seen) {
+    for (const [job, { record, version }] of world.groups.storedRecords) {
       if (knownVersions.get(job) === version) continue;
       knownVersions.set(job, version);
       if (record.state === state) onGroup(job);
@@ -118,7 +118,7 @@
   job: string,
   { what, state, machines: machineCount, forMs }: FaultOfKind<GroupFault, 'members trouble'>,
 ): void {
-  const record = world.groups.seen.get(job)?.record;
+  const record = world.groups.storedRecords.get(job)?.record;
   const machines = [...new Set(record?.members.map(({ machine }) => machine))].slice(0, machineCount);
   for (const machine of machines) if (world.workers.has(machine)) injectIncident(world, machine, what, forMs);
   if (machines.length > 0) world.recordOccurrence(`members ${what} while ${state}`);
@@ -160,7 +160,9 @@
   if (who === 'all') return world.controllers;
   const leader = world.leader();
   if (who === 'leader') return leader === null ? [] : [leader];
-  const partitionIds = new Set(world.groups.seen.get(job)?.record.members.map(({ partitionId }) => partitionId));
+  const partitionIds = new Set(
+    world.groups.storedRecords.get(job)?.record.members.map(({ partitionId }) => partitionId),
+  );
   return world.nodes
     .filter(({ controller }) => controller?.owned().some((owner) => partitionIds.has(owner.partitionId)) === true)
     .map(({ name }) => name);
--- a/packages/testkit/src/faults/network-faults.ts
+++ b/packages/testkit/src/faults/network-faults.ts
@@ -36,7 +36,7 @@
   'slow controller': { inject: slowController, durationMs: statedDurationMs },
   'peers refused': {
     inject: ({ sim, network }, { forMs }) => {
-      const heal = network.wall((from) => from.startsWith('peer:'), 'lose');
+      const heal = network.cutRoutes((from) => from.startsWith('peer:'), 'lose');
       sim.after(forMs, heal);
     },
     durationMs: statedDurationMs,
@@ -44,7 +44,7 @@
   'zone cut': { inject: cutZone, durationMs: statedDurationMs },
   'zone apart': {
     inject: (world, { zone, how, forMs }, targets) => {
-      const heal = world.network.wall(isBetweenZoneAndOthers(world, targets.zone(zone)), how);
+      const heal = world.network.cutRoutes(isBetweenZoneAndOthers(world, targets.zone(zone)), how);
       world.sim.after(forMs, heal);
     },
     durationMs: statedDurationMs,
@@ -90,7 +90,7 @@
   // A predicate also covers workers that come up during the cut.
   const isWorker = (host: string): boolean => world.workers.has(host.replace(/:\d+$/, ''));
   const isCut: RoutePredicate = (from, to) => (from === name && isWorker(to)) || (to === name && isWorker(from));
-  const heal = world.network.wall(isCut, how);
+  const heal = world.network.cutRoutes(isCut, how);
   world.sim.after(forMs, heal);
 }
 
@@ -106,7 +106,7 @@
 ): void {
   const name = targets.node(node);
   const isController = isHostOf(name);
-  const heal = network.wall((from, to) => isController(from) || isController(to), how);
+  const heal = network.cutRoutes((from, to) => isController(from) || isController(to), how);
   silent.add(name);
   sim.after(forMs, () => {
     heal();
@@ -131,7 +131,7 @@
 ): void {
   const zoneName = targets.zone(zone);
   const isInside = (host: string): boolean => world.zoneOf(host) === zoneName;
-  const heal = world.network.wall((from, to) => isInside(from) !== isInside(to), how);
+  const heal = world.network.cutRoutes((from, to) => isInside(from) !== isInside(to), how);
   world.sim.after(forMs, heal);
 }
 
@@ -146,7 +146,7 @@
     if (fromZone === null || toZone === null || fromZone === toZone) return false;
     return pair.includes(fromZone) && pair.includes(toZone);
   };
-  const heal = world.network.wall(isBetween, how);
+  const heal = world.network.cutRoutes(isBetween, how);
   world.sim.after(forMs, heal);
 }
 
--- a/packages/testkit/src/faults/scenario.ts
+++ b/packages/testkit/src/faults/scenario.ts
@@ -35,7 +35,7 @@
   const { sim } = world;
   if (sim.now > endAt) return;
   const spec = world.randomJob();
-  void world.users.live(spec, cancelAfterMs(world, spec.kind));
+  void world.users.submitAndFollow(spec, cancelAfterMs(world, spec.kind));
   sim.after((1000 + sim.random() * 4000) / (world.options.load ?? 1), () => submitUntil(world, endAt));
 }
 
@@ -46,7 +46,7 @@
 }
 
 function requestUnknownJobs(world: World): void {
-  void world.users.stranger();
+  void world.users.pollUnknownJob();
   world.sim.after(UNKNOWN_JOB_INTERVAL_MS, () => requestUnknownJobs(world));
 }
 
--- a/packages/testkit/src/faults/submission-faults.ts
+++ b/packages/testkit/src/faults/submission-faults.ts
@@ -65,7 +65,7 @@
   const { sim } = world;
   const submit = (): void => {
     const spec = { ...world.randomJob(), kind: 'array' as const, tasks: 1, spread: false, gpus: 1, estimateS: 1 };
-    void world.users.live(spec, sim.random() < 0.25 ? sim.random() * 5000 : null);
+    void world.users.submitAndFollow(spec, sim.random() < 0.25 ? sim.random() * 5000 : null);
   };
   repeatFor(world, forMs, submit, () => nextSubmissionMs(world, perS));
 }
@@ -73,13 +73,13 @@
 function submitBroken(world: World, { tasks, cancelAfterMs }: FaultOfKind<SubmissionFault, 'broken jobs'>): void {
   const spec: JobSpec = { ...world.randomJob(), ...ARRAY_JOB, ...SMALL_TASK, tasks, priority: 'normal' };
   world.brokenJobs.set(spec.id, { starts: 0, firstStartAt: null });
-  void world.users.live(spec, cancelAfterMs);
+  void world.users.submitAndFollow(spec, cancelAfterMs);
 }
 
 function submitAsGuests(world: World, { what, perS, forMs }: FaultOfKind<SubmissionFault, 'guests'>): void {
   const guest = { ...ARRAY_JOB, ...SMALL_TASK, team: world.guestTeam, priority: 'low' } as const;
   const submit = (overrides: Partial<JobSpec>): void => {
-    void world.users.live({ ...world.randomJob(), ...guest, ...overrides }, null);
+    void world.users.submitAndFollow({ ...world.randomJob(), ...guest, ...overrides }, null);
   };
   switch (what) {
     case 'huge array':
--- a/packages/testkit/src/faults/user-faults.ts
+++ b/packages/testkit/src/faults/user-faults.ts
@@ -43,7 +43,7 @@
   },
   'close looks': {
     inject: ({ sim, users }, { forMs }) => {
-      users.closeLooksUntil = Math.max(users.closeLooksUntil, sim.now + forMs);
+      users.frequentPollsUntil = Math.max(users.frequentPollsUntil, sim.now + forMs);
     },
     durationMs: statedDurationMs,
   },
--- a/packages/testkit/src/loopback/loopback.ts
+++ b/packages/testkit/src/loopback/loopback.ts
@@ -57,7 +57,7 @@
   readonly longestSaveMs = 0;
   readonly borrowing = new BorrowingAudit(this);
   /** The number of times each recorded occurrence happened. */
-  readonly happened = new Map<string, number>();
+  readonly occurrences = new Map<string, number>();
   readonly #controllers: LoopbackControllers;
   #isStopped = false;
 
@@ -223,7 +223,7 @@
   }
 
   recordOccurrence(what: string): void {
-    this.happened.set(what, (this.happened.get(what) ?? 0) + 1);
+    this.occurrences.set(what, (this.occurrences.get(what) ?? 0) + 1);
   }
 
   reportViolation(rule: Invariant, detail: string): void {
--- a/packages/testkit/src/simulation/network.ts
+++ b/packages/testkit/src/simulation/network.ts
@@ -69,7 +69,7 @@
   }
 
   /** Whether a host hangs now. */
-  standsStill(host: string): boolean {
+  isFrozen(host: string): boolean {
     return (this.#hanging.get(host)?.until ?? 0) > this.sim.now;
   }
 
@@ -105,7 +105,7 @@
    * Cuts all routes that the predicate selects, also those of hosts that come up later. Returns a function that heals
    * them.
    */
-  wall(appliesTo: RoutePredicate, how: Cut): () => void {
+  cutRoutes(appliesTo: RoutePredicate, how: Cut): () => void {
     const cut = { appliesTo, how };
     this.#predicateCuts.add(cut);
     return () => {
--- a/packages/testkit/src/simulation/world.ts
+++ b/packages/testkit/src/simulation/world.ts
@@ -66,7 +66,7 @@
   /** Violations of invariants, in the order in which they were found. */
   readonly violations: Violation[] = [];
   /** The number of times each recorded occurrence happened. */
-  readonly happened = new Map<string, number>();
+  readonly occurrences = new Map<string, number>();
   readonly tasks = new TaskTracker();
   readonly users = new SimUsers(this);
   readonly placement = new PlacementAudit(this);
@@ -203,7 +203,7 @@
   }
 
   onAnsweredByOwner(node: string, owner: PartitionOwner): void {
-    this.ownership.answered(node, owner);
+    this.ownership.checkAnswer(node, owner);
   }
 
   /** Changes the features of controllers that start from now on. */
@@ -244,7 +244,7 @@
   // --- tasks -------------------------------------------------------------------------------------------------------
 
   onCommanded(taskName: string, attempt: number, machine: string): void {
-    this.groups.started(taskName, attempt, machine);
+    this.groups.onStartCommand(taskName, attempt, machine);
     this.placement.checkCommand(taskName);
   }
 
@@ -342,7 +342,7 @@
   // --- audits ------------------------------------------------------------------------------------------------------
 
   recordOccurrence(what: string, times = 1): void {
-    this.happened.set(what, (this.happened.get(what) ?? 0) + times);
+    this.occurrences.set(what, (this.occurrences.get(what) ?? 0) + times);
   }
 
   reportViolation(rule: Invariant, detail: string): void {
--- a/packages/testkit/src/standins/cloud-records.ts
+++ b/packages/testkit/src/standins/cloud-records.ts
@@ -1,8 +1,8 @@
 // The current and past rentals of the cloud stand-in, whose machine list may be out of date.
 import type { CloudMachine } from '@gingerlock/wire';
 
-/** A rented machine; `bornAt` is the scheduler's time at which it was rented. */
-export type RentedMachine = CloudMachine & { readonly bornAt: number };
+/** A rented machine; `rentedAt` is the scheduler's time at which it was rented. */
+export type RentedMachine = CloudMachine & { readonly rentedAt: number };
 
 /** How long past states are kept. */
 const HISTORY_MS = 120_000;
--- a/packages/testkit/src/standins/cloud.ts
+++ b/packages/testkit/src/standins/cloud.ts
@@ -102,7 +102,7 @@
   boot(type: MachineType, zone: string, spot: boolean, afterMs: number | null): string {
     const { sim, onUp } = this.options;
     const name = `m-${String(++this.#rentedCount).padStart(6, '0')}`;
-    const described = { name, addr: `${name}:9000`, type: type.name, zone, spot, ageS: 0, bornAt: sim.now };
+    const described = { name, addr: `${name}:9000`, type: type.name, zone, spot, ageS: 0, rentedAt: sim.now };
     this.#records.set({ ...described, state: 'booting' }, sim.now);
     if (afterMs === null) return name;
     sim.after(afterMs, () => {
@@ -115,12 +115,12 @@
   }
 
   /** Adds a running machine whose type or zone does not exist in the deployment. */
-  addOdd(name: string, odd: 'type' | 'zone'): void {
+  listUnknownMachine(name: string, odd: 'type' | 'zone'): void {
     const { sim, types } = this.options;
     const type = types[0]!;
     const machine = { name, addr: `${name}:9000`, type: type.name, zone: type.zones[0]!, spot: false, ageS: 0 };
     const invalid = odd === 'type' ? { ...machine, type: 'no such type' } : { ...machine, zone: 'no such zone' };
-    this.#records.set({ ...invalid, state: 'running', bornAt: sim.now }, sim.now);
+    this.#records.set({ ...invalid, state: 'running', rentedAt: sim.now }, sim.now);
   }
 
   /** Ends a machine: one that failed is listed as failed, one that was taken back is no longer listed. */
@@ -184,7 +184,7 @@
     const all = this.#records.machinesAt(describedAt).filter((machine) => machine.name > after);
     const page = all
       .slice(0, limit)
-      .map((machine): CloudMachine => ({ ...machine, ageS: (describedAt - machine.bornAt) / 1000 }));
+      .map((machine): CloudMachine => ({ ...machine, ageS: (describedAt - machine.rentedAt) / 1000 }));
     return answer(200, machineListMap(page, all.length > page.length));
   }
 }
--- a/packages/testkit/src/standins/pipelines.ts
+++ b/packages/testkit/src/standins/pipelines.ts
@@ -88,6 +88,6 @@
         sim.after(POLL_INTERVAL_MS, resolve);
       });
     }
-    await users.live(spec, cancelAfterMs);
+    await users.submitAndFollow(spec, cancelAfterMs);
   }
 }
--- a/packages/testkit/src/standins/users.ts
+++ b/packages/testkit/src/standins/users.ts
@@ -68,7 +68,7 @@
   /** By job id: its status as observed by its user. */
   readonly observedByJob = new Map<string, ObservedStatus>();
   /** Until this time, all nodes are queried within milliseconds of each answer with a new status. */
-  closeLooksUntil = 0;
+  frequentPollsUntil = 0;
   #oddRequestCount = 0;
 
   constructor(readonly world: UsersWorld) {}
@@ -110,7 +110,7 @@
   }
 
   /** Runs the user of one job: submits it until it is accepted, then polls it, and cancels it after `cancelAfterMs`. */
-  async live(spec: JobSpec, cancelAfterMs: number | null): Promise<void> {
+  async submitAndFollow(spec: JobSpec, cancelAfterMs: number | null): Promise<void> {
     const { sim } = this.world;
     const observed = this.#newObservedStatus(spec);
     while (!observed.accepted) {
@@ -249,7 +249,7 @@
     const isNewStatus = !observed.accepted || (isFinal && observed.final === null);
     observed.accepted = true;
     if (isFinal) observed.final = status;
-    if (isNewStatus && world.sim.now < this.closeLooksUntil) this.#queryAllNodes(observed);
+    if (isNewStatus && world.sim.now < this.frequentPollsUntil) this.#queryAllNodes(observed);
   }
 
   /** Polls all nodes and repeats the submission within milliseconds; some users also cancel at once. */
@@ -294,7 +294,7 @@
   }
 
   /** Polls a job that no user has submitted. */
-  async stranger(): Promise<void> {
+  async pollUnknownJob(): Promise<void> {
     const controller = this.#anyController();
     if (controller === null) return;
     const reply = await this.#poll(controller, `j-${900_000 + Math.floor(this.world.sim.random() * 1000)}`);
--- a/packages/testkit/test/borrowing-loopback.test.ts
+++ b/packages/testkit/test/borrowing-loopback.test.ts
@@ -82,7 +82,7 @@
       await deployment.until(() => runningBatchTasks() === GPUS, 30_000),
       `${runningBatchTasks()} batch tasks run`,
     );
-    assert.ok((deployment.happened.get('reclaim') ?? 0) > 0);
+    assert.ok((deployment.occurrences.get('reclaim') ?? 0) > 0);
     assert.deepEqual(deployment.violations, []);
   } finally {
     await deployment.stop();
--- a/packages/testkit/test/borrowing-measure.test.ts
+++ b/packages/testkit/test/borrowing-measure.test.ts
@@ -56,7 +56,7 @@
 function submit(world: World, tasks: number, overrides: Partial<JobSpec>, cancelAfterMs: number | null): void {
   for (let left = tasks; left > 0; left -= TASKS_PER_JOB) {
     const spec = jobOf(world, { ...overrides, tasks: Math.min(TASKS_PER_JOB, left) });
-    world.sim.after(world.sim.random() * 1000, () => void world.users.live(spec, cancelAfterMs));
+    world.sim.after(world.sim.random() * 1000, () => void world.users.submitAndFollow(spec, cancelAfterMs));
   }
 }
 
--- a/packages/testkit/test/borrowing.test.ts
+++ b/packages/testkit/test/borrowing.test.ts
@@ -49,7 +49,7 @@
 test('a surge borrows GPUs of batch work and returns them', async () => {
   for (const seed of [1, 2]) {
     const world = await play(seed, []);
-    assert.ok((world.happened.get('reclaim') ?? 0) > 2, `${world.happened.get('reclaim')} reclaims`);
+    assert.ok((world.occurrences.get('reclaim') ?? 0) > 2, `${world.occurrences.get('reclaim')} reclaims`);
     assert.equal(world.borrowing.stored.size, 0);
   }
 });
@@ -59,7 +59,7 @@
     { at: SURGE_AT + 600, fault: { kind: 'surge', team: 0, replicas: 14, everyMs: 50, forMs: 20_000 } },
     { at: SURGE_AT + 1000, fault: { kind: 'surge', team: 0, replicas: 6, everyMs: 20, forMs: 900 } },
   ]);
-  assert.ok((world.happened.get('reclaim') ?? 0) > 2);
+  assert.ok((world.occurrences.get('reclaim') ?? 0) > 2);
 });
 
 test('a team exactly at its guarantee loses no task to another team at its guarantee', async () => {
@@ -98,7 +98,10 @@
   }));
   for (const seed of [6, 7]) {
     const world = await play(seed, [], { jobs, guaranteedGpus: 11, gpusMax: 30, load: 0.1 }, waves);
-    assert.ok(Math.max(0, ...world.borrowing.stops.values()) <= 3, [...world.borrowing.stops.values()].join());
+    assert.ok(
+      Math.max(0, ...world.borrowing.victimCounts.values()) <= 3,
+      [...world.borrowing.victimCounts.values()].join(),
+    );
   }
 });
 
@@ -107,7 +110,7 @@
     for (const [i, step] of (['decided', 'stopping', 'freed'] as ReclaimStep[]).entries()) {
       const crash: Fault = { kind: 'crash at reclaim', who, step, backMs: 1500, forMs: 60_000 };
       const world = await play(10 + i, [{ at: SURGE_AT - 5000, fault: crash }], { jobs: { checkpointS: 5, saveS: 1 } });
-      assert.ok((world.happened.get(`crash at ${step}`) ?? 0) > 0, step);
+      assert.ok((world.occurrences.get(`crash at ${step}`) ?? 0) > 0, step);
     }
   });
 }
@@ -116,21 +119,21 @@
   test(`no invariant is violated when machines of a reclaim's victims fail: ${what}`, async () => {
     const fault: Fault = { kind: 'victims trouble', what, share: 0.5, forMs: 5000 };
     const world = await play(20, [{ at: SURGE_AT, fault: fault }]);
-    assert.ok((world.happened.get(`victims ${what}`) ?? 0) > 0);
+    assert.ok((world.occurrences.get(`victims ${what}`) ?? 0) > 0);
   });
 }
 
 test('no invariant is violated when jobs are cancelled while GPUs are reclaimed for them', async () => {
   const cancelled: Fault = { kind: 'beneficiaries cancelled', share: 0.7, forMs: 30_000 };
   const world = await play(30, [{ at: SURGE_AT, fault: cancelled }], { jobs: { checkpointS: 5, saveS: 2 } });
-  assert.ok((world.happened.get('reclaim') ?? 0) > 2);
+  assert.ok((world.occurrences.get('reclaim') ?? 0) > 2);
 });
 
 test('all work gets done although writes of reclaims stay unanswered or take effect late', async () => {
   for (const atOnce of [true, false]) {
     const late: Fault = { kind: 'late writes', share: 0.4, atOnce, forMs: 30_000 };
     const world = await play(31, [{ at: SURGE_AT - 1000, fault: late }]);
-    assert.ok((world.happened.get('reclaim') ?? 0) > 0);
+    assert.ok((world.occurrences.get('reclaim') ?? 0) > 0);
   }
 });
 
@@ -164,12 +167,15 @@
   const tiny = { gpus: 0.1, cpus: 0.1, memoryGb: 0.5, zone: null, oneZone: false, spread: false };
   const world = new World({ seed: 36, ...SMALL, load: 0.01 });
   const small = { ...world.randomJob(), ...tiny, team: 'blue', kind: 'array', priority: 'low', tasks: 480 } as const;
-  world.sim.after(BATCH_AT, () => void world.users.live({ ...small, spot: true, types: null, estimateS: 60 }, null));
+  world.sim.after(
+    BATCH_AT,
+    () => void world.users.submitAndFollow({ ...small, spot: true, types: null, estimateS: 60 }, null),
+  );
   const surge: Fault = { kind: 'surge', team: 0, replicas: 10, everyMs: 300, forMs: 30_000 };
   await runScenario(world, { seed: 36, forMs: 240_000, faults: [{ at: SURGE_AT, fault: surge }] });
   assert.deepEqual(world.violations, []);
-  assert.ok((world.happened.get('reclaim') ?? 0) > 0);
-  assert.ok(Math.max(...world.borrowing.stops.values()) <= 3);
+  assert.ok((world.occurrences.get('reclaim') ?? 0) > 0);
+  assert.ok(Math.max(...world.borrowing.victimCounts.values()) <= 3);
 });
 
 const anyFault: fc.Arbitrary<Fault> = fc.oneof(
--- a/packages/testkit/test/fault-combinations.test.ts
+++ b/packages/testkit/test/fault-combinations.test.ts
@@ -44,7 +44,7 @@
 const haveOccurred =
   (...what: string[]) =>
   (world: World): boolean =>
-    what.every((w) => (world.happened.get(w) ?? 0) > 0);
+    what.every((w) => (world.occurrences.get(w) ?? 0) > 0);
 
 const combinations: readonly FaultCombination[] = [
   {
@@ -348,7 +348,7 @@
         `seed ${seed}`,
       );
       assert.ok([...world.users.observedByJob.values()].some((t) => t.final !== null));
-      if (occurred !== undefined) assert.ok(occurred(world), `seed ${seed}: ${JSON.stringify([...world.happened])}`);
+      if (occurred !== undefined) assert.ok(occurred(world), `seed ${seed}: ${JSON.stringify([...world.occurrences])}`);
     }
   });
 }
--- a/packages/testkit/test/large-day.test.ts
+++ b/packages/testkit/test/large-day.test.ts
@@ -40,7 +40,7 @@
       spot: true,
       estimateS: TASK_ESTIMATE_S,
     };
-    world.sim.after(2000 + 100 * i, () => void world.users.live(spec, null));
+    world.sim.after(2000 + 100 * i, () => void world.users.submitAndFollow(spec, null));
   }
 }
 
--- a/packages/testkit/test/large-fleet.test.ts
+++ b/packages/testkit/test/large-fleet.test.ts
@@ -26,7 +26,7 @@
     { at: 30_000, fault: { kind: 'rolling restarts', everyMs: 5000, backMs: 2000 } },
   ];
   const world = await play(51, faults, { frameBytes: FRAME_BYTES });
-  assert.ok((world.happened.get('summary piece') ?? 0) > 100);
+  assert.ok((world.occurrences.get('summary piece') ?? 0) > 100);
 });
 
 test('a leader keeps working while every tenth fragment of a partition status is lost', async () => {
@@ -79,7 +79,7 @@
   assert.ok(unresponsive.length > 200, `${unresponsive.length} members`);
   world.crash('node-0');
   for (const name of unresponsive) world.network.hosts.delete(`${name}:9000`);
-  world.network.wall((from) => unresponsive.includes(from), 'lose');
+  world.network.cutRoutes((from) => unresponsive.includes(from), 'lose');
   world.network.onSent = (_from, addr, path) => {
     if (path === '/commands' || path === '/inspect') contacted.add(addr);
   };
@@ -98,7 +98,7 @@
       debug: () => undefined,
     };
     const world = new World({ seed: 55, controllers: 1, machines: 3, log: log as never });
-    world.sim.after(5000, () => world.cloud.addOdd('m-900000', attribute));
+    world.sim.after(5000, () => world.cloud.listUnknownMachine('m-900000', attribute));
     await world.sim.run(60_000);
     const field = attribute === 'type' ? 'breed' : 'yard';
     assert.deepEqual(lines, [{ field, machine: 'm-900000', message: 'unknown machine in the cloud list' }]);
--- a/packages/testkit/test/large-job.test.ts
+++ b/packages/testkit/test/large-job.test.ts
@@ -17,7 +17,7 @@
     spread: false,
     spot: true,
   };
-  void world.users.live(spec, null);
+  void world.users.submitAndFollow(spec, null);
   await world.sim.run(90_000);
   assert.deepEqual(world.violations, []);
   assert.ok(world.startsSeen > 100, `${world.startsSeen} starts`);
--- a/packages/testkit/test/membership.test.ts
+++ b/packages/testkit/test/membership.test.ts
@@ -10,7 +10,7 @@
 test('a machine that comes back while its removal from the membership fails remains a member', async () => {
   const world = new World({ seed: 3, controllers: 3, machines: 6, jobs: { kind: 'service', spot: false } });
   // Without jobs, the machines would be returned as idle.
-  for (let i = 0; i < 6; i++) void world.users.live(world.randomJob(), null);
+  for (let i = 0; i < 6; i++) void world.users.submitAndFollow(world.randomJob(), null);
   await world.sim.run(10_000);
   const name = [...world.runningTasks().values()][0]!;
   const machine = (): Machine | undefined =>
@@ -49,7 +49,7 @@
 // member. If it counted as one that has yet to be stored, it would never get work.
 test('a stored member whose first heartbeat comes after its partition’s fencing period counts as a member', async () => {
   const world = new World({ seed: 4, controllers: 1, machines: 4, jobs: { kind: 'service', spot: false } });
-  for (let i = 0; i < 6; i++) void world.users.live(world.randomJob(), null);
+  for (let i = 0; i < 6; i++) void world.users.submitAndFollow(world.randomJob(), null);
   await world.sim.run(10_000);
   const name = [...world.runningTasks().values()][0]!;
   world.network.mute.add(name);
--- a/packages/testkit/test/one-owner.test.ts
+++ b/packages/testkit/test/one-owner.test.ts
@@ -38,7 +38,7 @@
     world.sim.after(world.heartbeatIntervalMs / 5, audit);
   };
   audit();
-  for (let i = 0; i < 6; i++) void world.users.live(world.randomJob(), null);
+  for (let i = 0; i < 6; i++) void world.users.submitAndFollow(world.randomJob(), null);
   await world.sim.run(12_000);
   assert.equal(ownerOf(world), OWNER);
   assert.ok(tasksIn(world, ZONE).length > 0);
@@ -61,7 +61,7 @@
 function isolate(world: World, zone: string, peers: boolean): void {
   const isInside = (host: string): boolean => world.zoneOf(host) === zone;
   const isPeer = (host: string): boolean => host.startsWith('peer:');
-  world.network.wall((from, to) => {
+  world.network.cutRoutes((from, to) => {
     if (world.zoneOf(from) === null || world.zoneOf(to) === null) return false;
     return isInside(from) !== isInside(to) && isPeer(from) === peers;
   }, 'lose');
--- a/packages/testkit/test/operations.test.ts
+++ b/packages/testkit/test/operations.test.ts
@@ -34,7 +34,7 @@
 test('broken arrays get no machine quarantined, and are tried until their users cancel them', async () => {
   for (const seed of [1, 2]) {
     const world = await play(seed, [{ at: FIRST_FAULT_AT, fault: brokenJobs() }]);
-    assert.equal(world.happened.get('condemned'), undefined);
+    assert.equal(world.occurrences.get('condemned'), undefined);
     // They are started until their users cancel them.
     for (const { starts } of world.brokenJobs.values()) assert.ok(starts > 0);
   }
@@ -48,7 +48,7 @@
     { at: FIRST_FAULT_AT + 12_000, fault: { kind: 'unhealthy machine', machine: 4, forMs: 60_000 } },
   ];
   let condemned = 0;
-  for (const seed of [3, 4]) condemned += (await play(seed, faults, { load: 3 })).happened.get('condemned') ?? 0;
+  for (const seed of [3, 4]) condemned += (await play(seed, faults, { load: 3 })).occurrences.get('condemned') ?? 0;
   assert.ok(condemned > 0);
 });
 
@@ -60,7 +60,7 @@
     world.everUnhealthy.add(name);
   }
   const spec = { ...world.randomJob(), kind: 'array' as const, tasks: 3, zone: null, spread: false, oneZone: false };
-  void world.users.live(spec, null);
+  void world.users.submitAndFollow(spec, null);
   const started = world.sim.now;
   while (world.users.observedByJob.get(spec.id)?.final !== 'done')
     await world.sim.run(world.sim.now + HEARTBEAT_INTERVAL_MS);
--- a/packages/testkit/test/rendezvous.test.ts
+++ b/packages/testkit/test/rendezvous.test.ts
@@ -50,7 +50,7 @@
 async function servingWorld(): Promise<{ world: World; job: string; attempts: number[] }> {
   const world = worldOf();
   await runScenario(world, { seed: 3, forMs: 30_000, faults: [{ at: 4000, fault: GROUPS }] });
-  const [job, { record }] = [...world.groups.seen][0]!;
+  const [job, { record }] = [...world.groups.storedRecords][0]!;
   assert.equal(record.state, 'serving');
   return { world, job, attempts: record.members.map(({ attempt }) => attempt!) };
 }
@@ -63,7 +63,7 @@
       const { status, body } = await ask(world, node, request);
       assert.equal(status, 200);
       const answer = decodeRendezvousAnswer(body!);
-      const { members } = world.groups.seen.get(job)!.record;
+      const { members } = world.groups.storedRecords.get(job)!.record;
       const hosts = members.map(({ machine }) => canonicalIpOf(world.workers.get(machine)!.addr));
       assert.deepEqual(answer, { generation: 1, rank, worldSize: 3, members: hosts, serveMs: world.workerLeaseMs / 2 });
     }
@@ -79,13 +79,13 @@
     [taskName(job, 7), attempts[0]!, { generation: 1, state: 'serving' }],
     [taskName('j-999999', 0), attempts[0]!, { generation: 0, state: null }],
   ];
-  const before = [...world.groups.moves];
+  const before = [...world.groups.transitionCounts];
   for (const [task, attempt, refusal] of asked) {
     const { status, body } = await ask(world, 1, encodeRendezvousRequest({ task, attempt }));
     assert.equal(status, 409);
     assert.deepEqual(decodeRendezvousRefusal(body!), refusal);
   }
-  assert.deepEqual([...world.groups.moves], before);
+  assert.deepEqual([...world.groups.transitionCounts], before);
   assert.ok(world.state.changes - changes < 5, 'questions write nothing');
 });
 
@@ -206,7 +206,7 @@
   world.state.onStored = (key) => {
     onStored(key);
     const parsed = parseKey(key);
-    const record = parsed.kind === 'group' ? world.groups.seen.get(parsed.job)?.record : undefined;
+    const record = parsed.kind === 'group' ? world.groups.storedRecords.get(parsed.job)?.record : undefined;
     if (parsed.kind !== 'group' || record?.state !== 'reserved') return;
     outlived.push(
       ...leases.filter(
--- a/packages/testkit/test/replica-groups-backoff.test.ts
+++ b/packages/testkit/test/replica-groups-backoff.test.ts
@@ -34,7 +34,7 @@
   return world.users
     .open()
     .filter(({ spec }) => world.isGroup(spec.id) && !world.groups.serves(spec.id))
-    .map(({ spec }) => `${spec.id} ${world.groups.seen.get(spec.id)?.record.state ?? 'not placed'}`);
+    .map(({ spec }) => `${spec.id} ${world.groups.storedRecords.get(spec.id)?.record.state ?? 'not placed'}`);
 }
 
 /** Ends the process of a member with an error. */
@@ -48,7 +48,7 @@
 /** Fails a member each time the group serves, `failuresLeft` times. The cloud has no capacity from the first on. */
 function failMembersRepeatedly(world: World, failuresLeft = FAILURES): void {
   const { sim } = world;
-  const serving = [...world.groups.seen].find(([job]) => world.groups.serves(job))?.[0];
+  const serving = [...world.groups.storedRecords].find(([job]) => world.groups.serves(job))?.[0];
   if (serving === undefined || failuresLeft === 0) {
     if (failuresLeft > 0) sim.after(POLL_MS, () => failMembersRepeatedly(world, failuresLeft));
     return;
@@ -78,7 +78,7 @@
 }
 
 function checkServed(world: World): void {
-  assert.equal(world.happened.get('member failed'), FAILURES);
+  assert.equal(world.occurrences.get('member failed'), FAILURES);
   assert.deepEqual(world.violations, []);
   assert.deepEqual(unservedGroups(world), []);
   assert.equal([...world.runningTasks().keys()].filter((name) => world.isGroup(parseTaskName(name)!.job)).length, 3);
--- a/packages/testkit/test/replica-groups-measure.test.ts
+++ b/packages/testkit/test/replica-groups-measure.test.ts
@@ -67,7 +67,7 @@
       const sample = samples.get(spec.id) ?? { brokenSince: since, hasServed: false };
       samples.set(spec.id, sample);
       const up = world.tasksOn(spec.id);
-      const state = world.groups.seen.get(spec.id)?.record.state;
+      const state = world.groups.storedRecords.get(spec.id)?.record.state;
       if (up >= spec.tasks) figures.wholeMs += SAMPLE_MS;
       else if (up > 0) figures.partialMs += SAMPLE_MS;
       figures.usedGpuMs += up * spec.gpus * SAMPLE_MS;
@@ -134,7 +134,7 @@
   const faults = [{ at: 5000, fault: submitted }, ...(hasTroubles ? troubles(machines) : [])];
   await runScenario(world, { seed, forMs: DAY_MS, faults });
   assert.deepEqual(world.violations, []);
-  figures.withdrawn += world.groups.moves.get('ending') ?? 0;
+  figures.withdrawn += world.groups.transitionCounts.get('ending') ?? 0;
   figures.changes += world.state.changes;
   figures.messages += world.peerMessages;
   figures.groups += groups;
--- a/packages/testkit/test/replica-groups.test.ts
+++ b/packages/testkit/test/replica-groups.test.ts
@@ -5,7 +5,7 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { type Fault, GROUP_CLASS, runScenario, World, type WorldOptions } from '../src/index';
-import { groupCombination, groupsOfDay } from './support/group-scenario-generator';
+import { groupCombination, submittedGroups } from './support/group-scenario-generator';
 
 /** Replica groups are only the services of `GROUP_CLASS`, or (`ALL_SERVICES`) all services of a day. */
 const FEATURES = { replica_groups: { enabled: true, classes: [GROUP_CLASS], backoff_reports: 1 } };
@@ -45,7 +45,7 @@
       (observed) =>
         world.isGroup(observed.spec.id) && !world.users.isUnwanted(observed) && !world.groups.serves(observed.spec.id),
     )
-    .map(({ spec }) => `${spec.id} ${world.groups.seen.get(spec.id)?.record.state ?? 'not placed'}`);
+    .map(({ spec }) => `${spec.id} ${world.groups.storedRecords.get(spec.id)?.record.state ?? 'not placed'}`);
 }
 
 /** Checks that all wanted groups serve, and that all other jobs have ended. */
@@ -64,8 +64,8 @@
 test('on a day without faults each group is placed whole once and keeps serving', async () => {
   const world = await play({}, [{ at: 8000, fault: groups() }]);
   checkFinalState(world);
-  assert.equal(world.groups.moves.get('serving'), 3);
-  assert.equal(world.groups.moves.get('ending') ?? 0, 0);
+  assert.equal(world.groups.transitionCounts.get('serving'), 3);
+  assert.equal(world.groups.transitionCounts.get('ending') ?? 0, 0);
 });
 
 for (const controllers of [3, 5]) {
@@ -73,7 +73,7 @@
     await fc.assert(
       fc.asyncProperty(
         fc.integer({ min: 1, max: 1_000_000 }),
-        groupsOfDay,
+        submittedGroups,
         fc.boolean(),
         fc.array(groupCombination, { minLength: 1, maxLength: 3 }),
         async (seed, submitted, allServices, combinations) => {
@@ -128,7 +128,7 @@
         { at: 52_000, fault: faultOf(2, 0) },
       ]);
       checkFinalState(world);
-      assert.ok((world.happened.get(`members ${what} while ${state}`) ?? 0) > 0);
+      assert.ok((world.occurrences.get(`members ${what} while ${state}`) ?? 0) > 0);
     });
   }
 }
@@ -160,7 +160,7 @@
         { at: 40_000, fault: crash(70) },
       ]);
       checkFinalState(world);
-      assert.ok((world.happened.get(`crash while ${state}`) ?? 0) > 0, state);
+      assert.ok((world.occurrences.get(`crash while ${state}`) ?? 0) > 0, state);
     }
   });
 }
@@ -184,7 +184,7 @@
       },
     ]);
     checkFinalState(world);
-    assert.ok((world.happened.get(`cancelled while ${state}`) ?? 0) > 0, state);
+    assert.ok((world.occurrences.get(`cancelled while ${state}`) ?? 0) > 0, state);
     assert.deepEqual(
       [...world.state.data.keys()].filter((key) => key.startsWith('g/g/')),
       [],
@@ -197,13 +197,13 @@
   const world = new World({ seed: 9, machines: 1, capacity: 0, gpusMax: 40, features: FEATURES, load: 0.01 });
   const faults = [{ at: 3000, fault: groups({ count: 1, members: 4 }) }];
   world.sim.after(60_000, () => {
-    assert.equal(world.groups.moves.get('reserved') ?? 0, 0, 'resources were reserved');
+    assert.equal(world.groups.transitionCounts.get('reserved') ?? 0, 0, 'resources were reserved');
     assert.equal(world.runningTasks().size, 0);
     world.cloud.capacity = 6;
   });
   await runScenario(world, { seed: 9, forMs: 120_000, faults });
   checkFinalState(world);
-  assert.equal(world.groups.moves.get('serving'), 1);
+  assert.equal(world.groups.transitionCounts.get('serving'), 1);
 });
 
 test('two groups that contend with ordinary jobs for the last machines are both placed whole', async () => {
@@ -237,5 +237,5 @@
     { at: 40_000, fault: { kind: 'spot wave', share: 1, noticeMs: 3000 } },
   ]);
   checkFinalState(world);
-  assert.ok((world.groups.moves.get('ending') ?? 0) > 0);
+  assert.ok((world.groups.transitionCounts.get('ending') ?? 0) > 0);
 });
--- a/packages/testkit/test/stored-records.test.ts
+++ b/packages/testkit/test/stored-records.test.ts
@@ -104,7 +104,8 @@
   for (const task of moment.finishedTasks) worker!.done(task);
   for (const { key, value, version } of moment.records) {
     const parsed = parseKey(key);
-    if (parsed.kind === 'group') groups.seen.set(parsed.job, { record: groupRecord.read(value), version, at: sim.now });
+    if (parsed.kind === 'group')
+      groups.storedRecords.set(parsed.job, { record: groupRecord.read(value), version, at: sim.now });
     if (parsed.kind === 'reclaim') borrowing.stored.set(key, { record: reclaimRecord.read(value), since: sim.now });
   }
 }
--- a/packages/testkit/test/support/group-scenario-generator.ts
+++ b/packages/testkit/test/support/group-scenario-generator.ts
@@ -18,7 +18,7 @@
 const afterMs = fc.integer({ min: 0, max: 1500 });
 
 /** The groups that users submit in a scenario. */
-export const groupsOfDay: fc.Arbitrary<Fault> = fc.record({
+export const submittedGroups: fc.Arbitrary<Fault> = fc.record({
   kind: fc.constant('groups' as const),
   // All groups together fit into one zone and one team's limit, beside ordinary jobs.
   count: fc.integer({ min: 1, max: 4 }),
