--- a/packages/clients/test/key-value-store.test.ts
+++ b/packages/clients/test/key-value-store.test.ts
@@ -145,7 +145,7 @@
   assert.deepEqual(valueRead, { a: 1 });
   // The store has dropped the events: all keys are read again, and removed keys leave the copy.
   void keyValueStore.compareAndSwap(URGENCY.accept, [], [{ remove: 'g/x' }, { put: 'g/y', value: 2 }]);
-  sim.after(20, () => service.forgetEvents());
+  sim.after(20, () => service.dropEvents());
   await sim.run(4000);
   assert.deepEqual([...seen], [['g/y', 2]]);
   watchCache.stop();
--- a/packages/testkit/src/audits/liveness-audit.ts
+++ b/packages/testkit/src/audits/liveness-audit.ts
@@ -88,7 +88,7 @@
     const { world } = this;
     const intervalMs = world.heartbeatIntervalMs;
     const isUsable =
-      worker.unansweredMs <= intervalMs * REACHABLE_INTERVALS &&
+      worker.leaseAgeMs <= intervalMs * REACHABLE_INTERVALS &&
       worker.noticeS === null &&
       !world.everUnhealthy.has(worker.name);
     if (world.sim.now < world.quietAt + intervalMs || !isUsable) return;
--- a/packages/testkit/src/faults/controller-faults.ts
+++ b/packages/testkit/src/faults/controller-faults.ts
@@ -103,7 +103,7 @@
   const { sim, network, state } = world;
   const name = targets.node(node);
   targets.addTemporarily(state.unrenewed, name, lapseMs);
-  targets.addTemporarily(state.unansweredFrom, name, lapseMs + forMs);
+  targets.addTemporarily(state.transactionsLostFrom, name, lapseMs + forMs);
   for (const other of world.controllers) {
     if (other === name) continue;
     state.slowReadsOf.set(other, world.heartbeatIntervalMs * SLOW_READ_SHARE);
--- a/packages/testkit/src/faults/machine-faults.ts
+++ b/packages/testkit/src/faults/machine-faults.ts
@@ -107,9 +107,9 @@
 ): void {
   const worker = workers.get(targets.machine(machine) ?? '');
   if (worker === undefined) return;
-  worker.slowness = factor;
+  worker.runTimeFactor = factor;
   sim.after(forMs, () => {
-    worker.slowness = 1;
+    worker.runTimeFactor = 1;
   });
 }
 
--- a/packages/testkit/src/faults/network-faults.ts
+++ b/packages/testkit/src/faults/network-faults.ts
@@ -62,9 +62,9 @@
   },
   'lost answers': {
     inject: ({ sim, network }, { share, forMs }) => {
-      network.lostAnswers = share;
+      network.lostAnswerShare = share;
       sim.after(forMs, () => {
-        network.lostAnswers = 0;
+        network.lostAnswerShare = 0;
       });
     },
     durationMs: statedDurationMs,
@@ -162,13 +162,13 @@
   { sim, network }: World,
   { share, withinMs, forMs }: FaultOfKind<NetworkFault, 'late copies'>,
 ): void {
-  network.copies = {
+  network.duplicates = {
     share,
     withinMs,
     // Heartbeats, stops, and all requests to the state service and the cloud.
     only: (path) => path !== '/inspect',
   };
   sim.after(forMs, () => {
-    network.copies = null;
+    network.duplicates = null;
   });
 }
--- a/packages/testkit/src/faults/state-faults.ts
+++ b/packages/testkit/src/faults/state-faults.ts
@@ -50,8 +50,8 @@
   'state refuses one': { inject: refuseOne, durationMs: statedDurationMs },
   'state answers lost': {
     inject: ({ sim, network }, { share, forMs }) => {
-      network.lostAnswersOf.set('state:1', share);
-      sim.after(forMs, () => network.lostAnswersOf.delete('state:1'));
+      network.lostAnswerShareByHost.set('state:1', share);
+      sim.after(forMs, () => network.lostAnswerShareByHost.delete('state:1'));
     },
     durationMs: statedDurationMs,
   },
@@ -70,7 +70,7 @@
     },
     durationMs: noDurationMs,
   },
-  'events forgotten': { inject: ({ state }) => state.forgetEvents(), durationMs: noDurationMs },
+  'events forgotten': { inject: ({ state }) => state.dropEvents(), durationMs: noDurationMs },
   'slow state service': {
     inject: ({ sim, network }, { ms, forMs }) => {
       const heal = network.slow((from, to) => from === 'state:1' || to === 'state:1', ms);
@@ -80,7 +80,7 @@
   },
   'writes unanswered': {
     inject: ({ state }, { node, forMs }, targets) =>
-      targets.addTemporarily(state.unansweredFrom, targets.node(node), forMs),
+      targets.addTemporarily(state.transactionsLostFrom, targets.node(node), forMs),
     durationMs: statedDurationMs,
   },
   'renewals refused': {
@@ -116,6 +116,6 @@
     targets.cutRoutes([['state:1', name]], 'lose', forMs);
     return;
   }
-  state.refused.add(name);
-  sim.after(forMs, () => state.refused.delete(name));
+  state.refusedControllers.add(name);
+  sim.after(forMs, () => state.refusedControllers.delete(name));
 }
--- a/packages/testkit/src/faults/user-faults.ts
+++ b/packages/testkit/src/faults/user-faults.ts
@@ -27,16 +27,16 @@
   'cancel now': { inject: cancelNow, durationMs: ({ hangMs }) => hangMs },
   'cancel at end': {
     inject: (world, { share, forMs }) => {
-      world.cancelAtEnd = share;
+      world.cancelOnCompletionShare = share;
       world.sim.after(forMs, () => {
-        world.cancelAtEnd = 0;
+        world.cancelOnCompletionShare = 0;
       });
     },
     durationMs: statedDurationMs,
   },
   'odd requests': {
     inject: (world, { forMs }) => {
-      const sendOne = (): void => void world.users.sendOddRequest(world.randomJob());
+      const sendOne = (): void => void world.users.sendUnusualRequest(world.randomJob());
       repeatFor(world, forMs, sendOne, () => 100 + world.sim.random() * 600);
     },
     durationMs: statedDurationMs,
@@ -74,11 +74,11 @@
 ): void {
   const { sim, state } = world;
   const name = targets.node(node);
-  state.refused.add(name);
+  state.refusedControllers.add(name);
   world.recordOccurrence('cancelled', cancelSome(world, cancels, afterMs).size);
   sim.after(afterMs, () => state.setOutage(true));
   sim.after(afterMs + forMs, () => {
-    state.refused.delete(name);
+    state.refusedControllers.delete(name);
     state.setOutage(false);
   });
 }
--- a/packages/testkit/src/simulation/http-exchange.ts
+++ b/packages/testkit/src/simulation/http-exchange.ts
@@ -47,7 +47,7 @@
     }
     network.onSent(from, to, path, body ?? Buffer.alloc(0));
     if (!network.mute.has(from)) network.transmit(from, to, () => this.#arrive('original'));
-    const { copies } = network;
+    const { duplicates: copies } = network;
     if (copies !== null && copies.only(path) && network.sim.random() < copies.share) {
       network.sim.after(network.sim.random() * copies.withinMs, () => this.#arrive('copy'));
     }
@@ -100,7 +100,7 @@
   }
 
   #isAnswerLost(): boolean {
-    const { sim, lostAnswers, lostAnswersOf } = this.network;
+    const { sim, lostAnswerShare: lostAnswers, lostAnswerShareByHost: lostAnswersOf } = this.network;
     if (sim.random() < lostAnswers) return true;
     const share = lostAnswersOf.get(this.request.to);
     return share !== undefined && sim.random() < share;
--- a/packages/testkit/src/simulation/network.ts
+++ b/packages/testkit/src/simulation/network.ts
@@ -44,7 +44,7 @@
   readonly #slowRoutes = new Set<{ readonly appliesTo: RoutePredicate; readonly ms: number }>();
   #held: { readonly from: string; readonly to: string; readonly deliver: () => void }[] = [];
   /** Share of the requests selected by `only` that are duplicated, and the longest delay of a duplicate. */
-  copies: { share: number; withinMs: number; only: (path: string) => boolean } | null = null;
+  duplicates: { share: number; withinMs: number; only: (path: string) => boolean } | null = null;
   /** Share of one-way messages that are duplicated, and the longest delay of a duplicate. */
   peerCopies: { share: number; withinMs: number } | null = null;
   /** Called with every request when it is sent, unless the route refuses it. */
@@ -52,9 +52,9 @@
   /** Called with every message that leaves or reaches a process; it must not change the deployment. */
   observe: TrafficObserver = () => undefined;
   /** Share of all answers that are lost. */
-  lostAnswers = 0;
+  lostAnswerShare = 0;
   /** By host: share of its answers that are lost in addition to `lostAnswers`. */
-  readonly lostAnswersOf = new Map<string, number>();
+  readonly lostAnswerShareByHost = new Map<string, number>();
   /** Hosts that can open no connections: their requests are lost, but their answers are delivered. */
   readonly mute = new Set<string>();
   /** Hosts that hang; their events are deferred to the time `until`. */
--- a/packages/testkit/src/simulation/world.ts
+++ b/packages/testkit/src/simulation/world.ts
@@ -51,9 +51,9 @@
   peerBytes = 0;
   peerMessages = 0;
   /** The number of attempts that have begun to run. */
-  startsSeen = 0;
+  startedAttempts = 0;
   /** The share of jobs that are cancelled when their last task completes. */
-  cancelAtEnd = 0;
+  cancelOnCompletionShare = 0;
   /** Controllers that are unreachable and answer no requests. */
   readonly silent = new Set<string>();
   /** Jobs submitted with a mistake, whose tasks always fail, with the number of task starts and the first start. */
@@ -225,7 +225,7 @@
     const { job } = parseTaskName(taskName)!;
     this.tasks.complete(taskName);
     if (this.tasks.completedOf(job) !== this.job(job)!.tasks) return;
-    if (this.sim.random() < this.cancelAtEnd) void this.users.cancel(job);
+    if (this.sim.random() < this.cancelOnCompletionShare) void this.users.cancel(job);
   }
 
   #returnMachine(name: string): void {
@@ -249,7 +249,7 @@
   }
 
   onTask(taskName: string, machine: string): void {
-    this.startsSeen++;
+    this.startedAttempts++;
     const spec = this.#specOf(taskName);
     this.liveness.taskStarted(spec.id, machine);
     this.operations.started(spec.id);
--- a/packages/testkit/src/standins/state-service.ts
+++ b/packages/testkit/src/standins/state-service.ts
@@ -74,11 +74,11 @@
   /** Every request is refused with 503. */
   outage = false;
   /** Controllers whose requests are all refused with 503. */
-  readonly refused = new Set<string>();
+  readonly refusedControllers = new Set<string>();
   /** The share of transactions that get no answer, and whether they are executed at once or later. */
   unanswered: { readonly share: number; readonly atOnce: boolean } | null = null;
   /** Controllers whose transactions are never executed and get no answer; their other requests are served. */
-  readonly unansweredFrom = new Set<string>();
+  readonly transactionsLostFrom = new Set<string>();
   /** Controllers whose lease renewals are refused; their other requests are served. */
   readonly unrenewed = new Set<string>();
   /** By controller: the delay of its watch answers, which have the state at the time of the request. */
@@ -103,7 +103,7 @@
   requests = 0;
   changes = 0;
   /** The number of unanswered transactions that were executed successfully after a delay. */
-  carriedOutLate = 0;
+  executedLate = 0;
   #events: StateEvent[] = [];
   #droppedRevision = 0;
   #leases = new Map<number, { ttlMs: number; until: number }>();
@@ -165,7 +165,7 @@
   }
 
   /** Drops all change events, as after many further changes. */
-  forgetEvents(): void {
+  dropEvents(): void {
     this.#droppedRevision = this.revision;
     this.#events = [];
   }
@@ -173,9 +173,9 @@
   /** Answers a request of the host `from`; the promise of a request that gets no answer never settles. */
   handle(method: string, path: string, body: Buffer, from: string): HttpResponse | Promise<HttpResponse> {
     this.requests++;
-    if (this.outage || this.refused.has(from)) return answer(503, { error: 'trouble' });
+    if (this.outage || this.refusedControllers.has(from)) return answer(503, { error: 'trouble' });
     const kind = parseStateRequest(method, path)?.kind;
-    if (kind === 'txn' && this.unansweredFrom.has(from)) return new Promise(() => undefined);
+    if (kind === 'txn' && this.transactionsLostFrom.has(from)) return new Promise(() => undefined);
     if (kind === 'renew' && this.unrenewed.has(from) && this.#renewsLiveLease(path))
       return answer(503, { error: 'trouble' });
     const readMs = this.slowReadsOf.get(from);
@@ -196,7 +196,7 @@
   #executeLate(method: string, path: string, body: Buffer): void {
     const { least, most } = LATE_WRITE_MS;
     this.sim.after(least + (most - least) * this.sim.random(), () => {
-      if (this.#execute(method, path, body).status === 200) this.carriedOutLate++;
+      if (this.#execute(method, path, body).status === 200) this.executedLate++;
     });
   }
 
--- a/packages/testkit/src/standins/users.ts
+++ b/packages/testkit/src/standins/users.ts
@@ -264,7 +264,7 @@
   }
 
   /** Sends one unusual request: a repeated submission, a cancellation of a completed job, or an invalid submission. */
-  async sendOddRequest(template: JobSpec): Promise<void> {
+  async sendUnusualRequest(template: JobSpec): Promise<void> {
     const { world } = this;
     const { sim } = world;
     const pick = (matches: (observed: ObservedStatus) => boolean): ObservedStatus | undefined => {
--- a/packages/testkit/test/fault-combinations.test.ts
+++ b/packages/testkit/test/fault-combinations.test.ts
@@ -136,7 +136,7 @@
       [6000, lateWrites(false)],
       [7000, crashLeader()],
     ],
-    occurred: (world) => world.state.carriedOutLate > 0,
+    occurred: (world) => world.state.executedLate > 0,
   },
   {
     name: 'commands or their answers are delayed for seconds, and machines hang and then continue',
@@ -196,7 +196,7 @@
       [4000, cancelNow()],
       [8000, crashLeader()],
     ],
-    occurred: (world) => world.state.carriedOutLate > 0,
+    occurred: (world) => world.state.executedLate > 0,
   },
   {
     name: 'users poll all controllers and repeat the submission within milliseconds of every change',
--- a/packages/testkit/test/large-day.test.ts
+++ b/packages/testkit/test/large-day.test.ts
@@ -72,7 +72,7 @@
   const { user, system } = process.cpuUsage(startedAt);
   const rssMb = Math.round(process.memoryUsage().rss / 2 ** 20);
   const seconds = Math.round((user + system) / 1e6);
-  const { startsSeen, peerBytes } = world;
+  const { startedAttempts: startsSeen, peerBytes } = world;
   context.diagnostic(
     `${MACHINES} machines (at least ${minMachines} until 80 s), seed ${SEED}: ${seconds} s of processor time, ${rssMb} MiB resident at the end, ` +
       `${startsSeen} starts, ${Math.round(peerBytes / 2 ** 20)} MiB between controllers`,
--- a/packages/testkit/test/large-job.test.ts
+++ b/packages/testkit/test/large-job.test.ts
@@ -20,7 +20,7 @@
   void world.users.submitAndFollow(spec, null);
   await world.sim.run(90_000);
   assert.deepEqual(world.violations, []);
-  assert.ok(world.startsSeen > 100, `${world.startsSeen} starts`);
+  assert.ok(world.startedAttempts > 100, `${world.startedAttempts} starts`);
   assert.ok(world.state.largestValue <= 8 * 1024, `value of ${world.state.largestValue} characters`);
   assert.ok(world.state.largestTxn <= 12, `transaction of ${world.state.largestTxn} changes`);
   assert.deepEqual(
--- a/packages/testkit/test/stored-records.test.ts
+++ b/packages/testkit/test/stored-records.test.ts
@@ -75,7 +75,7 @@
     state.data.set(key, { value, version, lease: lease === null ? null : leases.get(lease)! });
   }
   state.revision = revision;
-  state.forgetEvents();
+  state.dropEvents();
 }
 
 /** Boots the machines that were up at that moment, under their recorded names. */
