--- a/packages/borrowing/src/settings.ts
+++ b/packages/borrowing/src/settings.ts
@@ -20,7 +20,7 @@
 
 /**
  * Time limit of a reclaim, in milliseconds. After it the reclaim is withdrawn in any state, so that it does not reserve
- * capacity for ever. The limit allows for the victims to save and, after a failover of the partition, for the first
+ * capacity indefinitely. The limit allows for the victims to save and, after a failover of the partition, for the first
  * heartbeats of its machines.
  */
 export function reclaimBoundMs(clusterConfig: ClusterConfig, longestGraceS: number): number {
--- a/packages/core/src/claims/claim-table.ts
+++ b/packages/core/src/claims/claim-table.ts
@@ -198,7 +198,7 @@
     return this.#machineTable.isGone(name);
   }
 
-  /** Whether the machine has missed so many heartbeats that it may have failed. */
+  /** Whether the machine has been silent for more than `SUSPECT_INTERVALS` heartbeat intervals; see `silentMs`. */
   isSuspect(machine: Machine, now: number): boolean {
     return this.#machineTable.isSuspect(machine, now);
   }
--- a/packages/core/src/claims/claim-view.ts
+++ b/packages/core/src/claims/claim-view.ts
@@ -47,7 +47,10 @@
   freeResources(machine: Machine): Resources;
   /** Whether new tasks may be granted to the machine at all. */
   mayTakeWork(machine: Machine, now: number): boolean;
-  /** Whether the machine has missed so many heartbeats that it may have failed. */
+  /**
+   * Whether the machine has been silent for more than `SUSPECT_INTERVALS` heartbeat intervals; see
+   * `MachineTable.silentMs`.
+   */
   isSuspect(machine: Machine, now: number): boolean;
   /** Whether the job failed wherever it was started, according to its record or to its failures in this partition. */
   isCrashLooping(job: Job): boolean;
--- a/packages/core/src/claims/machine-table.ts
+++ b/packages/core/src/claims/machine-table.ts
@@ -92,7 +92,7 @@
     return expired;
   }
 
-  /** Whether the machine has missed so many heartbeats that it may have failed. */
+  /** Whether the machine has been silent for more than `SUSPECT_INTERVALS` heartbeat intervals; see `silentMs`. */
   isSuspect(machine: Machine, now: number): boolean {
     return this.silentMs(machine, now) > this.clusterConfig.heartbeatIntervalMs * SUSPECT_INTERVALS;
   }
--- a/packages/core/src/claims/task-table.ts
+++ b/packages/core/src/claims/task-table.ts
@@ -33,7 +33,7 @@
   /** Changes the state and the claim of a task. Throws if `TASK_TRANSITIONS` does not allow the change. */
   transition(task: TaskEntry, next: TaskEntryState, now: number, claim: Claim | null = null): void {
     if (task.state !== next && !TASK_TRANSITIONS[task.state].includes(next)) {
-      throw new Error(`task ${task.name}: invalid transition from ${task.state} to ${next}`);
+      throw new Error(`task ${task.name}: invalid state transition from ${task.state} to ${next}`);
     }
     if (task.claim !== null) task.claim.machine.claims.delete(task.name);
     task.claim = claim;
--- a/packages/core/src/scheduling/assignment.ts
+++ b/packages/core/src/scheduling/assignment.ts
@@ -83,7 +83,7 @@
   assign(job: Job): void {
     const waiting = job.unassigned();
     const team = this.#teamOf(job);
-    // A team that was removed from the settings is assigned no more tasks; its assigned tasks go on.
+    // A team that was removed from the settings is assigned no more tasks; its assigned tasks are not affected.
     if (waiting.length === 0 || team === undefined) return;
     if (job.isGroup) {
       this.#assignGroup(job, team);
--- a/packages/daemon/src/owner/partition-owner.ts
+++ b/packages/daemon/src/owner/partition-owner.ts
@@ -122,8 +122,8 @@
   }
 
   /**
-   * Plans machines for the waiting tasks, stops the tasks that have to make room, and solicits heartbeats from the
-   * planned machines.
+   * Plans machines for the waiting tasks, stops the tasks that they preempt and the replicas to be moved off a draining
+   * machine, and requests heartbeats from machines on which waiting tasks could start.
    */
   #placeTasks(now: number): void {
     this.#placedChange = this.claimTable.changes;
@@ -151,7 +151,7 @@
   /** Whether this controller's own reads show it as the owner. Workers are answered only if they do. */
   isOwner(): boolean {
     const { key, version } = this.ownershipTerm.condition;
-    // Compares versions rather than records, because a new owner's record might not be parsable.
+    // Compares versions rather than records, because this controller may be unable to parse a new owner's record.
     return this.ownershipTerm.isCurrent && this.context.watchCache.version(key) === version;
   }
 
--- a/packages/daemon/src/peers/peer-confirmation.ts
+++ b/packages/daemon/src/peers/peer-confirmation.ts
@@ -1,6 +1,6 @@
 // During an outage of the key-value store, asks all peers to confirm that they can't reach it either and know of no
-// newer revision. If all of them confirm, this controller has seen every cancellation and failover, and may go on
-// answering its workers.
+// newer revision. If all of them confirm, this controller has seen every cancellation and failover, and may continue to
+// answer its workers.
 import type { WatchCache, KeyValueStore } from '@gingerlock/clients';
 import type { PeerMessages } from '@gingerlock/peer';
 import type { PeerChannel } from './peer-channel';
@@ -53,9 +53,9 @@
   }
 
   /**
-   * Whether this controller can't reach the store either and knows of nothing newer than the revision. It can't confirm
-   * if this process has not reached the store since its start, since it does not know what the controller's earlier
-   * process has told users, or if it does not know the outcome of a transaction.
+   * Whether this controller can't reach the store either and knows of nothing newer than the revision. Returns false if
+   * this process has not reached the store since its start, because it does not know what an earlier process of this
+   * controller has told users. Also returns false while the outcome of a transaction is unknown.
    */
   #canConfirm(revision: number): boolean {
     const { keyValueStore, watchCache } = this;
--- a/packages/daemon/src/state/cluster-state.ts
+++ b/packages/daemon/src/state/cluster-state.ts
@@ -54,9 +54,9 @@
 }
 
 /**
- * The parsed content of this controller's watch cache. It is as recent as the cache: each change that the cache takes,
- * read or own, is applied here before the cache goes on. Callers that need the newest state wait for
- * `WatchCache.linearizableRead` first.
+ * The parsed content of this controller's watch cache. It is as recent as the cache, whose `onChange` applies each
+ * change here, whether read from the store or made by this controller, before other code sees the new state. Callers
+ * that need the newest state wait for `WatchCache.linearizableRead` first.
  */
 export class ClusterState {
   /** The deployment's immutable settings; null if they have not been read or created yet. */
--- a/packages/daemon/src/state/commit-with-retry.ts
+++ b/packages/daemon/src/state/commit-with-retry.ts
@@ -40,8 +40,8 @@
    *
    * Returns the revision at which it was carried out. Returns 0 if this call did not carry it out, or abandoned it
    * because `isStillWanted`, called after each pause, returned false. Unless abandoned, the watch cache is then at or
-   * past the outcome. A caller that gets 0 must decide anew from the cache: a transaction whose first answer was lost
-   * may have been carried out all the same.
+   * past the outcome. A caller that gets 0 must check the cache before it acts: a transaction whose first answer was
+   * lost may still have been carried out.
    */
   async commitWithRetry(
     urgency: Urgency,
@@ -62,9 +62,9 @@
           return result.revision;
         case 'conflict':
         case 'no lease':
-          // The conflict may be with its own first attempt, whose answer was lost. The caller must not decide anew
-          // before the cache shows that: a task returned without its partition's knowledge could be started there and
-          // by the next partition.
+          // The conflict may be with its own first attempt, whose answer was lost. The caller must not act before the
+          // cache shows that: an owner that has returned a task without learning of it could still start the task,
+          // which the next partition starts too.
           while (!(await this.#catchUp())) {
             await sleep(clock, pauseMs);
             if (!isStillWanted()) return 0;
--- a/packages/testkit/src/standins/worker.ts
+++ b/packages/testkit/src/standins/worker.ts
@@ -307,8 +307,8 @@
   }
 
   /**
-   * Stops an attempt. A running task saves first if its job has checkpoints and the grace covers a save; a task that
-   * already saves goes on if there is any grace. All others end at once.
+   * Stops an attempt. A running task saves first if its job has checkpoints and the grace period covers a save. A task
+   * that is already saving continues to save if the grace period is not 0. All others end at once.
    */
   #stop(running: RunningTask, graceS: number): void {
     const job = this.world.job(parseTaskName(running.task)!.job)!;
--- a/packages/testkit/test/one-owner.test.ts
+++ b/packages/testkit/test/one-owner.test.ts
@@ -1,5 +1,5 @@
-// A partition has one owner at a time. These tests use faults that could let a former owner go on answering its workers
-// while the next owner starts their tasks elsewhere.
+// A partition has one owner at a time. These tests use faults that could let the previous owner continue to answer its
+// workers while the next owner starts their tasks elsewhere.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { HttpResponse } from '@gingerlock/clients';
--- a/packages/testkit/test/ownership-term.test.ts
+++ b/packages/testkit/test/ownership-term.test.ts
@@ -13,8 +13,8 @@
   return ownerRecord.read(world.state.data.get(KEYS.owner(RESOURCE))!.value);
 }
 
-// If a partition's term and version were read again after each write, the table of the former term would go on being
-// written under the version of the next term, which does not know of these writes.
+// If a partition's term and version were read again after each write, the previous term's claim table would still be
+// written, under the version of the next term, which does not know of these writes.
 test('when a write of a former ownership term is answered late, no further writes of that term follow under the next one', async () => {
   // The machines to be stored do not fit into one transaction.
   const world = new World({ seed: 9, controllers: 2, machines: 60 });
--- a/packages/testkit/test/replica-groups-backoff.test.ts
+++ b/packages/testkit/test/replica-groups-backoff.test.ts
@@ -1,5 +1,5 @@
 // Guards against a replica group that loses its machines during its backoff, and never serves again if the cloud has no
-// others. It comes about in two ways:
+// others. There are two causes:
 // - Machines of members are exempt from scaling in, but a waiting group has no members, and a group in its backoff
 //   creates no demand. The leader returned the emptied machines as idle 0.4 to 0.6 s after `group waiting`, then asked
 //   the cloud for them again, and the scale-out was refused for lack of capacity. On loopback this occurs under load,
--- a/packages/testkit/test/replica-groups-loopback.test.ts
+++ b/packages/testkit/test/replica-groups-loopback.test.ts
@@ -2,9 +2,9 @@
 // and never answers in part. With `--member` as its first argument this file runs a member.
 //
 // The first test also fails if the leader returns machines that a group in its backoff needs, or if the cloud stand-in
-// keeps returned machines: the group then waits for ever, as each scale-out is refused for lack of capacity. Both
-// faults together failed 9 of 34 runs, mostly under load. replica-groups-backoff.test.ts and loopback-cloud.test.ts
-// test each of them deterministically; see docs/incidents/group-loses-its-machines-in-backoff.md.
+// keeps returned machines: the group then waits indefinitely, as each scale-out is refused for lack of capacity. With
+// both faults, 9 of 34 runs failed, mostly under load. replica-groups-backoff.test.ts and loopback-cloud.test.ts test
+// each of them deterministically; see docs/incidents/group-loses-its-machines-in-backoff.md.
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '@gingerlock/wire';
--- a/packages/wire/src/keys.ts
+++ b/packages/wire/src/keys.ts
@@ -1,6 +1,6 @@
 // The keys that gingerlock uses in the key-value store.
 
-/** Prefix of every key, so that a single request follows all changes. */
+/** Prefix of every key, so that a single `/follow` request returns the changes of all keys. */
 export const KEY_PREFIX = 'g/';
 
 /** Builds keys; `parseKey` parses them. */
@@ -11,8 +11,8 @@
   owner: (resource: string) => `g/own/${resource}`,
   hold: (resource: string) => `g/hold/${resource}`,
   /**
-   * The latest term whose owner has confirmed that its failover took place soon after the `failoverAt` of its owner
-   * record. Later owners may rely on that time only after this confirmation.
+   * The latest term whose owner has confirmed the `failoverAt` of its owner record: the failover took place soon after
+   * that time. Later owners may rely on `failoverAt` only after this confirmation.
    */
   confirmedTerm: (resource: string) => `g/timed/${resource}`,
   job: (id: string) => `g/j/${id}`,
