--- a/packages/testkit/src/faults/machine-faults.ts
+++ b/packages/testkit/src/faults/machine-faults.ts
@@ -107,9 +107,9 @@
 ): void {
   const worker = workers.get(targets.machine(machine) ?? '');
   if (worker === undefined) return;
-  worker.runTimeFactor = factor;
+  worker.slowdown = factor;
   sim.after(forMs, () => {
-    worker.runTimeFactor = 1;
+    worker.slowdown = 1;
   });
 }
 
--- a/packages/testkit/src/standins/worker.ts
+++ b/packages/testkit/src/standins/worker.ts
@@ -93,7 +93,7 @@
   /** The machine is faulty: its tasks end with an error shortly after their start. */
   isQuarantined = false;
   /** Multiplies the run time of tasks. */
-  runTimeFactor = 1;
+  slowdown = 1;
   /** The attempts, by task name and attempt number separated by a space. */
   readonly tasks = new Map<string, RunningTask>();
   readonly #images = new Set<string>();
@@ -368,9 +368,7 @@
     } else if (job.kind === 'array') {
       const savedMs = world.savedMs.get(running.task) ?? 0;
       const remainingMs = job.estimateS * 1000 * (0.5 + world.sim.random()) - savedMs;
-      running.cancelTimer = this.#after(Math.max(0, remainingMs) * this.runTimeFactor, () =>
-        this.#exit(running, 'done'),
-      );
+      running.cancelTimer = this.#after(Math.max(0, remainingMs) * this.slowdown, () => this.#exit(running, 'done'));
     }
   }
 
